--- a/harrieryoke/budgets/decide/slices.py
+++ b/harrieryoke/budgets/decide/slices.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Struct
 
-from ...council.decide.hold import Fence, Lease
+from ...council.decide.lease import Fence, Lease
 from . import commands as c
 from .commands import Refused
 from .messages import Ack, Answer, Ask, Dry, Granted, Report, Row
--- a/harrieryoke/council/actor.py
+++ b/harrieryoke/council/actor.py
@@ -19,13 +19,13 @@
 from ..core.actor import Actor
 from ..log import Log
 from .decide import duties as d
-from .decide import seats
-from .decide.acts import Acts, ActsError
-from .decide.agree import Agreement, Role
-from .decide.hold import Holder, Passed
+from .decide import membership
+from .decide.commands import Acts, ActsError
+from .decide.lease import Holder, Passed
+from .decide.lease_manager import Steward
 from .decide.log import Kept
 from .decide.messages import Entry, Members, Message, Save, Seat, Snapshot
-from .decide.steward import Steward
+from .decide.raft import Agreement, Role
 from .settings import CouncilSettings
 
 BATCH = 64  # messages of one turn
@@ -224,7 +224,7 @@
         """The leader's file says who votes and which duties there are."""
         if {name for name, duty in self.duties.duties.items() if not duty.gone} != set(self.told.duties):
             self.offer(now, d.encode(d.Define(tuple(self.told.duties))))
-        step = seats.due(self.agreement, frozenset(self.told.voters), frozenset(self.told.members))
+        step = membership.due(self.agreement, frozenset(self.told.voters), frozenset(self.told.members))
         if isinstance(step, Seat):
             self.agreement.transfer(now, step)
         elif step is not None:
--- a/harrieryoke/council/decide/steward.py
+++ b/harrieryoke/council/decide/lease_manager.py
@@ -8,7 +8,7 @@
 import xxhash
 
 from .duties import Command, Duties, End, Grant, Heir, Session
-from .hold import Lease
+from .lease import Lease
 
 MOST = 64  # proposals of one turn; the rest come with the next
 
--- a/harrieryoke/council/decide/seats.py
+++ b/harrieryoke/council/decide/membership.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterator
 
-from .agree import MOST_VOTERS, Agreement
 from .messages import Members, Seat
+from .raft import MOST_VOTERS, Agreement
 
 
 def due(agreement: Agreement, voters: frozenset[str], known: frozenset[str]) -> Members | Seat | None:
--- a/harrieryoke/council/link.py
+++ b/harrieryoke/council/link.py
@@ -16,9 +16,9 @@
 from ..core.actor import spawn
 from ..log import Log
 from ..wire.frames import WireError, encode
-from .decide.hold import Passed
+from .decide.lease import Passed
 from .decide.messages import Message, Seat
-from .greet import LinkTold, Refusal, hang_up, read_welcome, say_hello
+from .handshake import LinkTold, Refusal, hang_up, read_welcome, say_hello
 from .listen import Listener
 from .wire.codec import MOST_FRAME, to_wire
 
--- a/harrieryoke/council/listen.py
+++ b/harrieryoke/council/listen.py
@@ -14,9 +14,9 @@
 from ..core.actor import spawn
 from ..log import Log
 from ..wire.frames import Decoder, WireError, encode
-from .decide.hold import Passed
+from .decide.lease import Passed
 from .decide.messages import Message, Seat
-from .greet import LinkTold, hang_up, read_hello, refusal, say_welcome
+from .handshake import LinkTold, hang_up, read_hello, refusal, say_welcome
 from .wire.codec import MOST_FRAME, from_wire, pb, read_seat
 
 CHUNK = 64 << 10
--- a/harrieryoke/council/part.py
+++ b/harrieryoke/council/part.py
@@ -7,7 +7,7 @@
 
 from ..log import Log
 from .actor import CouncilActor
-from .decide.acts import Machine
+from .decide.commands import Machine
 from .disk import Disk
 from .link import Links, LinkTold
 from .settings import CouncilSettings
--- a/harrieryoke/council/settings.py
+++ b/harrieryoke/council/settings.py
@@ -9,10 +9,10 @@
 
 from ..checks import ConfigError, read_address
 from ..store.settings import StoreError, StoreSettings
-from .decide.agree import MOST_VOTERS, Told
-from .decide.conduct import Pace, PaceError
 from .decide.duties import MOST_DUTIES, MOST_NAME, MOST_SESSIONS
-from .decide.hold import Lease
+from .decide.grants import Pace, PaceError
+from .decide.lease import Lease
+from .decide.raft import MOST_VOTERS, Told
 
 MOST_WEIGHT = 1e6
 RENEWED = ("members", "voters", "duties", "weight")  # by SIGHUP
--- a/harrieryoke/council/turns.py
+++ b/harrieryoke/council/turns.py
@@ -13,8 +13,8 @@
 from ..core.actor import Actor
 from ..log import Log
 from .actor import boot_ms
-from .decide.acts import Machine
-from .decide.conduct import Conductor, Own, Pace
+from .decide.commands import Machine
+from .decide.grants import Conductor, Own, Pace
 from .decide.rounds import DUTY, Counts, Rounds
 
 MAILBOX = 1024
--- a/harrieryoke/council/wire/codec.py
+++ b/harrieryoke/council/wire/codec.py
@@ -9,9 +9,8 @@
 from collections.abc import Iterable
 
 from ...wire.frames import WireError
-from ..decide.agree import MOST_VOTERS
 from ..decide.duties import MOST_NAME, MOST_SESSIONS
-from ..decide.hold import Passed
+from ..decide.lease import Passed
 from ..decide.messages import (
     Ack,
     Append,
@@ -28,6 +27,7 @@
     Snapshot,
     Vote,
 )
+from ..decide.raft import MOST_VOTERS
 from . import council_pb2 as pb
 
 __all__ = [
--- a/harrieryoke/lab/collector.py
+++ b/harrieryoke/lab/collector.py
@@ -11,7 +11,7 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-from ..council.decide.hold import Fence
+from ..council.decide.lease import Fence
 from ..ledger.decide.reconcile import Session
 from ..ledger.wire import codec
 from ..ledger.wire.codec import pb
--- a/harrieryoke/lab/fleet_watch.py
+++ b/harrieryoke/lab/fleet_watch.py
@@ -22,7 +22,7 @@
 from gevent.event import Event
 
 from ..council.actor import boot_ms
-from ..council.decide.hold import Fence
+from ..council.decide.lease import Fence
 from . import fleet_checks as c
 
 EACH_S = 0.01  # how often a hand asks
--- a/tests/council_nodes.py
+++ b/tests/council_nodes.py
@@ -16,7 +16,7 @@
 from typing import Any, NamedTuple
 
 from harrieryoke.council.decide.duties import Session
-from harrieryoke.council.decide.steward import best
+from harrieryoke.council.decide.lease_manager import best
 from harrieryoke.ops_client import OpsError, ask
 
 from .scenario import ROOT, SETTINGS, free_address, listener, where
--- a/tests/council_world.py
+++ b/tests/council_world.py
@@ -13,9 +13,9 @@
 from functools import partial
 
 from harrieryoke.council.decide import duties as d
-from harrieryoke.council.decide import seats
-from harrieryoke.council.decide.agree import Agreement, Role, Told
-from harrieryoke.council.decide.hold import Fence, Holder, Lease, Passed
+from harrieryoke.council.decide import membership
+from harrieryoke.council.decide.lease import Fence, Holder, Lease, Passed
+from harrieryoke.council.decide.lease_manager import Steward
 from harrieryoke.council.decide.log import founded, kept
 from harrieryoke.council.decide.messages import (
     Ack,
@@ -29,7 +29,7 @@
     Vote,
     Written,
 )
-from harrieryoke.council.decide.steward import Steward
+from harrieryoke.council.decide.raft import Agreement, Role, Told
 
 TOLD = Told(
     election_ms=300.0,
@@ -252,7 +252,7 @@
     def lead(self, m: Member, now: float) -> None:
         if not m.duties.duties:
             m.agreement.offer(now, d.encode(d.Define(DUTIES)))
-        step = seats.due(m.agreement, self.wanted, frozenset(self.members))
+        step = membership.due(m.agreement, self.wanted, frozenset(self.members))
         if isinstance(step, Seat):
             m.agreement.transfer(now, step)
         elif step is not None:
--- a/tests/test_acts.py
+++ b/tests/test_acts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from harrieryoke.council.decide import duties as d
-from harrieryoke.council.decide.acts import Acts, ActsError
+from harrieryoke.council.decide.commands import Acts, ActsError
 
 
 class Lines:
--- a/tests/test_budgets_faults.py
+++ b/tests/test_budgets_faults.py
@@ -12,7 +12,7 @@
 from harrieryoke.budgets.decide.slices import Budgets, Giver, Slice
 from harrieryoke.budgets.decide.spender import Held, Project, Spender
 from harrieryoke.core.timing_wheel import TimingWheel
-from harrieryoke.council.decide.hold import Fence
+from harrieryoke.council.decide.lease import Fence
 
 from . import interleave
 from .budget_world import Parts, Timed
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -5,11 +5,11 @@
 import pytest
 
 from harrieryoke.council.decide import duties as d
-from harrieryoke.council.decide.agree import Agreement
-from harrieryoke.council.decide.hold import Fence
+from harrieryoke.council.decide.lease import Fence
+from harrieryoke.council.decide.lease_manager import best, score
 from harrieryoke.council.decide.log import founded, kept
 from harrieryoke.council.decide.messages import Append, AskVote, Knock, Members, Offer, Seat, Vote
-from harrieryoke.council.decide.steward import best, score
+from harrieryoke.council.decide.raft import Agreement
 
 from .council_world import DUTIES, TOLD, World
 
--- a/tests/test_council_faults.py
+++ b/tests/test_council_faults.py
@@ -9,10 +9,10 @@
 import pytest
 
 from harrieryoke.council.decide import duties as d
-from harrieryoke.council.decide.agree import Agreement
-from harrieryoke.council.decide.hold import Fence, Holder, Lease, Passed
+from harrieryoke.council.decide.lease import Fence, Holder, Lease, Passed
+from harrieryoke.council.decide.lease_manager import Steward
 from harrieryoke.council.decide.messages import Ack, Append, AskVote, Entry, Members, Message, Seat, Send
-from harrieryoke.council.decide.steward import Steward
+from harrieryoke.council.decide.raft import Agreement
 
 from . import council_world
 from .council_world import DUTIES, Member, Parts, Unwell, Violation, World
--- a/tests/test_council_link.py
+++ b/tests/test_council_link.py
@@ -11,9 +11,9 @@
 import pytest
 from gevent import socket
 
-from harrieryoke.council.decide.hold import Passed
+from harrieryoke.council.decide.lease import Passed
 from harrieryoke.council.decide.messages import Knock, Message, Now, Offer, Seat
-from harrieryoke.council.greet import say_hello
+from harrieryoke.council.handshake import say_hello
 from harrieryoke.council.link import Links, LinkTold
 from harrieryoke.council.wire.codec import MOST_FRAME, pb
 from harrieryoke.log import Log
--- a/tests/test_council_part.py
+++ b/tests/test_council_part.py
@@ -12,12 +12,12 @@
 from msgspec.structs import replace
 
 from harrieryoke.council.actor import CouncilActor, boot_ms
-from harrieryoke.council.decide.agree import Role
 from harrieryoke.council.decide.duties import MOST_BODY
-from harrieryoke.council.decide.hold import Fence, Passed
+from harrieryoke.council.decide.lease import Fence, Passed
+from harrieryoke.council.decide.lease_manager import best
 from harrieryoke.council.decide.log import Kept, founded, kept
 from harrieryoke.council.decide.messages import Knock, Message, Save, Seat
-from harrieryoke.council.decide.steward import best
+from harrieryoke.council.decide.raft import Role
 from harrieryoke.council.disk import Disk
 from harrieryoke.council.part import CouncilPart
 from harrieryoke.council.settings import CouncilError, CouncilSettings
--- a/tests/test_council_wire.py
+++ b/tests/test_council_wire.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from harrieryoke.council.decide import messages as m
-from harrieryoke.council.decide.hold import Passed
+from harrieryoke.council.decide.lease import Passed
 from harrieryoke.council.wire.codec import MOST_FRAME, from_wire, pb, to_wire
 from harrieryoke.wire.frames import Decoder, WireError, encode
 
--- a/tests/test_interleave_council.py
+++ b/tests/test_interleave_council.py
@@ -10,8 +10,7 @@
 import pytest
 
 from harrieryoke.council.decide import duties as d
-from harrieryoke.council.decide.agree import Agreement, Role
-from harrieryoke.council.decide.hold import Holder, Lease, Passed
+from harrieryoke.council.decide.lease import Holder, Lease, Passed
 from harrieryoke.council.decide.log import founded, kept
 from harrieryoke.council.decide.messages import (
     Ack,
@@ -25,6 +24,7 @@
     Vote,
     Written,
 )
+from harrieryoke.council.decide.raft import Agreement, Role
 
 from .council_world import TOLD, Parts
 from .interleave import Failed, Wait, World, explore, replay, shape
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -16,9 +16,9 @@
 
 from harrieryoke.council.decide import duties as d
 from harrieryoke.council.decide import rounds as r
-from harrieryoke.council.decide.acts import Acts
-from harrieryoke.council.decide.conduct import Conductor, Own, Pace, PaceError
-from harrieryoke.council.decide.hold import Fence
+from harrieryoke.council.decide.commands import Acts
+from harrieryoke.council.decide.grants import Conductor, Own, Pace, PaceError
+from harrieryoke.council.decide.lease import Fence
 
 COUNTS = r.Counts(9, 1, -1, 400)
 NAMES, PERIODS, HOWS = st.sampled_from("abc"), st.integers(1, 3), ("done", "back", "give", "last")
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -12,9 +12,9 @@
 from harrieryoke.core.clock import now_ms
 from harrieryoke.core.records import Call
 from harrieryoke.council.decide import duties as d
-from harrieryoke.council.decide.acts import Acts, Machine
-from harrieryoke.council.decide.conduct import Pace
-from harrieryoke.council.decide.hold import Fence
+from harrieryoke.council.decide.commands import Acts, Machine
+from harrieryoke.council.decide.grants import Pace
+from harrieryoke.council.decide.lease import Fence
 from harrieryoke.council.turns import TurnsActor
 from harrieryoke.lab.collector import EmulatedCollector
 from harrieryoke.ledger.part import LedgerPart
