--- a/harrieryoke/budgets/decide/slices.py
+++ b/harrieryoke/budgets/decide/slices.py
@@ -83,7 +83,7 @@
         self.asks = {(s.invoker, s.life, s.ask): id for id, s in self.slices.items()}
         for id, s in self.slices.items():
             if not s.ended:
-                self.ends.schedule(id, now + Lease(s.ms, self.drift).over())
+                self.ends.schedule(id, now + Lease(s.ms, self.drift).expiry_bound_ms())
 
     def apply(self, index: int, entry: c.Entry, now: float) -> Refused | None:
         """None: done. The index of a `Give` is the number of its slice."""
@@ -120,7 +120,7 @@
         made = Slice(do.node, do.invoker, do.life, do.ask, do.amount, do.opened, do.ms, token)
         self.slices[index] = made
         self.asks[do.invoker, do.life, do.ask] = index
-        self.ends.schedule(index, now + Lease(do.ms, self.drift).over())
+        self.ends.schedule(index, now + Lease(do.ms, self.drift).expiry_bound_ms())
         return None
 
     def told(self, do: c.Told) -> Refused | None:
--- a/harrieryoke/cli.py
+++ b/harrieryoke/cli.py
@@ -97,7 +97,7 @@
     if name not in told.council.voters:
         raise ConfigError(f"council.voters: {name} founds, and is none of them")
     seat = Disk.found(told.council.store_settings(), name, base)
-    print(f"{told.council.installation}: founded by {seat.name}, disk {seat.disk}, after {base}")
+    print(f"{told.council.installation}: founded by {seat.name}, disk {seat.disk_id}, after {base}")
 
 
 @app.command()
--- a/harrieryoke/council/decide/duties.py
+++ b/harrieryoke/council/decide/duties.py
@@ -11,55 +11,55 @@
 import msgspec
 from msgspec import Struct
 
-MOST_DUTIES = 1024
-MOST_SESSIONS = 1024  # with those that ended; of these the oldest goes first
-MOST_REASON = 200  # characters
-MOST_NAME = 200
-MOST_BODY = 64 * 1024  # bytes of an act or a request; a longer one is void
+MAX_DUTIES = 1024
+MAX_SESSIONS = 1024  # with those that ended; of these the oldest goes first
+MAX_REASON_CHARS = 200  # characters
+MAX_NAME_CHARS = 200
+MAX_BODY_BYTES = 64 * 1024  # bytes of an act or a request; a longer one is void
 
 
-class Word(Struct, frozen=True, array_like=True, tag="word"):
+class RenewSession(Struct, frozen=True, array_like=True, tag="word"):
     """A member of itself. `life` is drawn at random when the process starts, `number` rises in it by one."""
 
     member: str
-    life: int
-    number: int
+    incarnation: int
+    sequence: int
     weight: float  # 0: it drains, and takes nothing more
-    cannot: dict[str, str] = {}  # duty: why
-    gives: dict[str, int] = {}  # duty: the token under which it does not act any more
-    leaves: bool = False
+    unavailable: dict[str, str] = {}  # duty: why
+    released: dict[str, int] = {}  # duty: the token under which it does not act any more
+    leaving: bool = False
 
 
-class End(Struct, frozen=True, array_like=True, tag="end"):
+class EndSession(Struct, frozen=True, array_like=True, tag="end"):
     """The session ran out, and `number` was its last word: void if there was a later one."""
 
     member: str
-    life: int
-    number: int
+    incarnation: int
+    sequence: int
 
 
-class Grant(Struct, frozen=True, array_like=True, tag="grant"):
+class GrantDuty(Struct, frozen=True, array_like=True, tag="grant"):
     duty: str
     member: str
-    life: int
+    incarnation: int
 
 
-class Heir(Struct, frozen=True, array_like=True, tag="heir"):
+class AssignSuccessor(Struct, frozen=True, array_like=True, tag="heir"):
     """Who holds `duty` under `token` shall pass it on to the member."""
 
     duty: str
     token: int
     member: str
-    life: int
+    incarnation: int
 
 
-class Define(Struct, frozen=True, array_like=True, tag="define"):
+class DefineDuties(Struct, frozen=True, array_like=True, tag="define"):
     """The duties that there are from now on. One that is held and not among them goes when it is free."""
 
     duties: tuple[str, ...]
 
 
-class Act(Struct, frozen=True, array_like=True, tag="act"):
+class FencedCommand(Struct, frozen=True, array_like=True, tag="act"):
     """Of who acts on `duty` under `token`: for the duty's machine (`acts.py`), if the token still counts."""
 
     duty: str
@@ -67,7 +67,7 @@
     body: bytes
 
 
-class Ask(Struct, frozen=True, array_like=True, tag="ask"):
+class UnfencedCommand(Struct, frozen=True, array_like=True, tag="ask"):
     """Of any member, for the duty's machine, whose own rules say whether it counts. A kind of its own: an act
     under token 0, of one that does not act, must never pass as a request."""
 
@@ -75,31 +75,42 @@
     body: bytes
 
 
-Command = Word | End | Grant | Heir | Define | Act | Ask
+Command = (
+    RenewSession | EndSession | GrantDuty | AssignSuccessor | DefineDuties | FencedCommand | UnfencedCommand
+)
 
 
-class Session(Struct):
-    life: int
-    number: int  # of its last word
+class Session(Struct, rename={"incarnation": "life", "sequence": "number", "unavailable": "cannot"}):
+    incarnation: int
+    sequence: int  # of its last word
     weight: float
-    cannot: dict[str, str]
+    unavailable: dict[str, str]
     open: bool = True
 
 
-class Duty(Struct):
+class Duty(
+    Struct,
+    rename={
+        "holder_incarnation": "life",
+        "successor": "heir",
+        "successor_incarnation": "heir_life",
+        "successor_token": "heir_token",
+        "retired": "gone",
+    },
+):
     """`holder` and `heir` are empty for nobody. `fence`: the highest token under which an entry came."""
 
     holder: str = ""
-    life: int = 0
+    holder_incarnation: int = 0
     token: int = 0
-    heir: str = ""
-    heir_life: int = 0
-    heir_token: int = 0
+    successor: str = ""
+    successor_incarnation: int = 0
+    successor_token: int = 0
     fence: int = 0
-    gone: bool = False
+    retired: bool = False
 
 
-class State(Struct):
+class DutyTableState(Struct):
     sessions: dict[str, Session] = {}
     duties: dict[str, Duty] = {}
 
@@ -110,13 +121,13 @@
 
 def decode(data: bytes) -> Command:
     """Raises msgspec.ValidationError, a ValueError, for what is none."""
-    return READ.decode(data)
+    return COMMAND_DECODER.decode(data)
 
 
-READ: msgspec.msgpack.Decoder[Command] = msgspec.msgpack.Decoder(Command)
+COMMAND_DECODER: msgspec.msgpack.Decoder[Command] = msgspec.msgpack.Decoder(Command)
 
 
-class Duties:
+class DutyTable:
     """`apply` in the order of the log."""
 
     def __init__(self) -> None:
@@ -124,119 +135,146 @@
         self.duties: dict[str, Duty] = {}
 
     def dump(self) -> bytes:
-        return msgspec.msgpack.encode(State(self.sessions, self.duties))
+        return msgspec.msgpack.encode(DutyTableState(self.sessions, self.duties))
 
     def load(self, data: bytes) -> None:
         """Raises msgspec.ValidationError for what is no dump."""
-        state: State = msgspec.msgpack.decode(data, type=State)
+        state: DutyTableState = msgspec.msgpack.decode(data, type=DutyTableState)
         self.sessions, self.duties = state.sessions, state.duties
 
-    def session(self, member: str, life: int) -> Session | None:
+    def open_session(self, member: str, incarnation: int) -> Session | None:
         """The open one of that life."""
-        found = self.sessions.get(member)
-        return found if found is not None and found.open and found.life == life else None
+        session = self.sessions.get(member)
+        return (
+            session if session is not None and session.open and session.incarnation == incarnation else None
+        )
 
     def apply(self, index: int, command: Command) -> bool:
         """Whether it changed anything. Acts and requests change nothing of who holds what: they are for
         `Acts`."""
-        if isinstance(command, Word):
-            return self.word(command)
-        if isinstance(command, End):
-            session = self.session(command.member, command.life)
-            if session is None or session.number != command.number:
+        if isinstance(command, RenewSession):
+            return self.apply_renewal(command)
+        if isinstance(command, EndSession):
+            session = self.open_session(command.member, command.incarnation)
+            if session is None or session.sequence != command.sequence:
                 return False
-            self.close(command.member, session)
-        elif isinstance(command, Grant):
+            self.close_session(command.member, session)
+        elif isinstance(command, GrantDuty):
             duty = self.duties.get(command.duty)
-            if duty is None or duty.holder or duty.gone or not self.able(command, command.duty):
+            if duty is None or duty.holder or duty.retired or not self.can_take(command, command.duty):
                 return False
-            duty.holder, duty.life, duty.token = command.member, command.life, index
-        elif isinstance(command, Heir):
+            duty.holder, duty.holder_incarnation, duty.token = command.member, command.incarnation, index
+        elif isinstance(command, AssignSuccessor):
             duty = self.duties.get(command.duty)
-            if duty is None or not duty.holder or duty.token != command.token or duty.heir or duty.gone:
+            if (
+                duty is None
+                or not duty.holder
+                or duty.token != command.token
+                or duty.successor
+                or duty.retired
+            ):
                 return False
-            if command.member == duty.holder or not self.able(command, command.duty):
+            if command.member == duty.holder or not self.can_take(command, command.duty):
                 return False
-            duty.heir, duty.heir_life, duty.heir_token = command.member, command.life, index
-        elif isinstance(command, Define):
-            self.define(command)
+            duty.successor, duty.successor_incarnation, duty.successor_token = (
+                command.member,
+                command.incarnation,
+                index,
+            )
+        elif isinstance(command, DefineDuties):
+            self.apply_definition(command)
         else:
             return False
         return True
 
-    def rightful(self, name: str, token: int) -> bool:
+    def admit_token(self, name: str, token: int) -> bool:
         """Whether an entry that is applied now under that token counts. Under an older one than an entry
         before it had, it does not. To be asked once for each such entry."""
         duty = self.duties.get(name)
         if duty is None or not duty.holder or token < duty.fence:
             return False
-        if token != duty.token and not (duty.heir and token == duty.heir_token):
+        if token != duty.token and not (duty.successor and token == duty.successor_token):
             return False
         duty.fence = token
         return True
 
-    def able(self, to: Grant | Heir, duty: str) -> bool:
-        session = self.session(to.member, to.life)
-        return session is not None and session.weight > 0 and duty not in session.cannot
-
-    def word(self, word: Word) -> bool:
-        cannot = {duty: why[:MOST_REASON] for duty, why in word.cannot.items() if duty in self.duties}
-        old = self.sessions.get(word.member)
-        if old is not None and old.life == word.life and word.number <= old.number:
+    def can_take(self, to: GrantDuty | AssignSuccessor, duty: str) -> bool:
+        session = self.open_session(to.member, to.incarnation)
+        return session is not None and session.weight > 0 and duty not in session.unavailable
+
+    def apply_renewal(self, renewal: RenewSession) -> bool:
+        unavailable = {
+            duty: reason[:MAX_REASON_CHARS]
+            for duty, reason in renewal.unavailable.items()
+            if duty in self.duties
+        }
+        session = self.sessions.get(renewal.member)
+        if (
+            session is not None
+            and session.incarnation == renewal.incarnation
+            and renewal.sequence <= session.sequence
+        ):
             return False
-        if old is None or not old.open:
-            if word.leaves or not self.room(word.member):
+        if session is None or not session.open:
+            if renewal.leaving or not self.make_room(renewal.member):
                 return False
-            self.sessions[word.member] = Session(word.life, word.number, word.weight, cannot)
+            self.sessions[renewal.member] = Session(
+                renewal.incarnation, renewal.sequence, renewal.weight, unavailable
+            )
             return True
-        if old.life != word.life:
+        if session.incarnation != renewal.incarnation:
             return False  # its life before may still act: not before its session has ended
-        old.number, old.weight, old.cannot = word.number, word.weight, cannot
-        if word.leaves:
-            self.close(word.member, old)
+        session.sequence, session.weight, session.unavailable = renewal.sequence, renewal.weight, unavailable
+        if renewal.leaving:
+            self.close_session(renewal.member, session)
             return True
         for name, duty in self.duties.items():
-            given = word.gives.get(name, 0)
-            if duty.heir == word.member and (name in cannot or given == duty.heir_token):
-                duty.heir = ""
-            if duty.holder == word.member and (name in cannot or given == duty.token):
-                self.free(name, duty)
-        self.sweep()
+            released = renewal.released.get(name, 0)
+            if duty.successor == renewal.member and (name in unavailable or released == duty.successor_token):
+                duty.successor = ""
+            if duty.holder == renewal.member and (name in unavailable or released == duty.token):
+                self.release_duty(name, duty)
+        self.remove_retired()
         return True
 
-    def room(self, member: str) -> bool:
+    def make_room(self, member: str) -> bool:
         """For one more session; an ended one goes for it."""
-        if member in self.sessions or len(self.sessions) < MOST_SESSIONS:
+        if member in self.sessions or len(self.sessions) < MAX_SESSIONS:
             self.sessions.pop(member, None)
-            return len(member) <= MOST_NAME
-        ended = next((m for m, s in self.sessions.items() if not s.open), None)
+            return len(member) <= MAX_NAME_CHARS
+        ended = next((m for m, session in self.sessions.items() if not session.open), None)
         if ended is not None:
             del self.sessions[ended]
-        return ended is not None and len(member) <= MOST_NAME
+        return ended is not None and len(member) <= MAX_NAME_CHARS
 
-    def close(self, member: str, session: Session) -> None:
+    def close_session(self, member: str, session: Session) -> None:
         session.open = False
         for name, duty in self.duties.items():
-            if duty.heir == member:
-                duty.heir = ""
+            if duty.successor == member:
+                duty.successor = ""
             if duty.holder == member:
-                self.free(name, duty)
-        self.sweep()
+                self.release_duty(name, duty)
+        self.remove_retired()
 
-    def free(self, name: str, duty: Duty) -> None:
+    def release_duty(self, name: str, duty: Duty) -> None:
         duty.holder = ""
-        if duty.heir:
-            duty.holder, duty.life, duty.token, duty.heir = duty.heir, duty.heir_life, duty.heir_token, ""
-
-    def sweep(self) -> None:
-        for name in [n for n, d in self.duties.items() if d.gone and not d.holder]:
+        if duty.successor:
+            duty.holder, duty.holder_incarnation, duty.token, duty.successor = (
+                duty.successor,
+                duty.successor_incarnation,
+                duty.successor_token,
+                "",
+            )
+
+    def remove_retired(self) -> None:
+        for name in [n for n, d in self.duties.items() if d.retired and not d.holder]:
             del self.duties[name]
 
-    def define(self, command: Define) -> None:
-        wanted = [name for name in command.duties if len(name) <= MOST_NAME]
+    def apply_definition(self, command: DefineDuties) -> None:
+        wanted = [name for name in command.duties if len(name) <= MAX_NAME_CHARS]
         for name, duty in self.duties.items():
-            duty.gone = name not in wanted
-        self.sweep()
+            duty.retired = name not in wanted
+        self.remove_retired()
         for name in wanted:
-            if name not in self.duties and len(self.duties) < MOST_DUTIES:
+            if name not in self.duties and len(self.duties) < MAX_DUTIES:
                 self.duties[name] = Duty()
--- a/harrieryoke/council/decide/grants.py
+++ b/harrieryoke/council/decide/grants.py
@@ -14,29 +14,29 @@
 import msgspec
 
 from .rounds import (
-    MOST_EACH,
-    MOST_TRIES,
-    MOST_TURNS,
-    Back,
+    MAX_OPEN_PER_MEMBER,
+    MAX_RUNNING_TURNS,
+    MAX_TRIES,
+    CompleteTurn,
     Counts,
-    Done,
-    Given,
-    GiveUp,
-    Rounds,
-    Turn,
-    Want,
+    GrantTurn,
+    HolderCommand,
+    ReconciliationRounds,
+    RequestTurn,
+    ReturnTurn,
+    RevokeTurn,
     encode,
 )
 
-MOST_WISHES = 1024  # of one member, that wait for room among what is open
-AGAIN_MOST = 16  # times `repeat_ms`, the longest pause between two tries to say a thing
+MAX_PENDING_REQUESTS = 1024  # of one member, that wait for room among what is open
+MAX_BACKOFF_FACTOR = 16  # times `repeat_ms`, the longest pause between two tries to say a thing
 
 
-class PaceError(ValueError):
+class TurnSettingsError(ValueError):
     """A key that can't be used; the message begins with its name."""
 
 
-class Pace(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class TurnSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """How the holder conducts, and how members ask. The holder's own file counts for giving turns."""
 
     at_once: int = 2  # turns at one time
@@ -49,213 +49,242 @@
     def check(self, table: str) -> None:
         """Raises PaceError."""
         bounds: tuple[tuple[str, float, float], ...] = (
-            ("at_once", 1, MOST_TURNS),
+            ("at_once", 1, MAX_RUNNING_TURNS),
             ("turn_ms", 1000, 3.6e6),
-            ("tries", 1, MOST_TRIES),
+            ("tries", 1, MAX_TRIES),
             ("again_ms", 0, 3.6e6),
             ("spread_ms", 0, 600_000),
             ("repeat_ms", 100, 60_000),
         )
         for key, least, most in bounds:
             if not least <= getattr(self, key) <= most:
-                raise PaceError(f"{table}.{key}: {least:g} to {most:g} is wanted")
+                raise TurnSettingsError(f"{table}.{key}: {least:g} to {most:g} is wanted")
 
 
 @dataclass(slots=True)
-class Seen:
+class ObservedRound:
     """Of an open round: since when it is at this turn or try."""
 
     turn: int
     tries: int
-    at: float
+    since: float
 
 
-class Conductor:
+class TurnScheduler:
     """Of who holds the duty. `turn` after entries were applied, and at `due`."""
 
-    def __init__(self, rounds: Rounds, pace: Pace) -> None:
-        self.rounds, self.pace = rounds, pace
-        self.seen: dict[tuple[str, int], Seen] = {}
-        self.proposed: dict[Given, float] = {}
-        self.due: float | None = None  # when something is to be done next, if nothing is applied before
+    def __init__(self, rounds: ReconciliationRounds, settings: TurnSettings) -> None:
+        self.rounds, self.settings = rounds, settings
+        self.observed: dict[tuple[str, int], ObservedRound] = {}
+        self.proposed: dict[HolderCommand, float] = {}
+        self.wake_at: float | None = None  # when something is to be done next, if nothing is applied before
 
-    def turn(self, now: float, token: int) -> list[bytes]:
+    def tick(self, now: float, token: int) -> list[bytes]:
         """The acts to propose under `token`; 0: this member does not act on the duty."""
-        self.due = None
+        self.wake_at = None
         if not token:
-            self.seen.clear()
+            self.observed.clear()
             self.proposed.clear()
             return []
-        self.note(now)
-        wanted = [*self.overdue(now), *self.next(now)]
-        self.proposed = {given: self.proposed.get(given, float("-inf")) for given in wanted}
-        fresh = [given for given, at in self.proposed.items() if now >= at + self.pace.repeat_ms]
-        self.proposed.update((given, now) for given in fresh)
-        for at in self.proposed.values():
-            self.wake(at + self.pace.repeat_ms)
-        return [encode(given) for given in fresh]
-
-    def wake(self, at: float) -> None:
-        self.due = at if self.due is None else min(self.due, at)
-
-    def note(self, now: float) -> None:
+        self.observe_rounds(now)
+        commands = [*self.overdue_turns(now), *self.next_grants(now)]
+        self.proposed = {command: self.proposed.get(command, float("-inf")) for command in commands}
+        due_commands = [
+            command
+            for command, last_sent in self.proposed.items()
+            if now >= last_sent + self.settings.repeat_ms
+        ]
+        self.proposed.update((command, now) for command in due_commands)
+        for last_sent in self.proposed.values():
+            self.schedule_wake(last_sent + self.settings.repeat_ms)
+        return [encode(command) for command in due_commands]
+
+    def schedule_wake(self, due_at: float) -> None:
+        self.wake_at = due_at if self.wake_at is None else min(self.wake_at, due_at)
+
+    def observe_rounds(self, now: float) -> None:
         """Only rounds that have their turn or had one: of the others no time counts."""
-        had, self.seen = self.seen, {}
-        for member, mine in self.rounds.open.items():
-            for period, round in mine.items():
-                if not round.turn and not round.tries:
+        previous, self.observed = self.observed, {}
+        for member, member_rounds in self.rounds.open.items():
+            for period, open_round in member_rounds.items():
+                if not open_round.turn and not open_round.tries:
                     continue
-                seen = had.get((member, period))
-                if seen is None or (seen.turn, seen.tries) != (round.turn, round.tries):
-                    seen = Seen(round.turn, round.tries, now)
-                self.seen[member, period] = seen
+                observed = previous.get((member, period))
+                if observed is None or (observed.turn, observed.tries) != (open_round.turn, open_round.tries):
+                    observed = ObservedRound(open_round.turn, open_round.tries, now)
+                self.observed[member, period] = observed
 
-    def overdue(self, now: float) -> list[Given]:
-        out: list[Given] = []
+    def overdue_turns(self, now: float) -> list[HolderCommand]:
+        commands: list[HolderCommand] = []
         for (member, period), turn in self.rounds.running.items():
-            seen = self.seen[member, period]
-            if now >= seen.at + self.pace.turn_ms:
-                out.append(GiveUp(member, period, turn, seen.tries + 1 >= self.pace.tries))
+            observed = self.observed[member, period]
+            if now >= observed.since + self.settings.turn_ms:
+                commands.append(RevokeTurn(member, period, turn, observed.tries + 1 >= self.settings.tries))
             else:
-                self.wake(seen.at + self.pace.turn_ms)
-        return out
+                self.schedule_wake(observed.since + self.settings.turn_ms)
+        return commands
 
-    def next(self, now: float) -> list[Given]:
+    def next_grants(self, now: float) -> list[HolderCommand]:
         """The first in the line of each member that has no turn now; so many as there is room for."""
-        room = self.pace.at_once - len(self.rounds.running)
-        if room <= 0:
+        free_turns = self.settings.at_once - len(self.rounds.running)
+        if free_turns <= 0:
             return []
         busy = {member for member, _ in self.rounds.running}
-        line: list[tuple[int, int, str]] = []
-        for member, mine in self.rounds.open.items():
+        candidates: list[tuple[int, int, str]] = []
+        for member, member_rounds in self.rounds.open.items():
             if member not in busy:
-                able = [(r.place, p) for p, r in mine.items() if not r.tries or self.rested(member, p, now)]
-                line += [(*min(able), member)] if able else []
-        return [Turn(member, period, self.pace.at_once) for _, period, member in sorted(line)[:room]]
-
-    def rested(self, member: str, period: int, now: float) -> bool:
-        at = self.seen[member, period].at + self.pace.again_ms
-        if now < at:
-            self.wake(at)
-        return now >= at
+                eligible = [
+                    (r.queue_position, p)
+                    for p, r in member_rounds.items()
+                    if not r.tries or self.retry_due(member, p, now)
+                ]
+                candidates += [(*min(eligible), member)] if eligible else []
+        return [
+            GrantTurn(member, period, self.settings.at_once)
+            for _, period, member in sorted(candidates)[:free_turns]
+        ]
+
+    def retry_due(self, member: str, period: int, now: float) -> bool:
+        due_at = self.observed[member, period].since + self.settings.again_ms
+        if now < due_at:
+            self.schedule_wake(due_at)
+        return now >= due_at
 
 
 @dataclass(slots=True)
-class Wish:
-    mark: int
-    at: float  # when to say so
-    pause: float
+class PendingRequest:
+    request_id: int
+    send_at: float  # when to say so
+    backoff_ms: float
 
 
 @dataclass(slots=True)
-class Held:
+class HeldTurn:
     """A turn of this member. `counts`: it is done."""
 
     turn: int
-    until: float
-    said: float = float("-inf")
+    expires: float
+    last_sent: float = float("-inf")
     counts: Counts | None = None
-    back: bool = False  # it can't be done now
+    returned: bool = False  # it can't be done now
 
 
-class Own:
+class MemberTurns:
     """A member's own wishes and turns. `turn` after entries were applied, and at `due`. What `ready` holds is
     begun by whoever reconciles, each turn once; `holds` is asked before each of its messages."""
 
-    def __init__(self, member: str, rounds: Rounds, pace: Pace, seed: int) -> None:
-        self.member, self.rounds, self.pace, self.rng = member, rounds, pace, Random(seed)
-        self.wishes: dict[int, Wish] = {}  # by period
-        self.held: dict[int, Held] = {}  # by period
+    def __init__(self, member: str, rounds: ReconciliationRounds, settings: TurnSettings, seed: int) -> None:
+        self.member, self.rounds, self.settings, self.rng = member, rounds, settings, Random(seed)
+        self.pending: dict[int, PendingRequest] = {}  # by period
+        self.held: dict[int, HeldTurn] = {}  # by period
         self.ready: deque[tuple[int, int]] = deque()  # period and turn
         self.failed: list[int] = []  # periods, for the caller to tell and take away
-        self.able = False  # the collector can be reached
-        self.due: float | None = None
+        self.collector_reachable = False  # the collector can be reached
+        self.wake_at: float | None = None
 
-    def want(self, now: float, period: int) -> bool:
+    def request(self, now: float, period: int) -> bool:
         """False: there are too many."""
-        if period not in self.wishes:
-            if len(self.wishes) >= MOST_WISHES:
+        if period not in self.pending:
+            if len(self.pending) >= MAX_PENDING_REQUESTS:
                 return False
-            self.wish(now, period, self.rng.getrandbits(62))
+            self.add_request(now, period, self.rng.getrandbits(62))
         return True
 
-    def wish(self, now: float, period: int, mark: int) -> None:
+    def add_request(self, now: float, period: int, request_id: int) -> None:
         # guards the council against all members at one moment: periods end everywhere by the same clock
-        self.wishes[period] = Wish(mark, now + self.rng.random() * self.pace.spread_ms, self.pace.repeat_ms)
+        self.pending[period] = PendingRequest(
+            request_id, now + self.rng.random() * self.settings.spread_ms, self.settings.repeat_ms
+        )
 
-    def can(self, able: bool) -> None:
+    def set_collector_reachable(self, reachable: bool) -> None:
         """Turns that are not done go back where it can't."""
-        self.able = able
-        for held in self.held.values():
-            held.back = held.back or not able
+        self.collector_reachable = reachable
+        for held_turn in self.held.values():
+            held_turn.returned = held_turn.returned or not reachable
 
-    def done(self, period: int, turn: int, counts: Counts) -> None:
-        held = self.held.get(period)
-        if held is not None and held.turn == turn:
-            held.counts = counts
+    def complete(self, period: int, turn: int, counts: Counts) -> None:
+        held_turn = self.held.get(period)
+        if held_turn is not None and held_turn.turn == turn:
+            held_turn.counts = counts
 
     def holds(self, now: float, period: int, turn: int) -> bool:
         """Whether it may go on. By its own clock too: one that hears no entry any more stops all the same."""
-        round = self.rounds.open.get(self.member, {}).get(period)
-        held = self.held.get(period)
-        if round is None or held is None or not round.turn == held.turn == turn:
+        open_round = self.rounds.open.get(self.member, {}).get(period)
+        held_turn = self.held.get(period)
+        if open_round is None or held_turn is None or not open_round.turn == held_turn.turn == turn:
             return False
-        return now < held.until and not held.back
+        return now < held_turn.expires and not held_turn.returned
 
-    def turn(self, now: float) -> list[bytes]:
+    def tick(self, now: float) -> list[bytes]:
         """The requests to make."""
-        self.due = None
-        mine = self.rounds.open.get(self.member, {})
-        self.note(now)
-        out: list[Want | Done | Back] = []
-        for period, held in self.held.items():
-            if (held.counts is not None or held.back) and self.may(now, held.said + self.pace.repeat_ms):
-                held.said = now
-                self.wake(now + self.pace.repeat_ms)
-                counts = held.counts
+        self.wake_at = None
+        member_rounds = self.rounds.open.get(self.member, {})
+        self.observe_rounds(now)
+        commands: list[RequestTurn | CompleteTurn | ReturnTurn] = []
+        for period, held_turn in self.held.items():
+            if (held_turn.counts is not None or held_turn.returned) and self.is_due(
+                now, held_turn.last_sent + self.settings.repeat_ms
+            ):
+                held_turn.last_sent = now
+                self.schedule_wake(now + self.settings.repeat_ms)
+                counts = held_turn.counts
                 if counts is not None:
-                    out.append(Done(self.member, period, held.turn, counts))
+                    commands.append(CompleteTurn(self.member, period, held_turn.turn, counts))
                 else:
-                    out.append(Back(self.member, period, held.turn))
-        room = MOST_EACH - len(mine)
-        for period, wish in list(self.wishes.items()) if self.able else []:
-            if period in mine or room <= 0:
+                    commands.append(ReturnTurn(self.member, period, held_turn.turn))
+        free_turns = MAX_OPEN_PER_MEMBER - len(member_rounds)
+        for period, pending_request in list(self.pending.items()) if self.collector_reachable else []:
+            if period in member_rounds or free_turns <= 0:
                 continue
-            room -= 1
-            if self.may(now, wish.at):
-                wish.at = now + wish.pause * self.rng.uniform(1, 2)
-                wish.pause = min(2 * wish.pause, AGAIN_MOST * self.pace.repeat_ms)
-                self.wake(wish.at)
-                out.append(Want(self.member, period, wish.mark))
-        return [encode(asked) for asked in out]
-
-    def may(self, now: float, at: float) -> bool:
-        if now < at:
-            self.wake(at)
-        return now >= at
-
-    def wake(self, at: float) -> None:
-        self.due = at if self.due is None else min(self.due, at)
-
-    def note(self, now: float) -> None:
+            free_turns -= 1
+            if self.is_due(now, pending_request.send_at):
+                pending_request.send_at = now + pending_request.backoff_ms * self.rng.uniform(1, 2)
+                pending_request.backoff_ms = min(
+                    2 * pending_request.backoff_ms, MAX_BACKOFF_FACTOR * self.settings.repeat_ms
+                )
+                self.schedule_wake(pending_request.send_at)
+                commands.append(RequestTurn(self.member, period, pending_request.request_id))
+        return [encode(request) for request in commands]
+
+    def is_due(self, now: float, due_at: float) -> bool:
+        if now < due_at:
+            self.schedule_wake(due_at)
+        return now >= due_at
+
+    def schedule_wake(self, due_at: float) -> None:
+        self.wake_at = due_at if self.wake_at is None else min(self.wake_at, due_at)
+
+    def observe_rounds(self, now: float) -> None:
         """What was agreed since the last time."""
-        mine = self.rounds.open.get(self.member, {})
-        for period in [p for p, held in self.held.items() if p not in mine or mine[p].turn != held.turn]:
+        member_rounds = self.rounds.open.get(self.member, {})
+        for period in [
+            p
+            for p, held_turn in self.held.items()
+            if p not in member_rounds or member_rounds[p].turn != held_turn.turn
+        ]:
             del self.held[period]
-        for period, round in mine.items():
-            if period not in self.wishes:
-                self.wish(now, period, round.mark)  # of this name's process before, or for want of room here
-            self.wishes[period].mark = round.mark
-            if round.turn and period not in self.held:
-                self.held[period] = Held(round.turn, now + self.pace.turn_ms, back=not self.able)
-                self.ready.append((period, round.turn))
-        for period, wish in list(self.wishes.items()):
+        for period, open_round in member_rounds.items():
+            if period not in self.pending:
+                self.add_request(
+                    now, period, open_round.request_id
+                )  # of this name's process before, or for want of room here
+            self.pending[period].request_id = open_round.request_id
+            if open_round.turn and period not in self.held:
+                self.held[period] = HeldTurn(
+                    open_round.turn, now + self.settings.turn_ms, returned=not self.collector_reachable
+                )
+                self.ready.append((period, open_round.turn))
+        for period, pending_request in list(self.pending.items()):
             ended = self.rounds.ended.get((self.member, period))
-            if period not in mine and ended is not None and ended.mark == wish.mark:
-                del self.wishes[period]
+            if (
+                period not in member_rounds
+                and ended is not None
+                and ended.request_id == pending_request.request_id
+            ):
+                del self.pending[period]
                 self.failed += [period] if ended.counts is None else []
         self.ready = deque(each for each in self.ready if self.holds(now, *each))
 
-    def take(self) -> tuple[int, int] | None:
+    def take_ready(self) -> tuple[int, int] | None:
         """A turn to be begun now."""
         return self.ready.popleft() if self.ready else None
--- a/harrieryoke/council/decide/lease_manager.py
+++ b/harrieryoke/council/decide/lease_manager.py
@@ -7,75 +7,89 @@
 
 import xxhash
 
-from .duties import Command, Duties, End, Grant, Heir, Session
+from .duties import AssignSuccessor, Command, DutyTable, EndSession, GrantDuty, Session
 from .lease import Lease
 
-MOST = 64  # proposals of one turn; the rest come with the next
+MAX_PROPOSALS = 64  # proposals of one turn; the rest come with the next
 
 
-def score(duty: str, member: str, weight: float) -> float:
+def rendezvous_score(duty: str, member: str, weight: float) -> float:
     """Weighted rendezvous (Thaler, Ravishankar 1998; Schindelhauer, Schomaker 2005): the member with the
     highest does the duty. `weight` above 0."""
-    drawn = (xxhash.xxh3_64_intdigest(f"{duty}\0{member}".encode()) + 0.5) / 2**64
-    return -weight / log(drawn)
+    uniform = (xxhash.xxh3_64_intdigest(f"{duty}\0{member}".encode()) + 0.5) / 2**64
+    return -weight / log(uniform)
 
 
-def best(duty: str, sessions: dict[str, Session]) -> str | None:
+def preferred_member(duty: str, sessions: dict[str, Session]) -> str | None:
     """Of those that are open and can."""
-    able = [m for m, s in sessions.items() if s.open and s.weight > 0 and duty not in s.cannot]
-    return max(able, key=lambda m: (score(duty, m, sessions[m].weight), m)) if able else None
+    candidates = [m for m, s in sessions.items() if s.open and s.weight > 0 and duty not in s.unavailable]
+    return (
+        max(candidates, key=lambda m: (rendezvous_score(duty, m, sessions[m].weight), m))
+        if candidates
+        else None
+    )
 
 
-class Steward:
+class LeaseManager:
     """`turn` after entries were applied, on every member, with a time that was read after that: one read
     before would count a lease from before it was asked for. Times are milliseconds of the own monotonic
     clock.
     `settle`: for how long a member has been there before a healthy holder passes anything on to it."""
 
-    def __init__(self, lease: Lease, duties: Duties, settle: float = 10_000.0) -> None:
-        self.lease, self.duties, self.settle = lease, duties, settle
-        self.heard: dict[str, tuple[int, int, float]] = {}  # by member: life, last word, applied when
-        self.since: dict[str, tuple[int, float]] = {}  # by member: its life, and when it was first seen
+    def __init__(self, lease: Lease, duties: DutyTable, settle_ms: float = 10_000.0) -> None:
+        self.lease, self.duties, self.settle_ms = lease, duties, settle_ms
+        self.last_renewals: dict[str, tuple[int, int, float]] = {}  # by member: life, last word, applied when
+        self.session_starts: dict[
+            str, tuple[int, float]
+        ] = {}  # by member: its life, and when it was first seen
         self.proposed: dict[Command, float] = {}
 
-    def turn(self, now: float, leads: bool) -> list[Command]:
-        self.note(now)
-        if not leads:
+    def tick(self, now: float, is_leader: bool) -> list[Command]:
+        self.observe_sessions(now)
+        if not is_leader:
             self.proposed.clear()
             return []
-        again = self.lease.ms / 5
-        self.proposed = {command: at for command, at in self.proposed.items() if now - at < again}
-        fresh = [c for c in self.due(now) if c not in self.proposed][:MOST]
-        self.proposed.update((command, now) for command in fresh)
-        return fresh
+        repeat_ms = self.lease.duration_ms / 5
+        self.proposed = {
+            command: seen_at for command, seen_at in self.proposed.items() if now - seen_at < repeat_ms
+        }
+        new_commands = [c for c in self.due_commands(now) if c not in self.proposed][:MAX_PROPOSALS]
+        self.proposed.update((command, now) for command in new_commands)
+        return new_commands
 
-    def note(self, now: float) -> None:
+    def observe_sessions(self, now: float) -> None:
         """Guards against counting a lease from before its word was applied here: what is noted is later."""
-        there = {m: s for m, s in self.duties.sessions.items() if s.open}
-        for gone in self.heard.keys() - there.keys():
-            del self.heard[gone], self.since[gone]
-        for member, session in there.items():
-            if self.heard.get(member, (0, 0))[:2] != (session.life, session.number):
-                self.heard[member] = session.life, session.number, now
-            if self.since.get(member, (0,))[0] != session.life:
-                self.since[member] = session.life, now
+        open_sessions = {m: s for m, s in self.duties.sessions.items() if s.open}
+        for ended in self.last_renewals.keys() - open_sessions.keys():
+            del self.last_renewals[ended], self.session_starts[ended]
+        for member, session in open_sessions.items():
+            if self.last_renewals.get(member, (0, 0))[:2] != (session.incarnation, session.sequence):
+                self.last_renewals[member] = session.incarnation, session.sequence, now
+            if self.session_starts.get(member, (0,))[0] != session.incarnation:
+                self.session_starts[member] = session.incarnation, now
 
-    def due(self, now: float) -> list[Command]:
+    def due_commands(self, now: float) -> list[Command]:
         ends: list[Command] = [
-            End(member, life, number)
-            for member, (life, number, at) in self.heard.items()
-            if now - at >= self.lease.over()
+            EndSession(member, incarnation, sequence)
+            for member, (incarnation, sequence, seen_at) in self.last_renewals.items()
+            if now - seen_at >= self.lease.expiry_bound_ms()
         ]
-        out, sessions = ends, self.duties.sessions
-        settled = {m: s for m, s in sessions.items() if s.open and now - self.since[m][1] >= self.settle}
+        commands, sessions = ends, self.duties.sessions
+        settled = {
+            m: s for m, s in sessions.items() if s.open and now - self.session_starts[m][1] >= self.settle_ms
+        }
         for name, duty in self.duties.duties.items():
-            if duty.gone or (duty.holder and duty.heir):
+            if duty.retired or (duty.holder and duty.successor):
                 continue
-            drains = bool(duty.holder) and sessions[duty.holder].weight <= 0
-            among = settled if duty.holder and not drains else sessions
-            to = best(name, {**among, **{m: sessions[m] for m in [duty.holder] if m}})
-            if to is None or to == duty.holder:
+            holder_drains = bool(duty.holder) and sessions[duty.holder].weight <= 0
+            eligible = settled if duty.holder and not holder_drains else sessions
+            target = preferred_member(name, {**eligible, **{m: sessions[m] for m in [duty.holder] if m}})
+            if target is None or target == duty.holder:
                 continue
-            life = sessions[to].life
-            out.append(Heir(name, duty.token, to, life) if duty.holder else Grant(name, to, life))
-        return out
+            incarnation = sessions[target].incarnation
+            commands.append(
+                AssignSuccessor(name, duty.token, target, incarnation)
+                if duty.holder
+                else GrantDuty(name, target, incarnation)
+            )
+        return commands
--- a/harrieryoke/council/decide/log.py
+++ b/harrieryoke/council/decide/log.py
@@ -5,101 +5,109 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from .messages import Entry, Hard, Members, Seat, Snapshot, Written
+from .messages import Configuration, Entry, HardState, PersistentRecord, ReplicaId, Snapshot
 
 
 @dataclass(slots=True)
-class Log:
+class RaftLog:
     """Entries after `base`; those up to it are in a snapshot. Index and term of nothing are 0."""
 
-    base: int = 0
+    base_index: int = 0
     base_term: int = 0
     entries: list[Entry] = field(default_factory=list)
 
-    def last(self) -> int:
-        return self.base + len(self.entries)
+    def last_index(self) -> int:
+        return self.base_index + len(self.entries)
 
     def last_term(self) -> int:
         return self.entries[-1].term if self.entries else self.base_term
 
-    def term(self, index: int) -> int | None:
+    def term_at(self, index: int) -> int | None:
         """None for what is not here."""
-        if index == self.base:
+        if index == self.base_index:
             return self.base_term
-        return self.entries[index - self.base - 1].term if self.base < index <= self.last() else None
+        return (
+            self.entries[index - self.base_index - 1].term
+            if self.base_index < index <= self.last_index()
+            else None
+        )
 
-    def at(self, index: int) -> Entry:
-        return self.entries[index - self.base - 1]
+    def entry(self, index: int) -> Entry:
+        return self.entries[index - self.base_index - 1]
 
-    def batch(self, begin: int, most: int, most_bytes: int) -> tuple[Entry, ...]:
+    def entries_from(self, first_index: int, max_entries: int, max_bytes: int) -> tuple[Entry, ...]:
         """Entries from `begin` on: at least one where there is one, else no more than either bound."""
-        out, size = list[Entry](), 0
-        for entry in self.entries[begin - self.base - 1 : begin - self.base - 1 + most]:
-            size += entry.size()
-            if out and size > most_bytes:
+        batch, size = list[Entry](), 0
+        for entry in self.entries[
+            first_index - self.base_index - 1 : first_index - self.base_index - 1 + max_entries
+        ]:
+            size += entry.size_bytes()
+            if batch and size > max_bytes:
                 break
-            out.append(entry)
-        return tuple(out)
+            batch.append(entry)
+        return tuple(batch)
 
-    def put(self, entry: Entry) -> None:
+    def truncate_and_append(self, entry: Entry) -> None:
         """At its index; what was there and behind it goes. Raises ValueError for a hole."""
-        if not self.base < entry.index <= self.last() + 1:
-            raise ValueError(f"entry {entry.index} behind {self.last()}, after a snapshot up to {self.base}")
-        del self.entries[entry.index - self.base - 1 :]
+        if not self.base_index < entry.index <= self.last_index() + 1:
+            raise ValueError(
+                f"entry {entry.index} behind {self.last_index()}, after a snapshot up to {self.base_index}"
+            )
+        del self.entries[entry.index - self.base_index - 1 :]
         self.entries.append(entry)
 
-    def conflict(self, index: int) -> int:
+    def conflict_hint(self, index: int) -> int:
         """Where a leader may try after `index` did not fit: before the term that is there (Raft, 5.3)."""
-        if index > self.last():
-            return self.last()
-        term = self.term(index)
-        while index > self.base and self.term(index) == term:
+        if index > self.last_index():
+            return self.last_index()
+        term = self.term_at(index)
+        while index > self.base_index and self.term_at(index) == term:
             index -= 1
         return index
 
-    def install(self, snapshot: Snapshot) -> bool:
+    def install_snapshot(self, snapshot: Snapshot) -> bool:
         """Entries behind the snapshot stay where they fit to it; else all go, and False."""
-        fits = self.term(snapshot.index) == snapshot.term
-        self.entries = self.entries[snapshot.index - self.base :] if fits else []
-        self.base, self.base_term = snapshot.index, snapshot.term
-        return fits
+        matches = self.term_at(snapshot.index) == snapshot.term
+        self.entries = self.entries[snapshot.index - self.base_index :] if matches else []
+        self.base_index, self.base_term = snapshot.index, snapshot.term
+        return matches
 
-    def forget(self, upto: int) -> None:
+    def discard_through(self, index: int) -> None:
         """Those up to `upto`, which a snapshot stands for."""
-        if upto > self.base:
-            term = self.at(upto).term
-            del self.entries[: upto - self.base]
-            self.base, self.base_term = upto, term
+        if index > self.base_index:
+            term = self.entry(index).term
+            del self.entries[: index - self.base_index]
+            self.base_index, self.base_term = index, term
 
 
 @dataclass(slots=True)
-class Kept:
+class PersistentState:
     """What a member had on its disk. `add` in the order of the records."""
 
     term: int = 0
-    vote: Seat | None = None
-    snapshot: Snapshot = field(default_factory=lambda: Snapshot(0, 0, Members()))
-    log: Log = field(default_factory=Log)
+    voted_for: ReplicaId | None = None
+    snapshot: Snapshot = field(default_factory=lambda: Snapshot(0, 0, Configuration()))
+    log: RaftLog = field(default_factory=RaftLog)
 
-    def add(self, record: Written) -> None:
+    def apply_record(self, record: PersistentRecord) -> None:
         """Raises ValueError for an entry that leaves a hole: the disk has lost what was durable."""
-        if isinstance(record, Hard):
-            self.term, self.vote = record.term, record.vote
+        if isinstance(record, HardState):
+            self.term, self.voted_for = record.term, record.vote
         elif isinstance(record, Entry):
-            self.log.put(record)
+            self.log.truncate_and_append(record)
         else:
             self.snapshot = record
-            self.log.install(record)
+            self.log.install_snapshot(record)
 
 
-def kept(records: Iterable[Written]) -> Kept:
-    out = Kept()
+def replay_records(records: Iterable[PersistentRecord]) -> PersistentState:
+    state = PersistentState()
     for record in records:
-        out.add(record)
-    return out
+        state.apply_record(record)
+    return state
 
 
-def founded(first: Iterable[Seat], base: int = 0) -> Snapshot:
+def bootstrap_snapshot(voters: Iterable[ReplicaId], base_index: int = 0) -> Snapshot:
     """The record with which a council begins, on the disk of its first voter. `base`: above every index of
     one that was lost, so that tokens only grow. (Tests found several voters at once with one record.)"""
-    return Snapshot(base, 0, Members(frozenset(first)))
+    return Snapshot(base_index, 0, Configuration(frozenset(voters)))
--- a/harrieryoke/council/decide/membership.py
+++ b/harrieryoke/council/decide/membership.py
@@ -4,46 +4,52 @@
 
 from collections.abc import Iterator
 
-from .messages import Members, Seat
-from .raft import MOST_VOTERS, Agreement
+from .messages import Configuration, ReplicaId
+from .raft import MAX_VOTERS, Raft
 
 
-def due(agreement: Agreement, voters: frozenset[str], known: frozenset[str]) -> Members | Seat | None:
+def next_change(
+    raft: Raft, voters: frozenset[str], known: frozenset[str]
+) -> Configuration | ReplicaId | None:
     """The next configuration, or to whom this leader must hand on first; None for nothing. `voters`: the
     names that shall vote, `known`: all that may be let in. A name that is not known any more is put out."""
-    if not agreement.leads():
+    if not raft.is_established_leader():
         return None
-    for step in steps(agreement, voters, known):
-        if isinstance(step, Seat) or agreement.bears(step):
+    for step in possible_changes(raft, voters, known):
+        if isinstance(step, ReplicaId) or raft.has_responsive_quorum(step):
             return step
     return None
 
 
-def steps(a: Agreement, voters: frozenset[str], known: frozenset[str]) -> Iterator[Members | Seat]:
+def possible_changes(
+    raft: Raft, voters: frozenset[str], known: frozenset[str]
+) -> Iterator[Configuration | ReplicaId]:
     """Those that are wanted, the most urgent first. A new disk of a member gets the old one's place only when
     that has been silent for `silent_ms`: guards against a second process under a name, which would put out
     the first."""
-    now = a.members
-    for seat in sorted(a.knocks):
-        old = now.named(seat.name)
-        if seat.name not in known or old == seat:
+    current = raft.configuration
+    for replica in sorted(raft.join_requests):
+        previous = current.find(replica.name)
+        if replica.name not in known or previous == replica:
             continue
-        if old is None:
-            yield Members(now.voters, now.learners | {seat})
-        elif not a.hears(old, a.told.silent_ms) and (old in now.learners or len(now.voters) > 1):
-            yield Members(now.voters - {old}, now.learners - {old} | {seat})
-    for seat in sorted(now.learners):
-        if seat.name not in known:
-            yield Members(now.voters, now.learners - {seat})
-        elif seat.name in voters and a.caught_up(seat) and len(now.voters) < MOST_VOTERS:
-            yield Members(now.voters | {seat}, now.learners - {seat})
-    if len(now.voters) < min(len(voters) + 1, MOST_VOTERS):
+        if previous is None:
+            yield Configuration(current.voters, current.learners | {replica})
+        elif not raft.is_responsive(previous, raft.settings.silent_ms) and (
+            previous in current.learners or len(current.voters) > 1
+        ):
+            yield Configuration(current.voters - {previous}, current.learners - {previous} | {replica})
+    for replica in sorted(current.learners):
+        if replica.name not in known:
+            yield Configuration(current.voters, current.learners - {replica})
+        elif replica.name in voters and raft.is_caught_up(replica) and len(current.voters) < MAX_VOTERS:
+            yield Configuration(current.voters | {replica}, current.learners - {replica})
+    if len(current.voters) < min(len(voters) + 1, MAX_VOTERS):
         return  # guards against fewer voters than wanted on the way: a replacement comes in first
-    for seat in sorted(now.voters):
-        if seat.name in voters:
+    for replica in sorted(current.voters):
+        if replica.name in voters:
             continue
-        if seat == a.seat:
-            yield from [s for s in a.others() if a.caught_up(s)][:1]
+        if replica == raft.replica:
+            yield from [replica for replica in raft.other_voters() if raft.is_caught_up(replica)][:1]
             continue
-        learns = frozenset({seat} if seat.name in known else ())
-        yield Members(now.voters - {seat}, now.learners | learns)
+        learners = frozenset({replica} if replica.name in known else ())
+        yield Configuration(current.voters - {replica}, current.learners | learners)
--- a/harrieryoke/council/decide/messages.py
+++ b/harrieryoke/council/decide/messages.py
@@ -10,31 +10,31 @@
 
 from msgspec import Struct
 
-HEAD = 64  # bytes counted for an entry beside its data
+ENTRY_OVERHEAD_BYTES = 64  # bytes counted for an entry beside its data
 
 
-class Seat(NamedTuple):
+class ReplicaId(NamedTuple):
     """A member with its disk: `disk` is drawn at random when the disk is first used, so that a member that
     lost it is another seat, whose votes count in no configuration that had the old one."""
 
     name: str
-    disk: int
+    disk_id: int
 
 
-class Members(NamedTuple):
+class Configuration(NamedTuple):
     """A configuration. Learners get the log and count for nothing. No name is in it twice."""
 
-    voters: frozenset[Seat] = frozenset()
-    learners: frozenset[Seat] = frozenset()
+    voters: frozenset[ReplicaId] = frozenset()
+    learners: frozenset[ReplicaId] = frozenset()
 
-    def all(self) -> frozenset[Seat]:
+    def replicas(self) -> frozenset[ReplicaId]:
         return self.voters | self.learners
 
-    def majority(self) -> int:
+    def quorum_size(self) -> int:
         return len(self.voters) // 2 + 1
 
-    def named(self, name: str) -> Seat | None:
-        return next((seat for seat in self.all() if seat.name == name), None)
+    def find(self, name: str) -> ReplicaId | None:
+        return next((replica for replica in self.replicas() if replica.name == name), None)
 
 
 class Entry(Struct, frozen=True):
@@ -44,11 +44,11 @@
     index: int
     term: int
     data: bytes = b""
-    members: Members | None = None
+    members: Configuration | None = None
 
-    def size(self) -> int:
-        seats = 0 if self.members is None else len(self.members.voters) + len(self.members.learners)
-        return HEAD * (1 + seats) + len(self.data)
+    def size_bytes(self) -> int:
+        replicas = 0 if self.members is None else len(self.members.voters) + len(self.members.learners)
+        return ENTRY_OVERHEAD_BYTES * (1 + replicas) + len(self.data)
 
 
 class Snapshot(Struct, frozen=True):
@@ -56,90 +56,100 @@
 
     index: int
     term: int
-    members: Members
+    members: Configuration
     data: bytes = b""
 
 
-class Hard(Struct, frozen=True):
+class HardState(Struct, frozen=True):
     """Term and vote, which are written before anything is said in that term."""
 
     term: int
-    vote: Seat | None
+    vote: ReplicaId | None
 
 
-Written = Hard | Entry | Snapshot
+PersistentRecord = HardState | Entry | Snapshot
 
 
-class AskVote(Struct, frozen=True):
+class RequestVote(Struct, frozen=True):
     term: int
-    last_index: int
-    last_term: int
-    pre: bool = False  # would you vote for me in that term?
-    force: bool = False  # the leader itself has asked me to stand
+    last_log_index: int
+    last_log_term: int
+    pre_vote: bool = False  # would you vote for me in that term?
+    leadership_transfer: bool = False  # the leader itself has asked me to stand
 
 
-class Vote(Struct, frozen=True):
+class RequestVoteResponse(Struct, frozen=True):
     term: int
     granted: bool
-    pre: bool = False
+    pre_vote: bool = False
 
 
-class Append(Struct, frozen=True):
+class AppendEntries(Struct, frozen=True):
     term: int
-    prev: int
-    prev_term: int
+    prev_log_index: int
+    prev_log_term: int
     entries: tuple[Entry, ...]
-    commit: int
+    leader_commit: int
 
 
-class Ack(Struct, frozen=True):
+class AppendEntriesResponse(Struct, frozen=True):
     """`ok`: entries up to `index` are durable here and are the leader's. Else what followed `at` did not fit;
     up to `index` it may."""
 
     term: int
-    ok: bool
+    success: bool
     index: int
-    at: int = 0
+    rejected_index: int = 0
 
 
-class Piece(Struct, frozen=True):
+class InstallSnapshot(Struct, frozen=True):
     """Bytes of a snapshot from `offset` of `total` on. `snapshot.data` is empty in it."""
 
     term: int
     snapshot: Snapshot
     offset: int
-    total: int
+    total_bytes: int
     data: bytes
 
 
-class PieceAck(Struct, frozen=True):
+class InstallSnapshotResponse(Struct, frozen=True):
     term: int
-    index: int
-    want: int  # the offset of the next piece
+    snapshot_index: int
+    next_offset: int  # the offset of the next piece
 
 
-class Now(Struct, frozen=True):
+class TimeoutNow(Struct, frozen=True):
     term: int
 
 
-class Offer(Struct, frozen=True):
+class ForwardProposal(Struct, frozen=True):
     data: bytes
 
 
-class Knock(Struct, frozen=True):
+class JoinRequest(Struct, frozen=True):
     """Of a seat that is in no configuration that it knows."""
 
 
-Message = AskVote | Vote | Append | Ack | Piece | PieceAck | Now | Offer | Knock
+Message = (
+    RequestVote
+    | RequestVoteResponse
+    | AppendEntries
+    | AppendEntriesResponse
+    | InstallSnapshot
+    | InstallSnapshotResponse
+    | TimeoutNow
+    | ForwardProposal
+    | JoinRequest
+)
 
 
-class Send(Struct, frozen=True):
-    to: Seat | None  # None: to each member whose address is known
+class OutgoingMessage(Struct, frozen=True):
+    recipient: ReplicaId | None  # None: to each member whose address is known
     message: Message
 
 
-class Save(Struct, frozen=True):
+class PendingWrite(Struct, frozen=True):
     """To be written in the order of `number`, without a hole."""
 
-    number: int
-    record: Written
+    sequence: int
+    record: PersistentRecord
--- a/harrieryoke/council/decide/raft.py
+++ b/harrieryoke/council/decide/raft.py
@@ -20,40 +20,40 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from .log import Kept
+from .log import PersistentState
 from .messages import (
-    Ack,
-    Append,
-    AskVote,
+    AppendEntries,
+    AppendEntriesResponse,
+    Configuration,
     Entry,
-    Hard,
-    Knock,
-    Members,
+    ForwardProposal,
+    HardState,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+    JoinRequest,
     Message,
-    Now,
-    Offer,
-    Piece,
-    PieceAck,
-    Save,
-    Seat,
-    Send,
+    OutgoingMessage,
+    PendingWrite,
+    PersistentRecord,
+    ReplicaId,
+    RequestVote,
+    RequestVoteResponse,
     Snapshot,
-    Vote,
-    Written,
+    TimeoutNow,
 )
 
-MOST_VOTERS = 7
+MAX_VOTERS = 7
 
 
 class Role(Enum):
     FOLLOWER = "follower"
-    ASKING = "asking"  # whether it would be voted for: pre-vote, 9.6
+    PRE_CANDIDATE = "asking"  # whether it would be voted for: pre-vote, 9.6
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class RaftSettings:
     """Times are milliseconds, sizes bytes. An election begins after `election_ms` to twice that without a
     leader; a leader that does not hear a majority for `election_ms` is none."""
 
@@ -61,523 +61,624 @@
     heartbeat_ms: float = 200.0
     stall_ms: float = 1500.0  # a write that takes longer: somebody else should lead
     silent_ms: float = 10_000.0  # after which a seat may be given to the same member's new disk
-    near: int = 64  # entries that a learner may lack when it is made a voter
-    batch: int = 256  # entries of a message
-    batch_bytes: int = 512 << 10
-    flying: int = 4  # messages with entries to one member that are not answered
-    entry_bytes: int = 256 << 10
-    open_entries: int = 1024  # not committed; beyond them an offer is refused
-    unsaved_bytes: int = 8 << 20  # beyond them a follower drops entries and a leader refuses offers
-    held: int = 4096  # messages that wait for the disk; beyond them the oldest is dropped, as if lost
-    keep: int = 1024  # entries kept behind a snapshot for those who lack a few
-    piece_bytes: int = 256 << 10
-    snapshot_bytes: int = 256 << 20  # a larger one is not taken from a leader
-    knocks: int = 16  # seats remembered that want to be let in
+    max_promotion_lag: int = 64  # entries that a learner may lack when it is made a voter
+    max_batch_entries: int = 256  # entries of a message
+    max_batch_bytes: int = 512 << 10
+    max_inflight_batches: int = 4  # messages with entries to one member that are not answered
+    max_entry_bytes: int = 256 << 10
+    max_uncommitted_entries: int = 1024  # not committed; beyond them an offer is refused
+    max_unwritten_bytes: int = 8 << 20  # beyond them a follower drops entries and a leader refuses offers
+    max_held_messages: int = (
+        4096  # messages that wait for the disk; beyond them the oldest is dropped, as if lost
+    )
+    trailing_entries: int = 1024  # entries kept behind a snapshot for those who lack a few
+    snapshot_chunk_bytes: int = 256 << 10
+    max_snapshot_bytes: int = 256 << 20  # a larger one is not taken from a leader
+    max_join_requests: int = 16  # seats remembered that want to be let in
 
 
 @dataclass(slots=True)
-class Peer:
+class Progress:
     """What a leader knows of another member. `heard` is when it last answered."""
 
-    next: int
-    heard: float
-    match: int = 0
-    flying: deque[int] = field(default_factory=deque)  # last index of each message that is not answered
-    sending: Snapshot | None = None
-    offset: int = 0
+    next_index: int
+    last_response: float
+    match_index: int = 0
+    inflight: deque[int] = field(default_factory=deque)  # last index of each message that is not answered
+    sending_snapshot: Snapshot | None = None
+    snapshot_offset: int = 0
 
 
-class Unsaved(Struct, frozen=True):
+class UnwrittenRecord(Struct, frozen=True):
     """A record on its way to the disk. `index`: up to where the log is durable with it; 0 for nowhere."""
 
-    number: int
-    index: int
-    size: int
-    since: float
+    sequence: int
+    log_index: int
+    size_bytes: int
+    queued_at: float
 
 
-class Out(NamedTuple):
-    saves: list[Save]
-    sends: list[Send]
-    applies: list[Entry | Snapshot]
+class Ready(NamedTuple):
+    writes: list[PendingWrite]
+    messages: list[OutgoingMessage]
+    committed: list[Entry | Snapshot]
 
 
-class Agreement:
+class Raft:
     """`seat` is this member's; `kept` is what its disk had. Between two calls of `take` anything may be
     called; the order within each of its lists is all that counts."""
 
-    def __init__(self, seat: Seat, told: Told, kept: Kept, seed: int, now: float) -> None:
-        self.seat, self.told, self.rng, self.now = seat, told, Random(seed), now
-        self.term, self.vote, self.log, self.snapshot = kept.term, kept.vote, kept.log, kept.snapshot
-        self.configs = [(self.snapshot.index, self.snapshot.members)]
-        self.configs += [(e.index, e.members) for e in self.log.entries if e.members is not None]
-        self.commit = self.applied = self.snapshot.index
-        self.durable = self.log.last()
+    def __init__(
+        self, replica: ReplicaId, settings: RaftSettings, persisted: PersistentState, seed: int, now: float
+    ) -> None:
+        self.replica, self.settings, self.rng, self.now = replica, settings, Random(seed), now
+        self.term, self.voted_for, self.log, self.snapshot = (
+            persisted.term,
+            persisted.voted_for,
+            persisted.log,
+            persisted.snapshot,
+        )
+        self.configurations = [(self.snapshot.index, self.snapshot.members)]
+        self.configurations += [(e.index, e.members) for e in self.log.entries if e.members is not None]
+        self.commit_index = self.last_applied = self.snapshot.index
+        self.durable_index = self.log.last_index()
         self.role = Role.FOLLOWER
-        self.leader: Seat | None = None
-        self.heard = now - told.election_ms  # when a leader was heard
-        self.votes: set[Seat] = set()
-        self.peers: dict[Seat, Peer] = {}  # of a leader
-        self.first = 0  # of a leader: the index of its term's first entry
-        self.beat = now
-        self.handing: tuple[Seat, float] | None = (
+        self.leader: ReplicaId | None = None
+        self.last_leader_contact = now - settings.election_ms  # when a leader was heard
+        self.votes_received: set[ReplicaId] = set()
+        self.progress: dict[ReplicaId, Progress] = {}  # of a leader
+        self.term_start_index = 0  # of a leader: the index of its term's first entry
+        self.last_heartbeat = now
+        self.pending_transfer: tuple[ReplicaId, float] | None = (
             None  # to whom leadership goes, and until when that is tried
         )
-        self.ailing = ""  # why the disk takes nothing
-        self.knocks: dict[Seat, float] = {}
-        self.incoming: tuple[Snapshot, bytearray] | None = None
-        self.numbered = self.saved = self.hard = self.stood = 0  # numbers of records
-        self.unsaved: deque[Unsaved] = deque()
-        self.unsaved_size = 0
-        self.held: deque[tuple[int, Send]] = deque()
-        self.out = Out([], [], [self.snapshot] if self.snapshot.data else [])
-        self.due = now
-        self.rest()
+        self.disk_error = ""  # why the disk takes nothing
+        self.join_requests: dict[ReplicaId, float] = {}
+        self.incoming_snapshot: tuple[Snapshot, bytearray] | None = None
+        self.last_sequence = self.written_sequence = self.hard_state_sequence = self.own_vote_sequence = (
+            0  # numbers of records
+        )
+        self.unwritten: deque[UnwrittenRecord] = deque()
+        self.unwritten_bytes = 0
+        self.held_messages: deque[tuple[int, OutgoingMessage]] = deque()
+        self.ready = Ready([], [], [self.snapshot] if self.snapshot.data else [])
+        self.election_deadline = now
+        self.reset_election_timer()
 
     # --- what a caller sees ---
 
     @property
-    def members(self) -> Members:
+    def configuration(self) -> Configuration:
         """The newest configuration in the log, committed or not."""
-        return self.configs[-1][1]
+        return self.configurations[-1][1]
 
-    def votes_here(self) -> bool:
-        return self.seat in self.members.voters
+    def is_voter(self) -> bool:
+        return self.replica in self.configuration.voters
 
-    def leads(self) -> bool:
+    def is_established_leader(self) -> bool:
         """Whether it is leader and has committed an entry of its own term: all that was committed before is
         applied here, or among what `take` gives."""
-        return self.role is Role.LEADER and self.commit >= self.first
+        return self.role is Role.LEADER and self.commit_index >= self.term_start_index
 
-    def take(self) -> Out:
+    def take_ready(self) -> Ready:
         """What is to be done. Messages that still wait for the disk come later."""
-        out, self.out = self.out, Out([], [], [])
+        out, self.ready = self.ready, Ready([], [], [])
         return out
 
     def tick(self, now: float) -> None:
         """Wanted at least each `heartbeat_ms`."""
         self.now = now
-        there = self.members.all() if self.knocks else ()
-        for seat in [s for s, at in self.knocks.items() if s in there or now - at > self.told.silent_ms]:
-            del self.knocks[seat]  # guards the room at the door against those who are in
+        present = self.configuration.replicas() if self.join_requests else ()
+        for replica in [
+            s
+            for s, received_at in self.join_requests.items()
+            if s in present or now - received_at > self.settings.silent_ms
+        ]:
+            del self.join_requests[replica]  # guards the room at the door against those who are in
         if self.role is Role.LEADER:
-            self.lead()
-        elif now >= self.due:
-            self.rest()
-            if self.seat not in self.members.all():
-                self.send(None, Knock())
-            elif self.votes_here() and not self.stalled():
-                self.ask()
-
-    def receive(self, now: float, sender: Seat, message: Message) -> None:
+            self.tick_leader()
+        elif now >= self.election_deadline:
+            self.reset_election_timer()
+            if self.replica not in self.configuration.replicas():
+                self.send(None, JoinRequest())
+            elif self.is_voter() and not self.is_disk_stalled():
+                self.start_pre_vote()
+
+    def receive(self, now: float, sender: ReplicaId, message: Message) -> None:
         """Of a member of the same council; the caller has seen to that."""
         self.now = now
-        if isinstance(message, Knock):
-            if self.role is Role.LEADER and (sender in self.knocks or len(self.knocks) < self.told.knocks):
-                self.knocks[sender] = now
+        if isinstance(message, JoinRequest):
+            if self.role is Role.LEADER and (
+                sender in self.join_requests or len(self.join_requests) < self.settings.max_join_requests
+            ):
+                self.join_requests[sender] = now
             return
-        if isinstance(message, Offer):
+        if isinstance(message, ForwardProposal):
             if self.role is Role.LEADER:
-                self.offer(now, message.data)
+                self.propose(now, message.data)
             return
-        if isinstance(message, AskVote):
-            return self.asked(sender, message)
-        if isinstance(message, Vote | Ack | PieceAck) and sender not in self.members.all():
+        if isinstance(message, RequestVote):
+            return self.handle_request_vote(sender, message)
+        if (
+            isinstance(message, RequestVoteResponse | AppendEntriesResponse | InstallSnapshotResponse)
+            and sender not in self.configuration.replicas()
+        ):
             return
-        if isinstance(message, Vote) and message.pre and message.granted:
-            return self.would(sender, message)
+        if isinstance(message, RequestVoteResponse) and message.pre_vote and message.granted:
+            return self.handle_pre_vote_response(sender, message)
         if message.term > self.term:
-            self.follow(message.term)
+            self.become_follower(message.term)
         if message.term < self.term:
-            if isinstance(message, Append | Piece):
-                self.send(sender, Ack(self.term, False, 0))  # it leads no more
+            if isinstance(message, AppendEntries | InstallSnapshot):
+                self.send(sender, AppendEntriesResponse(self.term, False, 0))  # it leads no more
             return
-        if isinstance(message, Vote):
+        if isinstance(message, RequestVoteResponse):
             if message.granted and self.role is Role.CANDIDATE:
-                self.count(sender)
-        elif isinstance(message, Append):
-            self.hear(sender)
-            self.append(sender, message)
-        elif isinstance(message, Piece):
-            self.hear(sender)
-            self.piece(sender, message)
-        elif isinstance(message, Now):
-            if sender == self.leader and self.votes_here() and not self.stalled():
-                self.stand(force=True)
-        elif self.role is Role.LEADER and (peer := self.peers.get(sender)) is not None:
-            peer.heard = now
-            if isinstance(message, Ack):
-                self.acked(sender, peer, message)
-            elif peer.sending is not None and peer.sending.index == message.index:
-                peer.offset = message.want
-                self.pump(sender, peer)
-
-    def offer(self, now: float, data: bytes) -> str:
+                self.count_vote(sender)
+        elif isinstance(message, AppendEntries):
+            self.accept_leader(sender)
+            self.handle_append_entries(sender, message)
+        elif isinstance(message, InstallSnapshot):
+            self.accept_leader(sender)
+            self.handle_install_snapshot(sender, message)
+        elif isinstance(message, TimeoutNow):
+            if sender == self.leader and self.is_voter() and not self.is_disk_stalled():
+                self.start_election(leadership_transfer=True)
+        elif self.role is Role.LEADER and (progress := self.progress.get(sender)) is not None:
+            progress.last_response = now
+            if isinstance(message, AppendEntriesResponse):
+                self.handle_append_entries_response(sender, progress, message)
+            elif (
+                progress.sending_snapshot is not None
+                and progress.sending_snapshot.index == message.snapshot_index
+            ):
+                progress.snapshot_offset = message.next_offset
+                self.replicate(sender, progress)
+
+    def propose(self, now: float, data: bytes) -> str:
         """Into the log, where this is the leader; else it is sent to it. Why not, or nothing. What was taken
         or sent may still be lost: an offer that matters is repeated, and its repeat does nothing."""
         self.now = now
-        if len(data) > self.told.entry_bytes or not data:
-            return f"an entry has 1 to {self.told.entry_bytes} bytes, not {len(data)}"
+        if len(data) > self.settings.max_entry_bytes or not data:
+            return f"an entry has 1 to {self.settings.max_entry_bytes} bytes, not {len(data)}"
         if self.role is not Role.LEADER:
             if self.leader is None:
                 return "no leader is known"
             # guards the word of one whose disk takes nothing, that it gives its duties up
-            self.put(0, Send(self.leader, Offer(data)))
+            self.send_after_write(0, OutgoingMessage(self.leader, ForwardProposal(data)))
             return ""
-        if self.handing is not None:
+        if self.pending_transfer is not None:
             return "leadership is handed on"
         if (
-            self.log.last() - self.commit >= self.told.open_entries
-            or self.unsaved_size > self.told.unsaved_bytes
+            self.log.last_index() - self.commit_index >= self.settings.max_uncommitted_entries
+            or self.unwritten_bytes > self.settings.max_unwritten_bytes
         ):
             return "too many entries are not committed yet"
-        self.propose(Entry(self.log.last() + 1, self.term, data))
+        self.append_and_replicate(Entry(self.log.last_index() + 1, self.term, data))
         return ""
 
-    def change(self, now: float, wanted: Members) -> str:
+    def change_configuration(self, now: float, configuration: Configuration) -> str:
         """To that configuration. Why not, or nothing. One voter a step (dissertation 4.1), with the
         correction of 2015: not before an entry of the own term is committed."""
-        self.now, old = now, self.members
-        come = wanted.voters - old.voters
-        if not self.leads():
+        self.now, current = now, self.configuration
+        added = configuration.voters - current.voters
+        if not self.is_established_leader():
             return "not the leader, or only just"
-        if self.configs[-1][0] > self.commit:
+        if self.configurations[-1][0] > self.commit_index:
             return "the change before it is not committed yet"
-        if len(wanted.voters ^ old.voters) > 1:
+        if len(configuration.voters ^ current.voters) > 1:
             return "more than one voter comes or goes"
-        if self.seat not in wanted.voters:
+        if self.replica not in configuration.voters:
             return "a leader can't put itself out: it hands on first"
-        if len({seat.name for seat in wanted.all()}) < len(wanted.voters) + len(wanted.learners):
+        if len({replica.name for replica in configuration.replicas()}) < len(configuration.voters) + len(
+            configuration.learners
+        ):
             return "a name is in it twice"
-        if come and len(wanted.voters) > MOST_VOTERS:
-            return f"more than {MOST_VOTERS} voters"
-        if not all(seat in old.learners and self.caught_up(seat) for seat in come):
+        if added and len(configuration.voters) > MAX_VOTERS:
+            return f"more than {MAX_VOTERS} voters"
+        if not all(replica in current.learners and self.is_caught_up(replica) for replica in added):
             return "a voter was a learner before, and has the log"
-        if not self.bears(wanted):
+        if not self.has_responsive_quorum(configuration):
             return "too few of its voters are heard"
-        self.propose(Entry(self.log.last() + 1, self.term, members=wanted))
+        self.append_and_replicate(Entry(self.log.last_index() + 1, self.term, members=configuration))
         return ""
 
-    def caught_up(self, seat: Seat) -> bool:
-        peer = self.peers.get(seat)
-        return peer is not None and self.hears(seat) and peer.match + self.told.near >= self.log.last()
+    def is_caught_up(self, replica: ReplicaId) -> bool:
+        progress = self.progress.get(replica)
+        return (
+            progress is not None
+            and self.is_responsive(replica)
+            and progress.match_index + self.settings.max_promotion_lag >= self.log.last_index()
+        )
 
-    def bears(self, wanted: Members) -> bool:
+    def has_responsive_quorum(self, configuration: Configuration) -> bool:
         """Guards against putting out one that lives while another is dead: the rest would agree on nothing.
         Who has answered nothing in this term does not count, since a new leader takes all for heard."""
-        answer = [s for s in wanted.voters if s == self.seat or (self.hears(s) and self.peers[s].match)]
-        return len(answer) >= wanted.majority()
+        responsive = [
+            s
+            for s in configuration.voters
+            if s == self.replica or (self.is_responsive(s) and self.progress[s].match_index)
+        ]
+        return len(responsive) >= configuration.quorum_size()
 
-    def hears(self, seat: Seat, within: float | None = None) -> bool:
+    def is_responsive(self, replica: ReplicaId, within_ms: float | None = None) -> bool:
         """Of a leader: whether the member has answered within `within` (ms), or an election's time."""
-        peer = self.peers.get(seat)
-        limit = self.told.election_ms if within is None else within
-        return seat == self.seat or (peer is not None and self.now - peer.heard < limit)
+        progress = self.progress.get(replica)
+        limit_ms = self.settings.election_ms if within_ms is None else within_ms
+        return replica == self.replica or (
+            progress is not None and self.now - progress.last_response < limit_ms
+        )
 
-    def transfer(self, now: float, to: Seat) -> str:
+    def transfer_leadership(self, now: float, recipient: ReplicaId) -> str:
         """Hands leadership on once `to` has the log, within an election's time. Why not, or nothing."""
         self.now = now
-        if self.role is not Role.LEADER or self.handing is not None:
+        if self.role is not Role.LEADER or self.pending_transfer is not None:
             return "not the leader, or on the way already"
-        if to == self.seat or to not in self.members.voters:
-            return f"{to.name} is no other voter"
-        self.handing = to, now + self.told.election_ms
-        self.hand(to, self.peers[to])
+        if recipient == self.replica or recipient not in self.configuration.voters:
+            return f"{recipient.name} is no other voter"
+        self.pending_transfer = recipient, now + self.settings.election_ms
+        self.send_timeout_now(recipient, self.progress[recipient])
         return ""
 
     def compact(self, index: int, data: bytes) -> None:
         """`data` is the state after the entry `index`, which has been applied. Raises ValueError else."""
-        if not self.snapshot.index < index <= self.applied or not data:
+        if not self.snapshot.index < index <= self.last_applied or not data:
             raise ValueError(
-                f"a snapshot at {index}: the last is at {self.snapshot.index}, applied {self.applied}"
+                f"a snapshot at {index}: the last is at {self.snapshot.index}, applied {self.last_applied}"
             )
-        while len(self.configs) > 1 and self.configs[1][0] <= index:
-            del self.configs[0]
-        self.snapshot = Snapshot(index, self.log.term(index) or 0, self.configs[0][1], data)
-        self.save(self.snapshot, len(data), index)
-        self.log.forget(index - self.told.keep)
+        while len(self.configurations) > 1 and self.configurations[1][0] <= index:
+            del self.configurations[0]
+        self.snapshot = Snapshot(index, self.log.term_at(index) or 0, self.configurations[0][1], data)
+        self.write_record(self.snapshot, len(data), index)
+        self.log.discard_through(index - self.settings.trailing_entries)
 
     # --- the disk ---
 
-    def disk_done(self, now: float, number: int) -> None:
+    def records_written(self, now: float, sequence: int) -> None:
         """All records up to `number` outlive a crash."""
         self.now = now
-        self.saved, self.ailing = max(self.saved, number), ""
-        while self.unsaved and self.unsaved[0].number <= number:
-            done = self.unsaved.popleft()
-            self.unsaved_size -= done.size
-            self.durable = max(self.durable, done.index)
-        held, self.held = self.held, deque()
-        for after, send in held:
-            self.put(after, send)
-        if self.role is Role.CANDIDATE and self.saved >= self.stood:
-            self.count(self.seat)
+        self.written_sequence, self.disk_error = max(self.written_sequence, sequence), ""
+        while self.unwritten and self.unwritten[0].sequence <= sequence:
+            written = self.unwritten.popleft()
+            self.unwritten_bytes -= written.size_bytes
+            self.durable_index = max(self.durable_index, written.log_index)
+        held_messages, self.held_messages = self.held_messages, deque()
+        for after_sequence, message in held_messages:
+            self.send_after_write(after_sequence, message)
+        if self.role is Role.CANDIDATE and self.written_sequence >= self.own_vote_sequence:
+            self.count_vote(self.replica)
         elif self.role is Role.LEADER:
-            self.advance()
+            self.advance_commit_index()
 
-    def disk_failed(self, now: float, why: str) -> None:
+    def disk_failed(self, now: float, reason: str) -> None:
         """Records are not lost, but wait. A leader hands on; nobody stands until the disk takes them."""
-        self.now, self.ailing = now, why
+        self.now, self.disk_error = now, reason
         if self.role is Role.LEADER:
-            self.resign()
+            self.step_down()
 
-    def stalled(self) -> bool:
-        return bool(self.ailing) or (
-            bool(self.unsaved) and self.now - self.unsaved[0].since > self.told.stall_ms
+    def is_disk_stalled(self) -> bool:
+        return bool(self.disk_error) or (
+            bool(self.unwritten) and self.now - self.unwritten[0].queued_at > self.settings.stall_ms
         )
 
-    def save(self, record: Written, size: int, index: int) -> None:
-        self.numbered += 1
-        self.unsaved.append(Unsaved(self.numbered, index, size, self.now))
-        self.unsaved_size += size
-        self.out.saves.append(Save(self.numbered, record))
+    def write_record(self, record: PersistentRecord, size: int, index: int) -> None:
+        self.last_sequence += 1
+        self.unwritten.append(UnwrittenRecord(self.last_sequence, index, size, self.now))
+        self.unwritten_bytes += size
+        self.ready.writes.append(PendingWrite(self.last_sequence, record))
 
-    def save_hard(self) -> None:
-        self.save(Hard(self.term, self.vote), 64, 0)
-        self.hard = self.numbered
+    def write_hard_state(self) -> None:
+        self.write_record(HardState(self.term, self.voted_for), 64, 0)
+        self.hard_state_sequence = self.last_sequence
 
-    def write(self, entry: Entry) -> None:
+    def append_entry(self, entry: Entry) -> None:
         """Into the log, in the place of what was there and behind it."""
-        if entry.index <= self.log.last():
-            self.durable = min(self.durable, entry.index - 1)
-            self.unsaved = deque(u if u.index < entry.index else replace(u, index=0) for u in self.unsaved)
-            while self.configs[-1][0] >= entry.index:
-                self.configs.pop()
-        self.log.put(entry)
-        self.save(entry, entry.size(), entry.index)
+        if entry.index <= self.log.last_index():
+            self.durable_index = min(self.durable_index, entry.index - 1)
+            self.unwritten = deque(
+                record if record.log_index < entry.index else replace(record, log_index=0)
+                for record in self.unwritten
+            )
+            while self.configurations[-1][0] >= entry.index:
+                self.configurations.pop()
+        self.log.truncate_and_append(entry)
+        self.write_record(entry, entry.size_bytes(), entry.index)
         if entry.members is not None:
-            self.configs.append((entry.index, entry.members))
+            self.configurations.append((entry.index, entry.members))
 
-    def send(self, to: Seat | None, message: Message, after: int = 0) -> None:
+    def send(self, recipient: ReplicaId | None, message: Message, after_sequence: int = 0) -> None:
         """Not before the term is written, nor before record `after`."""
-        self.put(max(after, self.hard), Send(to, message))
+        self.send_after_write(
+            max(after_sequence, self.hard_state_sequence), OutgoingMessage(recipient, message)
+        )
 
-    def put(self, after: int, send: Send) -> None:
-        if after <= self.saved:
-            self.out.sends.append(send)
+    def send_after_write(self, after_sequence: int, message: OutgoingMessage) -> None:
+        if after_sequence <= self.written_sequence:
+            self.ready.messages.append(message)
             return
-        self.held.append((after, send))
-        if len(self.held) > self.told.held:
-            self.held.popleft()
+        self.held_messages.append((after_sequence, message))
+        if len(self.held_messages) > self.settings.max_held_messages:
+            self.held_messages.popleft()
 
     # --- elections ---
 
-    def rest(self) -> None:
-        self.due = self.now + self.told.election_ms * (1.0 + self.rng.random())
+    def reset_election_timer(self) -> None:
+        self.election_deadline = self.now + self.settings.election_ms * (1.0 + self.rng.random())
 
-    def follow(self, term: int) -> None:
+    def become_follower(self, term: int) -> None:
         """Nobody's, for now."""
         if term > self.term:
-            self.term, self.vote = term, None
-            self.save_hard()
-        self.role, self.leader, self.handing = Role.FOLLOWER, None, None
-        self.peers.clear()
-        self.knocks.clear()
-        self.rest()
-
-    def hear(self, leader: Seat) -> None:
+            self.term, self.voted_for = term, None
+            self.write_hard_state()
+        self.role, self.leader, self.pending_transfer = Role.FOLLOWER, None, None
+        self.progress.clear()
+        self.join_requests.clear()
+        self.reset_election_timer()
+
+    def accept_leader(self, leader: ReplicaId) -> None:
         if self.role is not Role.FOLLOWER:
-            self.follow(self.term)
-        self.leader, self.heard = leader, self.now
-        self.rest()
+            self.become_follower(self.term)
+        self.leader, self.last_leader_contact = leader, self.now
+        self.reset_election_timer()
 
-    def others(self) -> list[Seat]:
-        return sorted(self.members.voters - {self.seat})
+    def other_voters(self) -> list[ReplicaId]:
+        return sorted(self.configuration.voters - {self.replica})
 
-    def ask(self) -> None:
+    def start_pre_vote(self) -> None:
         """Guards against a member behind a broken link that unseats a leader by its higher term (9.6)."""
-        self.role, self.leader, self.votes = Role.ASKING, None, set()
-        for seat in self.others():
-            self.send(seat, AskVote(self.term + 1, self.log.last(), self.log.last_term(), pre=True))
-        self.count(self.seat)
-
-    def stand(self, force: bool = False) -> None:
-        self.role, self.leader, self.votes = Role.CANDIDATE, None, set()
-        self.term, self.vote = self.term + 1, self.seat
-        self.save_hard()
-        self.stood = self.hard  # the own vote counts when it is written
-        self.rest()
-        for seat in self.others():
-            self.send(seat, AskVote(self.term, self.log.last(), self.log.last_term(), force=force))
-
-    def asked(self, sender: Seat, m: AskVote) -> None:
-        led = self.role is Role.LEADER or (
-            self.leader is not None and self.now - self.heard < self.told.election_ms
+        self.role, self.leader, self.votes_received = Role.PRE_CANDIDATE, None, set()
+        for replica in self.other_voters():
+            self.send(
+                replica,
+                RequestVote(self.term + 1, self.log.last_index(), self.log.last_term(), pre_vote=True),
+            )
+        self.count_vote(self.replica)
+
+    def start_election(self, leadership_transfer: bool = False) -> None:
+        self.role, self.leader, self.votes_received = Role.CANDIDATE, None, set()
+        self.term, self.voted_for = self.term + 1, self.replica
+        self.write_hard_state()
+        self.own_vote_sequence = self.hard_state_sequence  # the own vote counts when it is written
+        self.reset_election_timer()
+        for replica in self.other_voters():
+            self.send(
+                replica,
+                RequestVote(
+                    self.term,
+                    self.log.last_index(),
+                    self.log.last_term(),
+                    leadership_transfer=leadership_transfer,
+                ),
+            )
+
+    def handle_request_vote(self, sender: ReplicaId, message: RequestVote) -> None:
+        has_leader = self.role is Role.LEADER or (
+            self.leader is not None and self.now - self.last_leader_contact < self.settings.election_ms
         )
-        if m.term >= self.term and led and not m.force:
+        if message.term >= self.term and has_leader and not message.leadership_transfer:
             return  # 4.2.3: who does not hear the leader disturbs nobody who does
-        fresh = (m.last_term, m.last_index) >= (self.log.last_term(), self.log.last())
-        if m.pre:
-            would = fresh and m.term > self.term and not self.stalled()
-            return self.send(sender, Vote(m.term if would else self.term, would, pre=True))
-        if m.term < self.term:
-            return self.send(sender, Vote(self.term, False))
-        if m.term > self.term:
-            self.follow(m.term)
+        is_up_to_date = (message.last_log_term, message.last_log_index) >= (
+            self.log.last_term(),
+            self.log.last_index(),
+        )
+        if message.pre_vote:
+            would_grant = is_up_to_date and message.term > self.term and not self.is_disk_stalled()
+            return self.send(
+                sender,
+                RequestVoteResponse(message.term if would_grant else self.term, would_grant, pre_vote=True),
+            )
+        if message.term < self.term:
+            return self.send(sender, RequestVoteResponse(self.term, False))
+        if message.term > self.term:
+            self.become_follower(message.term)
         # a seat that nobody has let in does not vote: its member may have voted before it lost its disk
-        granted = fresh and self.vote in (None, sender) and self.seat in self.members.all()
+        granted = (
+            is_up_to_date
+            and self.voted_for in (None, sender)
+            and self.replica in self.configuration.replicas()
+        )
         if granted:
-            self.rest()
-            if self.vote is None:
-                self.vote = sender
-                self.save_hard()
-        self.send(sender, Vote(self.term, granted))
-
-    def would(self, sender: Seat, m: Vote) -> None:
-        if self.role is Role.ASKING and m.term == self.term + 1:
-            self.count(sender)
-
-    def count(self, sender: Seat) -> None:
-        self.votes.add(sender)
-        if len(self.votes & self.members.voters) < self.members.majority():
+            self.reset_election_timer()
+            if self.voted_for is None:
+                self.voted_for = sender
+                self.write_hard_state()
+        self.send(sender, RequestVoteResponse(self.term, granted))
+
+    def handle_pre_vote_response(self, sender: ReplicaId, message: RequestVoteResponse) -> None:
+        if self.role is Role.PRE_CANDIDATE and message.term == self.term + 1:
+            self.count_vote(sender)
+
+    def count_vote(self, sender: ReplicaId) -> None:
+        self.votes_received.add(sender)
+        if len(self.votes_received & self.configuration.voters) < self.configuration.quorum_size():
             return
-        if self.role is Role.ASKING:
-            self.stand()
+        if self.role is Role.PRE_CANDIDATE:
+            self.start_election()
         else:
-            self.win()
+            self.become_leader()
 
-    def win(self) -> None:
-        self.role, self.leader = Role.LEADER, self.seat
-        self.first = self.log.last() + 1
-        self.beat = self.now
-        self.propose(Entry(self.first, self.term))
+    def become_leader(self) -> None:
+        self.role, self.leader = Role.LEADER, self.replica
+        self.term_start_index = self.log.last_index() + 1
+        self.last_heartbeat = self.now
+        self.append_and_replicate(Entry(self.term_start_index, self.term))
 
     # --- leading ---
 
-    def propose(self, entry: Entry) -> None:
-        self.write(entry)
-        others = sorted(self.members.all() - {self.seat})
-        self.peers = {seat: self.peers.get(seat) or Peer(entry.index, self.now) for seat in others}
-        for seat, peer in self.peers.items():
-            self.pump(seat, peer)
-
-    def lead(self) -> None:
-        there = sum(self.hears(seat) for seat in self.members.voters)
-        if there < self.members.majority():
-            return self.follow(self.term)  # 6.2: it would answer for a majority that it does not hear
-        if self.stalled():
-            return self.resign()
-        if self.handing is not None and self.now >= self.handing[1]:
-            self.handing = None
-        if self.now - self.beat < self.told.heartbeat_ms:
+    def append_and_replicate(self, entry: Entry) -> None:
+        self.append_entry(entry)
+        others = sorted(self.configuration.replicas() - {self.replica})
+        self.progress = {
+            replica: self.progress.get(replica) or Progress(entry.index, self.now) for replica in others
+        }
+        for replica, progress in self.progress.items():
+            self.replicate(replica, progress)
+
+    def tick_leader(self) -> None:
+        responsive_voters = sum(self.is_responsive(replica) for replica in self.configuration.voters)
+        if responsive_voters < self.configuration.quorum_size():
+            return self.become_follower(
+                self.term
+            )  # 6.2: it would answer for a majority that it does not hear
+        if self.is_disk_stalled():
+            return self.step_down()
+        if self.pending_transfer is not None and self.now >= self.pending_transfer[1]:
+            self.pending_transfer = None
+        if self.now - self.last_heartbeat < self.settings.heartbeat_ms:
             return
-        self.beat = self.now
-        for seat, peer in self.peers.items():
-            if peer.sending is None:
-                self.send_batch(seat, peer, ())
+        self.last_heartbeat = self.now
+        for replica, progress in self.progress.items():
+            if progress.sending_snapshot is None:
+                self.send_append_entries(replica, progress, ())
             else:
-                self.send_piece(seat, peer)
+                self.send_snapshot_chunk(replica, progress)
 
-    def resign(self) -> None:
+    def step_down(self) -> None:
         """To the voter that has most and is heard; where there is none, to whom they elect."""
-        able = [s for s in self.others() if self.hears(s)]
-        if able:
-            self.send(max(able, key=lambda s: self.peers[s].match), Now(self.term))
-        self.follow(self.term)
-
-    def pump(self, seat: Seat, peer: Peer) -> None:
-        if peer.sending is not None:
-            return self.send_piece(seat, peer)
-        while peer.next <= self.log.last() and len(peer.flying) < self.told.flying:
-            if peer.next <= self.log.base:
-                peer.sending, peer.offset = self.snapshot, 0
-                return self.send_piece(seat, peer)
-            entries = self.log.batch(peer.next, self.told.batch, self.told.batch_bytes)
-            self.send_batch(seat, peer, entries)
-            peer.next = entries[-1].index + 1
-            peer.flying.append(entries[-1].index)
-
-    def send_batch(self, seat: Seat, peer: Peer, entries: tuple[Entry, ...]) -> None:
-        prev = max(self.log.base, peer.next - 1)
-        term = self.log.term(prev)
+        candidates = [s for s in self.other_voters() if self.is_responsive(s)]
+        if candidates:
+            self.send(max(candidates, key=lambda s: self.progress[s].match_index), TimeoutNow(self.term))
+        self.become_follower(self.term)
+
+    def replicate(self, replica: ReplicaId, progress: Progress) -> None:
+        if progress.sending_snapshot is not None:
+            return self.send_snapshot_chunk(replica, progress)
+        while (
+            progress.next_index <= self.log.last_index()
+            and len(progress.inflight) < self.settings.max_inflight_batches
+        ):
+            if progress.next_index <= self.log.base_index:
+                progress.sending_snapshot, progress.snapshot_offset = self.snapshot, 0
+                return self.send_snapshot_chunk(replica, progress)
+            entries = self.log.entries_from(
+                progress.next_index, self.settings.max_batch_entries, self.settings.max_batch_bytes
+            )
+            self.send_append_entries(replica, progress, entries)
+            progress.next_index = entries[-1].index + 1
+            progress.inflight.append(entries[-1].index)
+
+    def send_append_entries(self, replica: ReplicaId, progress: Progress, entries: tuple[Entry, ...]) -> None:
+        prev_log_index = max(self.log.base_index, progress.next_index - 1)
+        term = self.log.term_at(prev_log_index)
         assert term is not None
-        self.send(seat, Append(self.term, prev, term, entries, self.commit))
+        self.send(replica, AppendEntries(self.term, prev_log_index, term, entries, self.commit_index))
 
-    def send_piece(self, seat: Seat, peer: Peer) -> None:
-        snapshot = peer.sending
+    def send_snapshot_chunk(self, replica: ReplicaId, progress: Progress) -> None:
+        snapshot = progress.sending_snapshot
         assert snapshot is not None
-        part = snapshot.data[peer.offset : peer.offset + self.told.piece_bytes]
-        head = replace(snapshot, data=b"")
-        self.send(seat, Piece(self.term, head, peer.offset, len(snapshot.data), part))
-
-    def acked(self, seat: Seat, peer: Peer, m: Ack) -> None:
-        if m.ok:
-            peer.match = max(peer.match, m.index)
-            peer.next = max(peer.next, peer.match + 1)
-            while peer.flying and peer.flying[0] <= peer.match:
-                peer.flying.popleft()
-            if peer.sending is not None and peer.match >= peer.sending.index:
-                peer.sending = None
-            self.advance()
+        chunk = snapshot.data[
+            progress.snapshot_offset : progress.snapshot_offset + self.settings.snapshot_chunk_bytes
+        ]
+        metadata = replace(snapshot, data=b"")
+        self.send(
+            replica, InstallSnapshot(self.term, metadata, progress.snapshot_offset, len(snapshot.data), chunk)
+        )
+
+    def handle_append_entries_response(
+        self, replica: ReplicaId, progress: Progress, message: AppendEntriesResponse
+    ) -> None:
+        if message.success:
+            progress.match_index = max(progress.match_index, message.index)
+            progress.next_index = max(progress.next_index, progress.match_index + 1)
+            while progress.inflight and progress.inflight[0] <= progress.match_index:
+                progress.inflight.popleft()
+            if (
+                progress.sending_snapshot is not None
+                and progress.match_index >= progress.sending_snapshot.index
+            ):
+                progress.sending_snapshot = None
+            self.advance_commit_index()
             if self.role is not Role.LEADER:
                 return
-            self.hand(seat, peer)
-        elif m.at > peer.match:  # else it was sent before what it has answered since
-            peer.next = max(peer.match, min(m.index, m.at - 1)) + 1
-            peer.flying.clear()
-        self.pump(seat, peer)
+            self.send_timeout_now(replica, progress)
+        elif (
+            message.rejected_index > progress.match_index
+        ):  # else it was sent before what it has answered since
+            progress.next_index = (
+                max(progress.match_index, min(message.index, message.rejected_index - 1)) + 1
+            )
+            progress.inflight.clear()
+        self.replicate(replica, progress)
 
-    def hand(self, seat: Seat, peer: Peer) -> None:
-        if self.handing is not None and self.handing[0] == seat and peer.match == self.log.last():
-            self.send(seat, Now(self.term))
+    def send_timeout_now(self, replica: ReplicaId, progress: Progress) -> None:
+        if (
+            self.pending_transfer is not None
+            and self.pending_transfer[0] == replica
+            and progress.match_index == self.log.last_index()
+        ):
+            self.send(replica, TimeoutNow(self.term))
 
-    def advance(self) -> None:
+    def advance_commit_index(self) -> None:
         """Raft, 5.4.2: by count only an entry of the own term; those before it go with it."""
-        has = sorted(
-            (self.durable if seat == self.seat else self.peers[seat].match for seat in self.members.voters),
+        match_indexes = sorted(
+            (
+                self.durable_index if replica == self.replica else self.progress[replica].match_index
+                for replica in self.configuration.voters
+            ),
             reverse=True,
         )
-        upto = has[self.members.majority() - 1]
-        if upto > self.commit and self.log.term(upto) == self.term:
-            self.committed(upto)
+        index = match_indexes[self.configuration.quorum_size() - 1]
+        if index > self.commit_index and self.log.term_at(index) == self.term:
+            self.commit_through(index)
 
-    def committed(self, upto: int) -> None:
-        self.commit = max(self.commit, upto)
-        while self.applied < self.commit:
-            self.applied += 1
-            self.out.applies.append(self.log.at(self.applied))
+    def commit_through(self, index: int) -> None:
+        self.commit_index = max(self.commit_index, index)
+        while self.last_applied < self.commit_index:
+            self.last_applied += 1
+            self.ready.committed.append(self.log.entry(self.last_applied))
 
     # --- following ---
 
-    def append(self, leader: Seat, m: Append) -> None:
-        if m.prev > self.log.base and self.log.term(m.prev) != m.prev_term:
-            hint = max(self.commit, self.log.conflict(m.prev))
-            return self.send(leader, Ack(self.term, False, hint, m.prev))
-        if m.entries and self.unsaved_size > self.told.unsaved_bytes:
+    def handle_append_entries(self, leader: ReplicaId, message: AppendEntries) -> None:
+        if (
+            message.prev_log_index > self.log.base_index
+            and self.log.term_at(message.prev_log_index) != message.prev_log_term
+        ):
+            hint = max(self.commit_index, self.log.conflict_hint(message.prev_log_index))
+            return self.send(leader, AppendEntriesResponse(self.term, False, hint, message.prev_log_index))
+        if message.entries and self.unwritten_bytes > self.settings.max_unwritten_bytes:
             return  # as if lost: the leader sends it again
-        for entry in m.entries:
-            if entry.index > self.log.base and self.log.term(entry.index) != entry.term:
-                assert entry.index > self.commit, "a committed entry would go"
-                self.write(entry)
-        upto = m.prev + len(m.entries)
-        self.committed(min(m.commit, upto))
-        self.send(leader, Ack(self.term, True, upto), after=self.numbered)
-
-    def piece(self, leader: Seat, m: Piece) -> None:
-        if m.snapshot.index <= self.commit:
-            return self.send(leader, Ack(self.term, True, self.commit), after=self.numbered)
-        if self.incoming is None or self.incoming[0] != m.snapshot:
-            self.incoming = m.snapshot, bytearray()
-        data = self.incoming[1]
-        if m.offset == len(data) and m.total <= self.told.snapshot_bytes:
-            data += m.data
-        if len(data) < m.total or m.total > self.told.snapshot_bytes:
-            return self.send(leader, PieceAck(self.term, m.snapshot.index, len(data)))
-        self.incoming = None
-        self.install(replace(m.snapshot, data=bytes(data)))
-        self.send(leader, Ack(self.term, True, m.snapshot.index), after=self.numbered)
-
-    def install(self, snapshot: Snapshot) -> None:
-        if not self.log.install(snapshot):
-            self.durable = 0
-            self.unsaved = deque(replace(u, index=0) for u in self.unsaved)
-            self.configs = []
-        self.configs = [
+        for entry in message.entries:
+            if entry.index > self.log.base_index and self.log.term_at(entry.index) != entry.term:
+                assert entry.index > self.commit_index, "a committed entry would go"
+                self.append_entry(entry)
+        index = message.prev_log_index + len(message.entries)
+        self.commit_through(min(message.leader_commit, index))
+        self.send(leader, AppendEntriesResponse(self.term, True, index), after_sequence=self.last_sequence)
+
+    def handle_install_snapshot(self, leader: ReplicaId, message: InstallSnapshot) -> None:
+        if message.snapshot.index <= self.commit_index:
+            return self.send(
+                leader,
+                AppendEntriesResponse(self.term, True, self.commit_index),
+                after_sequence=self.last_sequence,
+            )
+        if self.incoming_snapshot is None or self.incoming_snapshot[0] != message.snapshot:
+            self.incoming_snapshot = message.snapshot, bytearray()
+        data = self.incoming_snapshot[1]
+        if message.offset == len(data) and message.total_bytes <= self.settings.max_snapshot_bytes:
+            data += message.data
+        if len(data) < message.total_bytes or message.total_bytes > self.settings.max_snapshot_bytes:
+            return self.send(leader, InstallSnapshotResponse(self.term, message.snapshot.index, len(data)))
+        self.incoming_snapshot = None
+        self.install_snapshot(replace(message.snapshot, data=bytes(data)))
+        self.send(
+            leader,
+            AppendEntriesResponse(self.term, True, message.snapshot.index),
+            after_sequence=self.last_sequence,
+        )
+
+    def install_snapshot(self, snapshot: Snapshot) -> None:
+        if not self.log.install_snapshot(snapshot):
+            self.durable_index = 0
+            self.unwritten = deque(replace(record, log_index=0) for record in self.unwritten)
+            self.configurations = []
+        self.configurations = [
             (snapshot.index, snapshot.members),
-            *(c for c in self.configs if c[0] > snapshot.index),
+            *(item for item in self.configurations if item[0] > snapshot.index),
         ]
         self.snapshot = snapshot
-        self.save(snapshot, len(snapshot.data), snapshot.index)
-        self.commit = self.applied = snapshot.index
+        self.write_record(snapshot, len(snapshot.data), snapshot.index)
+        self.commit_index = self.last_applied = snapshot.index
         if snapshot.data:
-            self.out.applies.append(snapshot)
+            self.ready.committed.append(snapshot)
--- a/harrieryoke/council/decide/rounds.py
+++ b/harrieryoke/council/decide/rounds.py
@@ -20,18 +20,20 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from .duties import MOST_NAME
+from .duties import MAX_NAME_CHARS
 
 DUTY = "reconcile"
-MOST_OPEN = 4096  # rounds that are wanted or have their turn; at the bound a want is void, and comes again
-MOST_EACH = 16  # of them of one member
-MOST_ENDED = 4096  # at the bound the oldest done goes, and of failed ones the oldest when none is done
-MOST_TURNS = 8  # at one time, whatever a conductor says
-MOST_TRIES = 16
-MOST_SHOWN = 64  # failed ones in the status
+MAX_OPEN_ROUNDS = (
+    4096  # rounds that are wanted or have their turn; at the bound a want is void, and comes again
+)
+MAX_OPEN_PER_MEMBER = 16  # of them of one member
+MAX_ENDED_ROUNDS = 4096  # at the bound the oldest done goes, and of failed ones the oldest when none is done
+MAX_RUNNING_TURNS = 8  # at one time, whatever a conductor says
+MAX_TRIES = 16
+MAX_FAILED_SHOWN = 64  # failed ones in the status
 
 Number = Annotated[int, Meta(ge=0, le=2**62)]
-Name = Annotated[str, Meta(min_length=1, max_length=MOST_NAME)]
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARS)]
 
 
 class Counts(Struct, frozen=True, array_like=True):
@@ -39,26 +41,26 @@
 
     entries: Number
     sent: Number
-    not_here: Annotated[int, Meta(ge=-1, le=2**62)]
-    moved: Number  # bytes
+    missing_here: Annotated[int, Meta(ge=-1, le=2**62)]
+    bytes_moved: Number  # bytes
 
 
-class Want(Struct, frozen=True, array_like=True, tag="want"):
+class RequestTurn(Struct, frozen=True, array_like=True, tag="want"):
     """`mark` is drawn by the member for each wish: what comes again after the round has ended is void."""
 
     member: Name
     period: Number
-    mark: Number
+    request_id: Number
 
 
-class Done(Struct, frozen=True, array_like=True, tag="done"):
+class CompleteTurn(Struct, frozen=True, array_like=True, tag="done"):
     member: Name
     period: Number
     turn: Number
     counts: Counts
 
 
-class Back(Struct, frozen=True, array_like=True, tag="back"):
+class ReturnTurn(Struct, frozen=True, array_like=True, tag="back"):
     """The member can't now, and does not want it until it says so again."""
 
     member: Name
@@ -66,151 +68,172 @@
     turn: Number
 
 
-class Turn(Struct, frozen=True, array_like=True, tag="turn"):
+class GrantTurn(Struct, frozen=True, array_like=True, tag="turn"):
     """Void while `most` have their turns: a conductor may not know of all that the one before it gave."""
 
     member: Name
     period: Number
-    most: Number
+    max_running: Number
 
 
-class GiveUp(Struct, frozen=True, array_like=True, tag="give-up"):
+class RevokeTurn(Struct, frozen=True, array_like=True, tag="give-up"):
     """The turn was not done in its time. `last`: it is not tried again."""
 
     member: Name
     period: Number
     turn: Number
-    last: bool
+    final: bool
 
 
-Asked = Want | Done | Back
-Given = Turn | GiveUp
-READ_ASKED: msgspec.msgpack.Decoder[Asked] = msgspec.msgpack.Decoder(Asked)
-READ_GIVEN: msgspec.msgpack.Decoder[Given] = msgspec.msgpack.Decoder(Given)
+MemberRequest = RequestTurn | CompleteTurn | ReturnTurn
+HolderCommand = GrantTurn | RevokeTurn
+REQUEST_DECODER: msgspec.msgpack.Decoder[MemberRequest] = msgspec.msgpack.Decoder(MemberRequest)
+COMMAND_DECODER: msgspec.msgpack.Decoder[HolderCommand] = msgspec.msgpack.Decoder(HolderCommand)
 encode = msgspec.msgpack.encode
 
 
-class Round(Struct):
-    mark: int
-    place: int  # in the line: the index of the entry that put it there
+class OpenRound(Struct, rename={"request_id": "mark", "queue_position": "place"}):
+    request_id: int
+    queue_position: int  # in the line: the index of the entry that put it there
     tries: int = 0  # turns that were given up
     turn: int = 0  # 0: it waits
 
 
-class End(Struct):
+class EndedRound(Struct, rename={"request_id": "mark"}):
     """`counts` are None where it failed."""
 
-    mark: int
+    request_id: int
     tries: int
     counts: Counts | None
 
 
-class State(Struct):
-    open: dict[str, dict[int, Round]] = {}
-    ended: list[tuple[str, int, End]] = []
+class RoundsState(Struct):
+    open: dict[str, dict[int, OpenRound]] = {}
+    ended: list[tuple[str, int, EndedRound]] = []
 
 
-class Rounds:
+class ReconciliationRounds:
     """The machine of the duty `reconcile` (`acts.Machine`)."""
 
     def __init__(self) -> None:
-        self.open: dict[str, dict[int, Round]] = {}  # by member and period
-        self.ended: dict[tuple[str, int], End] = {}  # the oldest first
-        self.wanted = 0  # rounds that are open
+        self.open: dict[str, dict[int, OpenRound]] = {}  # by member and period
+        self.ended: dict[tuple[str, int], EndedRound] = {}  # the oldest first
+        self.open_count = 0  # rounds that are open
         self.running: dict[tuple[str, int], int] = {}  # those that have their turn: which
 
-    def ask(self, index: int, body: bytes) -> bool:
+    def apply_unfenced(self, index: int, body: bytes) -> bool:
         try:
-            asked = READ_ASKED.decode(body)
+            request = REQUEST_DECODER.decode(body)
         except msgspec.MsgspecError:
             return False
-        if isinstance(asked, Want):
-            return self.want(index, asked)
-        round = self.held(asked)
-        if round is None:
+        if isinstance(request, RequestTurn):
+            return self.request_turn(index, request)
+        open_round = self.round_with_turn(request)
+        if open_round is None:
             return False
-        self.close(asked.member, asked.period)
-        if isinstance(asked, Done):
-            self.end(asked.member, asked.period, End(round.mark, round.tries, asked.counts))
+        self.close_round(request.member, request.period)
+        if isinstance(request, CompleteTurn):
+            self.record_end(
+                request.member,
+                request.period,
+                EndedRound(open_round.request_id, open_round.tries, request.counts),
+            )
         return True
 
     def apply(self, index: int, token: int, body: bytes) -> bool:
         try:
-            given = READ_GIVEN.decode(body)
+            command = COMMAND_DECODER.decode(body)
         except msgspec.MsgspecError:
             return False
-        if isinstance(given, Turn):
-            return self.turn(index, given)
-        round = self.held(given)
-        if round is None:
+        if isinstance(command, GrantTurn):
+            return self.grant_turn(index, command)
+        open_round = self.round_with_turn(command)
+        if open_round is None:
             return False
-        del self.running[given.member, given.period]
-        round.tries, round.turn, round.place = round.tries + 1, 0, index
-        if given.last or round.tries >= MOST_TRIES:
-            self.close(given.member, given.period)
-            self.end(given.member, given.period, End(round.mark, round.tries, None))
+        del self.running[command.member, command.period]
+        open_round.tries, open_round.turn, open_round.queue_position = open_round.tries + 1, 0, index
+        if command.final or open_round.tries >= MAX_TRIES:
+            self.close_round(command.member, command.period)
+            self.record_end(
+                command.member, command.period, EndedRound(open_round.request_id, open_round.tries, None)
+            )
         return True
 
-    def want(self, index: int, want: Want) -> bool:
-        mine, ended = self.open.get(want.member, {}), self.ended.get((want.member, want.period))
-        if want.period in mine or (ended is not None and ended.mark == want.mark):
+    def request_turn(self, index: int, request: RequestTurn) -> bool:
+        member_rounds, ended = (
+            self.open.get(request.member, {}),
+            self.ended.get((request.member, request.period)),
+        )
+        if request.period in member_rounds or (ended is not None and ended.request_id == request.request_id):
             return False
-        if self.wanted >= MOST_OPEN or len(mine) >= MOST_EACH:
+        if self.open_count >= MAX_OPEN_ROUNDS or len(member_rounds) >= MAX_OPEN_PER_MEMBER:
             return False
-        self.open.setdefault(want.member, {})[want.period] = Round(want.mark, index)
-        self.wanted += 1
+        self.open.setdefault(request.member, {})[request.period] = OpenRound(request.request_id, index)
+        self.open_count += 1
         return True
 
-    def turn(self, index: int, given: Turn) -> bool:
-        mine = self.open.get(given.member, {})
-        round = mine.get(given.period)
-        if round is None or len(self.running) >= min(given.most, MOST_TURNS):
+    def grant_turn(self, index: int, command: GrantTurn) -> bool:
+        member_rounds = self.open.get(command.member, {})
+        open_round = member_rounds.get(command.period)
+        if open_round is None or len(self.running) >= min(command.max_running, MAX_RUNNING_TURNS):
             return False
-        if any(each.turn for each in mine.values()):
+        if any(other_round.turn for other_round in member_rounds.values()):
             return False  # a member does one at a time
-        for each in mine.values():
-            each.place = index  # guards others against one that wants many: it goes behind them all
-        round.turn = self.running[given.member, given.period] = index
+        for other_round in member_rounds.values():
+            other_round.queue_position = (
+                index  # guards others against one that wants many: it goes behind them all
+            )
+        open_round.turn = self.running[command.member, command.period] = index
         return True
 
-    def held(self, of: Done | Back | GiveUp) -> Round | None:
+    def round_with_turn(self, message: CompleteTurn | ReturnTurn | RevokeTurn) -> OpenRound | None:
         """The round, if that turn is the one it has."""
-        round = self.open.get(of.member, {}).get(of.period)
-        return round if round is not None and of.turn and round.turn == of.turn else None
-
-    def close(self, member: str, period: int) -> None:
+        open_round = self.open.get(message.member, {}).get(message.period)
+        return (
+            open_round
+            if open_round is not None and message.turn and open_round.turn == message.turn
+            else None
+        )
+
+    def close_round(self, member: str, period: int) -> None:
         del self.open[member][period]
         self.running.pop((member, period), None)
-        self.wanted -= 1
+        self.open_count -= 1
         if not self.open[member]:
             del self.open[member]
 
-    def end(self, member: str, period: int, end: End) -> None:
+    def record_end(self, member: str, period: int, ended_round: EndedRound) -> None:
         self.ended.pop((member, period), None)
-        if len(self.ended) >= MOST_ENDED:
-            done = (key for key, each in self.ended.items() if each.counts is not None)
-            del self.ended[next(done, next(iter(self.ended)))]
-        self.ended[member, period] = end
+        if len(self.ended) >= MAX_ENDED_ROUNDS:
+            completed = (key for key, entry in self.ended.items() if entry.counts is not None)
+            del self.ended[next(completed, next(iter(self.ended)))]
+        self.ended[member, period] = ended_round
 
     def dump(self) -> bytes:
-        return encode(State(self.open, [(*key, end) for key, end in self.ended.items()]))
+        return encode(
+            RoundsState(self.open, [(*key, ended_round) for key, ended_round in self.ended.items()])
+        )
 
     def load(self, data: bytes) -> None:
         """Raises msgspec.ValidationError, a ValueError, for what is no dump."""
-        state: State = msgspec.msgpack.decode(data, type=State) if data else State()
+        state: RoundsState = msgspec.msgpack.decode(data, type=RoundsState) if data else RoundsState()
         self.open = state.open
-        self.ended = {(member, period): end for member, period, end in state.ended}
-        opened = [(m, p, round) for m, mine in self.open.items() for p, round in mine.items()]
-        self.wanted = len(opened)
-        self.running = {(m, p): round.turn for m, p, round in opened if round.turn}
+        self.ended = {(member, period): ended_round for member, period, ended_round in state.ended}
+        opened = [
+            (m, p, open_round)
+            for m, member_rounds in self.open.items()
+            for p, open_round in member_rounds.items()
+        ]
+        self.open_count = len(opened)
+        self.running = {(m, p): open_round.turn for m, p, open_round in opened if open_round.turn}
 
     def status(self) -> dict[str, Any]:
         """For operators: how many wait and are done, and which run and have failed."""
-        failed = [key for key, end in self.ended.items() if end.counts is None]
+        failed = [key for key, ended_round in self.ended.items() if ended_round.counts is None]
         return {
-            "waiting": self.wanted - len(self.running),
+            "waiting": self.open_count - len(self.running),
             "running": [{"member": m, "period": p, "turn": turn} for (m, p), turn in self.running.items()],
             "done": len(self.ended) - len(failed),
             "failed": len(failed),
-            "failed_last": [{"member": m, "period": p} for m, p in failed[-MOST_SHOWN:]],
+            "failed_last": [{"member": m, "period": p} for m, p in failed[-MAX_FAILED_SHOWN:]],
         }
--- a/harrieryoke/council/disk.py
+++ b/harrieryoke/council/disk.py
@@ -36,9 +36,9 @@
 from ..store.files import Files, RealFiles
 from ..store.settings import StoreError, StoreSettings
 from ..store.store import Store
-from .decide.log import Kept, founded, kept
-from .decide.log import Log as Entries
-from .decide.messages import Entry, Hard, Save, Seat, Snapshot
+from .decide.log import PersistentState, bootstrap_snapshot, replay_records
+from .decide.log import RaftLog as Entries
+from .decide.messages import Entry, HardState, PendingWrite, ReplicaId, Snapshot
 
 HARD, ENTRY, TAKEN = 101, 102, 103  # kinds of records; those of the ledger are below
 MAGIC = b"HYCOUNC1"
@@ -51,16 +51,16 @@
 class Head(Struct, frozen=True):
     """Of a snapshot, whose data follows. `entries` are those behind it."""
 
-    seat: Seat
+    seat: ReplicaId
     term: int
-    vote: Seat | None
+    vote: ReplicaId | None
     snapshot: Snapshot
     entries: list[Entry]
 
 
 READ_HEAD: msgspec.msgpack.Decoder[Head] = msgspec.msgpack.Decoder(Head)
 READ: dict[int, msgspec.msgpack.Decoder[tuple[int, Any]]] = {
-    HARD: msgspec.msgpack.Decoder(tuple[int, Hard]),
+    HARD: msgspec.msgpack.Decoder(tuple[int, HardState]),
     ENTRY: msgspec.msgpack.Decoder(tuple[int, Entry]),
     TAKEN: msgspec.msgpack.Decoder(tuple[int, int]),  # a snapshot at that index was asked for here
 }
@@ -95,28 +95,30 @@
         return name
 
 
-def draw(name: str) -> Seat:
-    return Seat(name, 1 + secrets.randbelow(2**63 - 1))
+def draw(name: str) -> ReplicaId:
+    return ReplicaId(name, 1 + secrets.randbelow(2**63 - 1))
 
 
-def parts(seat: Seat, had: Kept) -> tuple[bytes, bytes]:
+def parts(seat: ReplicaId, had: PersistentState) -> tuple[bytes, bytes]:
     """A store's snapshot of that. The data, which may be large, is not copied."""
     bare = replace(had.snapshot, data=b"")
-    head = ENCODE(Head(seat, had.term, had.vote, bare, had.log.entries))
+    head = ENCODE(Head(seat, had.term, had.voted_for, bare, had.log.entries))
     return MAGIC + SIZE.pack(len(head)) + head, had.snapshot.data
 
 
-def copied(had: Kept) -> Kept:
+def copied(had: PersistentState) -> PersistentState:
     log = had.log
-    return Kept(had.term, had.vote, had.snapshot, Entries(log.base, log.base_term, list(log.entries)))
+    return PersistentState(
+        had.term, had.voted_for, had.snapshot, Entries(log.base_index, log.base_term, list(log.entries))
+    )
 
 
 class Found:
     """What a folder's records come to. `restore` and `visit` raise nothing: the store is half open then."""
 
     def __init__(self) -> None:
-        self.seat: Seat | None = None
-        self.kept = Kept()
+        self.seat: ReplicaId | None = None
+        self.kept = PersistentState()
         self.promised = 0  # up to there all was durable, by what later records say
         self.foreign = self.hole = ""
 
@@ -133,7 +135,7 @@
         self.seat = head.seat
         snapshot = replace(head.snapshot, data=data[end:])
         log = Entries(snapshot.index, snapshot.term, head.entries)
-        self.kept = Kept(head.term, head.vote, snapshot, log)
+        self.kept = PersistentState(head.term, head.vote, snapshot, log)
 
     def visit(self, record: Record) -> None:
         read = READ.get(record.kind)
@@ -148,7 +150,7 @@
         self.promised = max(self.promised, promised)
         if record.kind != TAKEN and not self.hole:
             try:
-                self.kept.add(what)
+                self.kept.apply_record(what)
             except ValueError as error:
                 self.hole = f"record {record.seq}: {error}"
 
@@ -208,7 +210,7 @@
     """A store's snapshot that is to be written when its records up to `seq` are durable."""
 
     seq: int
-    kept: Kept
+    kept: PersistentState
 
 
 class Disk:
@@ -241,7 +243,7 @@
         self.keeper.store.snapshot = None  # which may be large, and is in `kept`
         self.kept = found.kept
         self.state = copied(found.kept)  # as of the last record that the store took
-        self.waiting: deque[Save] = deque()
+        self.waiting: deque[PendingWrite] = deque()
         self.marks: deque[tuple[int, int]] = deque()  # the store's number of a record, and the Save's
         self.wanted: Wanted | None = None
         self.barrier = 0  # the number of a snapshot that all behind it waits for
@@ -252,7 +254,7 @@
         self.keeper.watch, self.keeper.ails = self.watch, self.ails
 
     @staticmethod
-    def found(told: StoreSettings, name: str, base: int) -> Seat:
+    def found(told: StoreSettings, name: str, base: int) -> ReplicaId:
         """The first voter of a council, alone. Raises StoreError unless the folder is empty."""
         files = RealFolder(told.folder)
         there = sorted(n for n in files.names() if n != "lock" and not n.endswith(".new"))
@@ -261,7 +263,7 @@
             raise StoreError(f"store.folder: {told.folder} {words}")
         store, seat = Store(files, told, now_ms()), draw(name)
         try:
-            store.take_snapshot(0, *parts(seat, kept([founded([seat], base)])))
+            store.take_snapshot(0, *parts(seat, replay_records([bootstrap_snapshot([seat], base)])))
         except OSError as error:
             raise StoreError(f"store.folder: {told.folder}: {error}") from None
         finally:
@@ -272,7 +274,7 @@
         self.keeper.start()
         spawn(self.log, "council-disk", self.run, self.ended.set)
 
-    def save(self, saves: list[Save]) -> None:
+    def save(self, saves: list[PendingWrite]) -> None:
         """In the order of their numbers. An entry has 512 KiB at most."""
         self.waiting += saves
         self.pump()
@@ -284,20 +286,20 @@
             record, news = save.record, False
             if isinstance(record, Snapshot):
                 log = self.state.log
-                news = record.index <= log.base or log.term(record.index) != record.term
+                news = record.index <= log.base_index or log.term_at(record.index) != record.term
                 kind, payload = TAKEN, ENCODE((promised, record.index))
             else:
-                kind, payload = HARD if isinstance(record, Hard) else ENTRY, ENCODE((promised, record))
+                kind, payload = HARD if isinstance(record, HardState) else ENTRY, ENCODE((promised, record))
             if not self.keeper.room(HEAD + len(payload)):
                 break
             seq = self.keeper.append(wall_ms(), kind, b"", payload)
             assert seq is not None
             self.waiting.popleft()
-            self.state.add(record)
+            self.state.apply_record(record)
             if news:
-                self.barrier = save.number
+                self.barrier = save.sequence
             else:
-                self.marks.append((seq, save.number))
+                self.marks.append((seq, save.sequence))
             if isinstance(record, Snapshot):
                 self.wanted = Wanted(seq, copied(self.state))
         if self.waiting or self.barrier:
@@ -378,7 +380,7 @@
     def status(self) -> dict[str, object]:
         return {
             **self.keeper.status(),
-            "number": self.seat.disk,
+            "number": self.seat.disk_id,
             "lost": self.lost,
             "waiting": len(self.waiting),
             "snapshot_failing": self.ailing,
--- a/harrieryoke/council/handshake.py
+++ b/harrieryoke/council/handshake.py
@@ -9,7 +9,7 @@
 from gevent import socket
 
 from ..wire.frames import Decoder, WireError, encode
-from .decide.messages import Seat
+from .decide.messages import ReplicaId
 from .wire.codec import LEAST, MOST_HELLO, VERSION, pb, read_seat, seat_pb
 
 MOST_WHY = 300  # characters of a reason that are read
@@ -41,12 +41,12 @@
     """The other side has refused; the text is its reason, for an operator."""
 
 
-def say_hello(me: Seat, told: LinkTold, to: str) -> bytes:
+def say_hello(me: ReplicaId, told: LinkTold, to: str) -> bytes:
     said = pb.Hello(version=VERSION, least=LEAST, installation=told.installation, seat=seat_pb(me), to=to)
     return encode(pb.Frame(hello=said))
 
 
-def say_welcome(me: Seat, hello: pb.Hello) -> bytes:
+def say_welcome(me: ReplicaId, hello: pb.Hello) -> bytes:
     return encode(pb.Frame(welcome=pb.Welcome(version=min(VERSION, hello.version), seat=seat_pb(me))))
 
 
@@ -68,7 +68,7 @@
     return frame.hello
 
 
-def read_welcome(sock: Any, name: str) -> Seat:
+def read_welcome(sock: Any, name: str) -> ReplicaId:
     """Raises Refusal, and WireError where somebody else answers."""
     frame = first(sock)
     if frame.HasField("refused"):
@@ -84,7 +84,7 @@
     return seat
 
 
-def refusal(me: Seat, told: LinkTold, hello: pb.Hello, host: str) -> str:
+def refusal(me: ReplicaId, told: LinkTold, hello: pb.Hello, host: str) -> str:
     """Why who says that, from that host, is no member that may speak here; or nothing."""
     name = hello.seat.name
     if hello.version < LEAST or hello.least > VERSION:
--- a/harrieryoke/council/link.py
+++ b/harrieryoke/council/link.py
@@ -16,8 +16,8 @@
 from ..core.actor import spawn
 from ..log import Log
 from ..wire.frames import WireError, encode
-from .decide.lease import Passed
-from .decide.messages import Message, Seat
+from .decide.lease import DutyHandover
+from .decide.messages import Message, ReplicaId
 from .handshake import LinkTold, Refusal, hang_up, read_welcome, say_hello
 from .listen import Listener
 from .wire.codec import MOST_FRAME, to_wire
@@ -32,20 +32,20 @@
     and at the bound the oldest message is dropped as if lost. A message for a seat goes out only to that
     seat."""
 
-    def __init__(self, me: Seat, told: LinkTold, name: str, log: Log, seed: int) -> None:
+    def __init__(self, me: ReplicaId, told: LinkTold, name: str, log: Log, seed: int) -> None:
         self.me, self.told, self.name, self.log = me, told, name, log
         self.rng = Random(f"{seed} {me.name} {name}")  # guards against all who dial one in step
-        self.queue: deque[tuple[Seat | None, bytes]] = deque()
+        self.queue: deque[tuple[ReplicaId | None, bytes]] = deque()
         self.size = self.sent = self.dropped = 0
         self.filled, self.awake = Event(), Event()
         self.running = self.over = False
         self.sock: Any = None
-        self.seat: Seat | None = None  # who answers, while there is a connection
+        self.seat: ReplicaId | None = None  # who answers, while there is a connection
         self.cut = ""  # how the connection has ended, where it was not this side
         self.refused = self.lost = ""  # why there is none
         self.pause = told.pause_ms
 
-    def put(self, to: Seat | None, data: bytes) -> None:
+    def put(self, to: ReplicaId | None, data: bytes) -> None:
         if self.over:
             return
         self.queue.append((to, data))
@@ -58,7 +58,7 @@
             self.running = True
             spawn(self.log, f"council link {self.name}", self.run, self.ended)
 
-    def take(self) -> tuple[Seat | None, bytes]:
+    def take(self) -> tuple[ReplicaId | None, bytes]:
         to, data = self.queue.popleft()
         self.size -= len(data)
         return to, data
@@ -193,7 +193,12 @@
     not block, and what it has no room for is lost. `seed` spreads the pauses between dials."""
 
     def __init__(
-        self, me: Seat, told: LinkTold, log: Log, seed: int, hear: Callable[[Seat, Message | Passed], object]
+        self,
+        me: ReplicaId,
+        told: LinkTold,
+        log: Log,
+        seed: int,
+        hear: Callable[[ReplicaId, Message | DutyHandover], object],
     ) -> None:
         self.me, self.told, self.log, self.seed = me, told, log, seed
         self.peers = {n: Dialled(me, told, n, log, seed) for n in told.members if n != me.name}
@@ -222,18 +227,18 @@
                 self.peers[name] = Dialled(self.me, self.told, name, self.log, self.seed)
         self.unknown -= members.keys()
 
-    def send(self, to: Seat | None, message: Message | Passed) -> None:
+    def send(self, to: ReplicaId | None, message: Message | DutyHandover) -> None:
         """Never blocks; what can't be sent is lost. None: to every member; who wants fewer uses `send_to`."""
         if to is None:
             self.put(self.peers, None, message)
         else:
             self.put((to.name,), to, message)
 
-    def send_to(self, names: Iterable[str], message: Message | Passed) -> None:
+    def send_to(self, names: Iterable[str], message: Message | DutyHandover) -> None:
         """By name, whatever the disk. This member's own name is passed over."""
         self.put(names, None, message)
 
-    def put(self, names: Iterable[str], to: Seat | None, message: Message | Passed) -> None:
+    def put(self, names: Iterable[str], to: ReplicaId | None, message: Message | DutyHandover) -> None:
         data = encode(to_wire(message))
         if len(data) > MOST_FRAME:
             return self.log("council-too-large", f"{type(message).__name__} of {len(data)} bytes is not sent")
--- a/harrieryoke/council/listen.py
+++ b/harrieryoke/council/listen.py
@@ -14,8 +14,8 @@
 from ..core.actor import spawn
 from ..log import Log
 from ..wire.frames import Decoder, WireError, encode
-from .decide.lease import Passed
-from .decide.messages import Message, Seat
+from .decide.lease import DutyHandover
+from .decide.messages import Message, ReplicaId
 from .handshake import LinkTold, hang_up, read_hello, refusal, say_welcome
 from .wire.codec import MOST_FRAME, from_wire, pb, read_seat
 
@@ -30,7 +30,7 @@
     sock: Any
     host: str
     heard: float = field(default_factory=time.monotonic)
-    seat: Seat | None = None
+    seat: ReplicaId | None = None
 
 
 class Listener:
@@ -39,10 +39,10 @@
 
     def __init__(
         self,
-        me: Seat,
+        me: ReplicaId,
         told: LinkTold,
         log: Log,
-        hear: Callable[[Seat, Message | Passed], object],
+        hear: Callable[[ReplicaId, Message | DutyHandover], object],
         met: Callable[[str], object],
     ) -> None:
         """`met` is told the name of each that was welcomed."""
@@ -122,7 +122,7 @@
                 del self.heard[one.seat.name]
             hang_up(one.sock)
 
-    def meet(self, one: Incoming) -> Seat | None:
+    def meet(self, one: Incoming) -> ReplicaId | None:
         hello = read_hello(one.sock)
         name = hello.seat.name
         why = refusal(self.me, self.told, hello, one.host) or self.taken(hello)
@@ -146,11 +146,11 @@
     def taken(self, hello: pb.Hello) -> str:
         """Guards a member against another process under its name, until the member is silent."""
         old = self.heard.get(hello.seat.name)
-        if old is None or old.seat is None or old.seat.disk == hello.seat.disk:
+        if old is None or old.seat is None or old.seat.disk_id == hello.seat.disk:
             return ""
         if time.monotonic() - old.heard > self.told.silent_ms / 1000:
             return ""
-        return f"{hello.seat.name!r} speaks here already, with another disk ({old.seat.disk:x})"
+        return f"{hello.seat.name!r} speaks here already, with another disk ({old.seat.disk_id:x})"
 
     def tell_once(self, who: tuple[str, str], why: str) -> None:
         if self.refused.get(who) != why:
@@ -160,7 +160,7 @@
         if len(self.refused) > MOST_TOLD:
             self.refused.popitem(last=False)
 
-    def read(self, one: Incoming, seat: Seat) -> None:
+    def read(self, one: Incoming, seat: ReplicaId) -> None:
         decoder = Decoder(pb.Frame, MOST_FRAME)
         while True:
             wait_ms = self.told.write_ms if decoder.rest else self.told.idle_ms
--- a/harrieryoke/council/part.py
+++ b/harrieryoke/council/part.py
@@ -7,7 +7,7 @@
 
 from ..log import Log
 from .actor import CouncilActor
-from .decide.commands import Machine
+from .decide.commands import StateMachine
 from .disk import Disk
 from .link import Links, LinkTold
 from .settings import CouncilSettings
@@ -28,11 +28,11 @@
 
     def __init__(self, told: CouncilSettings, own_name: str, log: Log, seed: int) -> None:
         self.me, self.told, self.log, self.seed = told.member(own_name), told, log, seed
-        self.machines: dict[str, Machine] = {}
+        self.machines: dict[str, StateMachine] = {}
         self.watches: list[Callable[[], object]] = []
         self.turns = TurnsActor(self, self.me, told.reconcile, seed, log)
 
-    def add_machine(self, duty: str, machine: Machine) -> None:
+    def add_machine(self, duty: str, machine: StateMachine) -> None:
         """Before `open`, and at every member, also one that never does the duty."""
         self.machines[duty] = machine
 
@@ -47,7 +47,7 @@
         self.disk.done, self.disk.failed = self.actor.disk_done, self.actor.disk_failed
         self.actor.watches = self.watches
         for duty, machine in self.machines.items():
-            self.actor.acts.add(duty, machine)
+            self.actor.acts.add_machine(duty, machine)
         peers = LinkTold(
             told.installation, told.own_address(self.me), told.addresses(), silent_ms=told.silent_ms
         )
--- a/harrieryoke/council/settings.py
+++ b/harrieryoke/council/settings.py
@@ -9,10 +9,10 @@
 
 from ..checks import ConfigError, read_address
 from ..store.settings import StoreError, StoreSettings
-from .decide.duties import MOST_DUTIES, MOST_NAME, MOST_SESSIONS
-from .decide.grants import Pace, PaceError
+from .decide.duties import MAX_DUTIES, MAX_NAME_CHARS, MAX_SESSIONS
+from .decide.grants import TurnSettings, TurnSettingsError
 from .decide.lease import Lease
-from .decide.raft import MOST_VOTERS, Told
+from .decide.raft import MAX_VOTERS, RaftSettings
 
 MOST_WEIGHT = 1e6
 RENEWED = ("members", "voters", "duties", "weight")  # by SIGHUP
@@ -45,13 +45,13 @@
     leave_ms: float = 2000.0  # after SIGTERM, for its duties to be handed on
     compact_every: int = 2048  # entries
     mailbox: int = 4096  # messages; beyond them one is dropped, as if it was lost on its way
-    reconcile: Pace = Pace()  # of the duty `reconcile`
+    reconcile: TurnSettings = TurnSettings()  # of the duty `reconcile`
 
     def check(self) -> None:
         """Raises CouncilError."""
         check_name("council.installation", self.installation)
-        if not 1 <= len(self.members) <= MOST_SESSIONS:
-            raise CouncilError(f"council.members: 1 to {MOST_SESSIONS} are wanted")
+        if not 1 <= len(self.members) <= MAX_SESSIONS:
+            raise CouncilError(f"council.members: 1 to {MAX_SESSIONS} are wanted")
         seen = dict[tuple[str, int], str]()
         for name in self.members:
             check_name(f"council.members.{name}", name)
@@ -61,8 +61,8 @@
         if self.listen:
             read("council.listen", self.listen)
         self.check_voters()
-        if len(set(self.duties)) < len(self.duties) or len(self.duties) > MOST_DUTIES:
-            raise CouncilError(f"council.duties: each is named once, and {MOST_DUTIES} at the most")
+        if len(set(self.duties)) < len(self.duties) or len(self.duties) > MAX_DUTIES:
+            raise CouncilError(f"council.duties: each is named once, and {MAX_DUTIES} at the most")
         for duty in self.duties:
             check_name("council.duties", duty)
         if self.name:
@@ -70,7 +70,7 @@
         self.check_times()
         try:
             self.reconcile.check("council.reconcile")
-        except PaceError as error:
+        except TurnSettingsError as error:
             raise CouncilError(str(error)) from None
         self.store_settings()
 
@@ -80,8 +80,8 @@
             raise CouncilError(f"council.voters: {unknown[0]} is none of council.members; add it there")
         if len(set(self.voters)) < len(self.voters):
             raise CouncilError("council.voters: each is named once")
-        if len(self.voters) not in (1, *range(3, MOST_VOTERS + 1)):
-            wanted = f"1, or 3 to {MOST_VOTERS}, are wanted"
+        if len(self.voters) not in (1, *range(3, MAX_VOTERS + 1)):
+            wanted = f"1, or 3 to {MAX_VOTERS}, are wanted"
             raise CouncilError(f"council.voters: {wanted}: with 2 the loss of either stops agreement")
 
     def check_times(self) -> None:
@@ -132,8 +132,8 @@
         new.member(self.member(own_name))
         return replace(self, **{key: getattr(new, key) for key in RENEWED})
 
-    def told(self) -> Told:
-        return Told(
+    def told(self) -> RaftSettings:
+        return RaftSettings(
             election_ms=self.election_ms,
             heartbeat_ms=self.heartbeat_ms,
             stall_ms=self.stall_ms,
@@ -163,5 +163,5 @@
 
 
 def check_name(key: str, name: str) -> None:
-    if not name.isprintable() or not 0 < len(name) <= MOST_NAME:
-        raise CouncilError(f"{key}: 1 to {MOST_NAME} printable characters are wanted")
+    if not name.isprintable() or not 0 < len(name) <= MAX_NAME_CHARS:
+        raise CouncilError(f"{key}: 1 to {MAX_NAME_CHARS} printable characters are wanted")
--- a/harrieryoke/council/turns.py
+++ b/harrieryoke/council/turns.py
@@ -13,9 +13,9 @@
 from ..core.actor import Actor
 from ..log import Log
 from .actor import boot_ms
-from .decide.commands import Machine
-from .decide.grants import Conductor, Own, Pace
-from .decide.rounds import DUTY, Counts, Rounds
+from .decide.commands import StateMachine
+from .decide.grants import MemberTurns, TurnScheduler, TurnSettings
+from .decide.rounds import DUTY, Counts, ReconciliationRounds
 
 MAILBOX = 1024
 
@@ -33,7 +33,7 @@
         """An `Ask`; else as `propose`."""
         ...
 
-    def add_machine(self, duty: str, machine: Machine) -> None: ...
+    def add_machine(self, duty: str, machine: StateMachine) -> None: ...
 
     def watch(self, told: Callable[[], object]) -> None: ...
 
@@ -64,16 +64,16 @@
         self,
         council: Agreed,
         name: str,
-        pace: Pace,
+        pace: TurnSettings,
         seed: int,
         log: Log,
         clock: Callable[[], float] = boot_ms,
     ) -> None:
         super().__init__("turns", MAILBOX, log)
         self.council, self.clock = council, clock
-        self.rounds = Rounds()
-        self.conductor = Conductor(self.rounds, pace)
-        self.own = Own(name, self.rounds, pace, seed)
+        self.rounds = ReconciliationRounds()
+        self.conductor = TurnScheduler(self.rounds, pace)
+        self.own = MemberTurns(name, self.rounds, pace, seed)
         self.given: Callable[[], object] = lambda: None
         self.refused = ""  # why the council took the last proposal not
         self.missed = 0
@@ -84,7 +84,7 @@
 
     def run(self) -> None:
         while not self.over:
-            due = [at for at in (self.conductor.due, self.own.due) if at is not None]
+            due = [at for at in (self.conductor.wake_at, self.own.wake_at) if at is not None]
             self.wait(min(due) - self.clock() if due else None)
             self.filled.clear()
             self.work()
@@ -93,19 +93,19 @@
     def receive(self, message: Any) -> None:
         match message:
             case Wanted(period):
-                if not self.own.want(self.clock(), period):
+                if not self.own.request(self.clock(), period):
                     self.log("reconcile-refused", f"period {period}: too many wait for their turn")
             case Finished(period, turn, counts):
-                self.own.done(period, turn, counts)
+                self.own.complete(period, turn, counts)
             case Able(able):
-                self.own.can(able)
+                self.own.set_collector_reachable(able)
 
     def step(self) -> None:
         token = self.council.acting(DUTY)
         refused = [
-            self.council.propose(DUTY, token, body) for body in self.conductor.turn(self.clock(), token)
+            self.council.propose(DUTY, token, body) for body in self.conductor.tick(self.clock(), token)
         ]
-        refused += [self.council.ask(DUTY, body) for body in self.own.turn(self.clock())]
+        refused += [self.council.ask(DUTY, body) for body in self.own.tick(self.clock())]
         self.refused = refused[-1] if refused else self.refused
         for period in self.own.failed:
             words = f"period {period}: no turn of it was done in its time; ask for it again"
@@ -129,12 +129,12 @@
         self.send(Wanted(period))
 
     def some(self) -> bool:
-        return bool(self.own.wishes)
+        return bool(self.own.pending)
 
     def next(self) -> tuple[int, int] | None:
-        if not self.own.able:
+        if not self.own.collector_reachable:
             self.send(Able(True))
-        return self.own.take()
+        return self.own.take_ready()
 
     def holds(self, period: int, token: int) -> bool:
         return self.own.holds(self.clock(), period, token)
@@ -144,9 +144,9 @@
         self.send(Finished(period, token, counts))
 
     def lost(self) -> None:
-        if self.own.able:
+        if self.own.collector_reachable:
             self.send(Able(False))
 
     def status(self) -> dict[str, Any]:
-        mine = {"wishes": sorted(self.own.wishes), "able": self.own.able}
+        mine = {"wishes": sorted(self.own.pending), "able": self.own.collector_reachable}
         return self.rounds.status() | {"own": mine, "refused": self.refused, "missed": self.missed}
--- a/harrieryoke/lab/fleet_watch.py
+++ b/harrieryoke/lab/fleet_watch.py
@@ -84,7 +84,7 @@
         self.tell(["applied", self.member, self.duty, index, token, told, self.chain])
         return True
 
-    def ask(self, index: int, body: bytes) -> bool:
+    def apply_unfenced(self, index: int, body: bytes) -> bool:
         return False
 
     def dump(self) -> bytes:
@@ -122,7 +122,7 @@
         """All that was agreed, as this member has it now."""
         actor = self.council.actor
         digest = xxhash.xxh3_64_hexdigest(actor.acts.dump())
-        self.tell(["copy", self.member, actor.agreement.applied, digest])
+        self.tell(["copy", self.member, actor.agreement.last_applied, digest])
 
     def send(self) -> None:
         self.sock.connect(self.path)
--- a/tests/council_nodes.py
+++ b/tests/council_nodes.py
@@ -16,7 +16,7 @@
 from typing import Any, NamedTuple
 
 from harrieryoke.council.decide.duties import Session
-from harrieryoke.council.decide.lease_manager import best
+from harrieryoke.council.decide.lease_manager import preferred_member
 from harrieryoke.ops_client import OpsError, ask
 
 from .scenario import ROOT, SETTINGS, free_address, listener, where
@@ -157,7 +157,7 @@
         sessions = {} if led is None else led.told["sessions"]
         able = {name: Session(0, 0, s["weight"], s["cannot"], s["open"]) for name, s in sessions.items()}
         return sum(s.open for s in able.values()) == len(self.nodes) and all(
-            duty in self.nodes[best(duty, able) or ""].acts() for duty in self.duties
+            duty in self.nodes[preferred_member(duty, able) or ""].acts() for duty in self.duties
         )
 
     def stop(self) -> None:
--- a/tests/council_world.py
+++ b/tests/council_world.py
@@ -14,38 +14,38 @@
 
 from harrieryoke.council.decide import duties as d
 from harrieryoke.council.decide import membership
-from harrieryoke.council.decide.lease import Fence, Holder, Lease, Passed
-from harrieryoke.council.decide.lease_manager import Steward
-from harrieryoke.council.decide.log import founded, kept
+from harrieryoke.council.decide.lease import DutyHandover, Fence, Lease, LeaseHolder
+from harrieryoke.council.decide.lease_manager import LeaseManager
+from harrieryoke.council.decide.log import bootstrap_snapshot, replay_records
 from harrieryoke.council.decide.messages import (
-    Ack,
+    AppendEntriesResponse,
+    Configuration,
     Entry,
-    Members,
     Message,
-    Save,
-    Seat,
-    Send,
+    OutgoingMessage,
+    PendingWrite,
+    PersistentRecord,
+    ReplicaId,
+    RequestVoteResponse,
     Snapshot,
-    Vote,
-    Written,
 )
-from harrieryoke.council.decide.raft import Agreement, Role, Told
+from harrieryoke.council.decide.raft import Raft, RaftSettings, Role
 
-TOLD = Told(
+TOLD = RaftSettings(
     election_ms=300.0,
     heartbeat_ms=60.0,
     stall_ms=400.0,
     silent_ms=2500.0,
-    near=8,
-    batch=8,
-    batch_bytes=2048,
-    flying=3,
-    entry_bytes=4096,
-    open_entries=64,
-    unsaved_bytes=16384,
-    held=64,
-    keep=6,
-    piece_bytes=300,
+    max_promotion_lag=8,
+    max_batch_entries=8,
+    max_batch_bytes=2048,
+    max_inflight_batches=3,
+    max_entry_bytes=4096,
+    max_uncommitted_entries=64,
+    max_unwritten_bytes=16384,
+    max_held_messages=64,
+    trailing_entries=6,
+    snapshot_chunk_bytes=300,
 )
 LEASE = Lease(1000.0, 0.05)
 SETTLE = 800.0
@@ -73,10 +73,10 @@
 class Parts:
     """What members are made of. Tests plant faults here."""
 
-    agreement: type[Agreement] = Agreement
-    holder: type[Holder] = Holder
-    steward: type[Steward] = Steward
-    duties: type[d.Duties] = d.Duties
+    agreement: type[Raft] = Raft
+    holder: type[LeaseHolder] = LeaseHolder
+    steward: type[LeaseManager] = LeaseManager
+    duties: type[d.DutyTable] = d.DutyTable
     fence: type[Fence] = Fence
     keeps_seat: bool = False  # a member that lost its disk calls itself what it was
 
@@ -86,12 +86,12 @@
     """A machine: its clock and its disk outlive the process."""
 
     name: str
-    seat: Seat
+    seat: ReplicaId
     rate: float
     origin: float
     since: float = 0.0
-    disk: list[Written] = field(default_factory=list)
-    writing: list[Save] = field(default_factory=list)
+    disk: list[PersistentRecord] = field(default_factory=list)
+    writing: list[PendingWrite] = field(default_factory=list)
     syncing: bool = False
     life: int = 0
     up: bool = False
@@ -101,10 +101,10 @@
     turn: float = 0.0  # when it is due
     waiting: list[Callable[[], object]] = field(default_factory=list)  # what came during a stall
     applied: int = 0
-    agreement: Agreement = field(init=False)
-    duties: d.Duties = field(init=False)
-    holder: Holder = field(init=False)
-    steward: Steward = field(init=False)
+    agreement: Raft = field(init=False)
+    duties: d.DutyTable = field(init=False)
+    holder: LeaseHolder = field(init=False)
+    steward: LeaseManager = field(init=False)
 
     def clock(self, t: float) -> float:
         return self.origin + (t - self.since) * self.rate
@@ -136,8 +136,8 @@
         self.cut: set[tuple[str, str]] = set()  # from, to
         self.wanted = frozenset("abcdefg"[:voters])
         self.members: dict[str, Member] = {}
-        self.leaders: dict[int, Seat] = {}
-        self.votes: dict[tuple[Seat, int], Seat] = {}
+        self.leaders: dict[int, ReplicaId] = {}
+        self.votes: dict[tuple[ReplicaId, int], ReplicaId] = {}
         self.written: dict[tuple[int, int], tuple[Entry, int | None]] = {}
         self.agreed: dict[int, Entry] = {}
         self.states: dict[int, bytes] = {}
@@ -148,8 +148,8 @@
         self.faults = 0
         names = [*sorted(self.wanted), *(f"f{n}" for n in range(followers))]
         self.willing = set(names[-willing:])
-        seats = {name: Seat(name, self.rng.randrange(1, 1 << 30)) for name in names}
-        first = founded([seats[name] for name in sorted(self.wanted)[: 1 if alone else voters]])
+        seats = {name: ReplicaId(name, self.rng.randrange(1, 1 << 30)) for name in names}
+        first = bootstrap_snapshot([seats[name] for name in sorted(self.wanted)[: 1 if alone else voters]])
         for name in names:
             member = Member(name, seats[name], self.rate(), self.rng.uniform(0, 1e6))
             if seats[name] in first.members.voters:
@@ -200,7 +200,7 @@
             return
         m.up, m.life, m.syncing, m.stalled = True, self.rng.randrange(1 << 40), False, 0.0
         m.writing, m.waiting = [], []
-        had, now = kept(m.disk), m.clock(self.t)
+        had, now = replay_records(m.disk), m.clock(self.t)
         m.applied = had.snapshot.index
         m.duties = self.parts.duties()
         m.agreement = self.parts.agreement(m.seat, TOLD, had, self.rng.randrange(1 << 30), now)
@@ -225,7 +225,7 @@
         self.crash(m, back)
         m.disk = []
         if not self.parts.keeps_seat:
-            m.seat = Seat(m.name, self.rng.randrange(1, 1 << 30))
+            m.seat = ReplicaId(m.name, self.rng.randrange(1, 1 << 30))
 
     def stall(self, m: Member, ms: float) -> None:
         if m.up and self.t >= m.stalled:
@@ -240,10 +240,10 @@
     def tick(self, m: Member) -> None:
         now = m.clock(self.t)
         m.agreement.tick(now)
-        if m.agreement.leads():
+        if m.agreement.is_established_leader():
             self.lead(m, now)
         for duty in DUTIES:
-            if token := m.holder.acting(duty, now):
+            if token := m.holder.acting_token(duty, now):
                 # what it does on the strength of this comes to the resource now, or after a stall
                 slow = self.rng.random() < 0.02
                 self.after(self.rng.uniform(0, 4000 if slow else 5), partial(self.change, duty, token))
@@ -251,47 +251,47 @@
 
     def lead(self, m: Member, now: float) -> None:
         if not m.duties.duties:
-            m.agreement.offer(now, d.encode(d.Define(DUTIES)))
-        step = membership.due(m.agreement, self.wanted, frozenset(self.members))
-        if isinstance(step, Seat):
-            m.agreement.transfer(now, step)
+            m.agreement.propose(now, d.encode(d.DefineDuties(DUTIES)))
+        step = membership.next_change(m.agreement, self.wanted, frozenset(self.members))
+        if isinstance(step, ReplicaId):
+            m.agreement.transfer_leadership(now, step)
         elif step is not None:
-            m.agreement.change(now, step)
+            m.agreement.change_configuration(now, step)
 
     def drain(self, m: Member) -> None:
         """All that the member's machines want done, until they want nothing."""
         while True:
             now = m.clock(self.t)
-            out = m.agreement.take()
-            self.watch_saves(m, out.saves)
-            m.writing += out.saves
-            for send in out.sends:
+            out = m.agreement.take_ready()
+            self.watch_saves(m, out.writes)
+            m.writing += out.writes
+            for send in out.messages:
                 self.send(m, send)
-            for each in out.applies:
+            for each in out.committed:
                 self.apply(m, each)
-            if out.applies or self.t >= m.turn:
+            if out.committed or self.t >= m.turn:
                 m.turn = self.t + TURN
                 self.turn(m, now)
             if m.writing and not m.syncing:
                 m.syncing = True
                 self.sync(m)
-            if not (m.agreement.out.saves or m.agreement.out.sends or m.agreement.out.applies):
+            if not (m.agreement.ready.writes or m.agreement.ready.messages or m.agreement.ready.committed):
                 break
-        if m.agreement.applied - m.agreement.snapshot.index >= COMPACT:
-            m.agreement.compact(m.agreement.applied, m.duties.dump())
+        if m.agreement.last_applied - m.agreement.snapshot.index >= COMPACT:
+            m.agreement.compact(m.agreement.last_applied, m.duties.dump())
 
     def turn(self, m: Member, now: float) -> None:
-        for command in m.steward.turn(now, m.agreement.leads()):
-            m.agreement.offer(now, d.encode(command))
-        for said in m.holder.turn(now) if m.name in self.willing else []:
-            if isinstance(said, Passed):
+        for command in m.steward.tick(now, m.agreement.is_established_leader()):
+            m.agreement.propose(now, d.encode(command))
+        for said in m.holder.tick(now) if m.name in self.willing else []:
+            if isinstance(said, DutyHandover):
                 to = self.members[said.to]
                 self.pass_message(m.name, to, partial(self.passed, to, said))
             else:
-                m.agreement.offer(now, d.encode(said))
+                m.agreement.propose(now, d.encode(said))
 
-    def passed(self, m: Member, said: Passed) -> None:
-        m.holder.passed(said.duty, said.token)
+    def passed(self, m: Member, said: DutyHandover) -> None:
+        m.holder.accept_handover(said.duty, said.token)
 
     def sync(self, m: Member) -> None:
         """The disk goes on while the process stalls; its word waits."""
@@ -311,7 +311,7 @@
         m.syncing = bool(m.writing)
         if m.writing:
             self.sync(m)
-        self.at_member(m, life, lambda: m.agreement.disk_done(m.clock(self.t), done[-1].number))
+        self.at_member(m, life, lambda: m.agreement.records_written(m.clock(self.t), done[-1].sequence))
 
     # --- links ---
 
@@ -321,45 +321,66 @@
                 late = self.rng.random() < self.late
                 self.later(self.rng.uniform(1, 2000 if late else 12), to, what)
 
-    def send(self, m: Member, send: Send) -> None:
+    def send(self, m: Member, send: OutgoingMessage) -> None:
         message = send.message
-        vote = message if isinstance(message, Vote) and message.granted and not message.pre else None
-        if vote and send.to and self.votes.setdefault((m.seat, vote.term), send.to) != send.to:
+        vote = (
+            message
+            if isinstance(message, RequestVoteResponse) and message.granted and not message.pre_vote
+            else None
+        )
+        if (
+            vote
+            and send.recipient
+            and self.votes.setdefault((m.seat, vote.term), send.recipient) != send.recipient
+        ):
             raise Violation(f"{m.name} voted twice in term {vote.term}")
-        if isinstance(message, Ack) and message.ok and message.term == m.agreement.term:
+        if (
+            isinstance(message, AppendEntriesResponse)
+            and message.success
+            and message.term == m.agreement.term
+        ):
             self.watch_ack(m, message)
         if self.fierce and self.rng.random() < (0.1 if vote else 0.001):
             self.after(0, partial(self.crash, m, self.rng.uniform(1, 60)))
         for to in self.members.values():
-            if to is not m and (send.to is None or to.seat == send.to):
+            if to is not m and (send.recipient is None or to.seat == send.recipient):
                 self.pass_message(m.name, to, partial(self.receive, to, m.seat, message))
 
-    def receive(self, m: Member, sender: Seat, message: Message) -> None:
+    def receive(self, m: Member, sender: ReplicaId, message: Message) -> None:
         m.agreement.receive(m.clock(self.t), sender, message)
 
     # --- what must hold ---
 
-    def watch_saves(self, m: Member, saves: list[Save]) -> None:
+    def watch_saves(self, m: Member, saves: list[PendingWrite]) -> None:
         for save in saves:
             entry = save.record
             if isinstance(entry, Entry):
-                before = m.agreement.log.term(entry.index - 1)
+                before = m.agreement.log.term_at(entry.index - 1)
                 has, had = self.written.setdefault((entry.index, entry.term), (entry, before))
                 if has != entry or (None not in (had, before) and had != before):
                     raise Violation(f"two entries {entry.index} of term {entry.term}, or two before it")
 
-    def watch_ack(self, m: Member, ack: Ack) -> None:
+    def watch_ack(self, m: Member, ack: AppendEntriesResponse) -> None:
         """At once, since what comes of it takes a long tail, an election and a crash."""
         led = next((o.agreement for o in self.members.values() if o.seat == self.leaders.get(ack.term)), None)
-        if led is None or led.role is not Role.LEADER or led.term != ack.term or ack.index <= led.log.base:
+        if (
+            led is None
+            or led.role is not Role.LEADER
+            or led.term != ack.term
+            or ack.index <= led.log.base_index
+        ):
             return
-        if m.agreement.log.term(ack.index) not in (None, led.log.term(ack.index)):
+        if m.agreement.log.term_at(ack.index) not in (None, led.log.term_at(ack.index)):
             raise Violation(f"{m.name} says that it has the leader's entry {ack.index}, and has another")
 
     def watch_word(self, member: str, life: int, number: int) -> None:
         """Its session has ended. At once, since two act only if the holder hears of its word, not of that."""
         of = self.members[member]
-        if of.up and of.life == life and of.holder.asked.get(number, 0.0) + LEASE.ms > of.clock(self.t):
+        if (
+            of.up
+            and of.life == life
+            and of.holder.renewal_times.get(number, 0.0) + LEASE.duration_ms > of.clock(self.t)
+        ):
             raise Violation(f"the session of {member} ends though its word {number} counts still")
 
     def apply(self, m: Member, each: Entry | Snapshot) -> None:
@@ -372,11 +393,11 @@
                 raise Violation(f"{m.name} applies another entry {each.index} than was agreed")
             if each.data:
                 command = d.decode(each.data)
-                end = command if isinstance(command, d.End) else None
-                before = m.duties.session(end.member, end.life) if end else None
+                end = command if isinstance(command, d.EndSession) else None
+                before = m.duties.open_session(end.member, end.incarnation) if end else None
                 m.duties.apply(each.index, command)
-                if end and before and not before.open and end.number < before.number:
-                    self.watch_word(end.member, end.life, before.number)
+                if end and before and not before.open and end.sequence < before.sequence:
+                    self.watch_word(end.member, end.incarnation, before.sequence)
         m.applied = each.index
         dump = m.duties.dump()
         if self.states.setdefault(each.index, dump) != dump:
@@ -388,15 +409,17 @@
             if a.term in self.leaders:
                 raise Violation(f"two leaders in term {a.term}")
             self.leaders[a.term] = m.seat
-            for index in range(a.log.base + 1, max(self.agreed, default=0) + 1):
-                if index in self.agreed and (index > a.log.last() or a.log.at(index) != self.agreed[index]):
+            for index in range(a.log.base_index + 1, max(self.agreed, default=0) + 1):
+                if index in self.agreed and (
+                    index > a.log.last_index() or a.log.entry(index) != self.agreed[index]
+                ):
                     raise Violation(f"the leader of term {a.term} lacks the agreed entry {index}")
         for duty in DUTIES:
-            token = m.holder.acting(duty, now)
+            token = m.holder.acting_token(duty, now)
             if not token:
                 continue
             for other in self.members.values():
-                if other is not m and other.up and other.holder.acting(duty, other.clock(self.t)):
+                if other is not m and other.up and other.holder.acting_token(duty, other.clock(self.t)):
                     raise Violation(f"{m.name} and {other.name} act on {duty}")
             if token < self.acted[duty]:
                 raise Violation(f"{m.name} acts on {duty} under {token} after {self.acted[duty]}")
@@ -452,14 +475,16 @@
             m.drift(self.t, self.rate())
         elif kind == 13 and m.up:
             duty = rng.choice(DUTIES)
-            m.holder.cannot(duty, "behind")
-            self.later(rng.choice([1, long]), m, partial(m.holder.can, duty))
+            m.holder.mark_unavailable(duty, "behind")
+            self.later(rng.choice([1, long]), m, partial(m.holder.mark_available, duty))
         elif kind == 14 and m.up:
-            m.holder.weigh(0.0)
-            self.later(long, m, partial(m.holder.weigh, rng.uniform(0.5, 3)))
+            m.holder.set_weight(0.0)
+            self.later(long, m, partial(m.holder.set_weight, rng.uniform(0.5, 3)))
         elif kind == 15 and m.up:
             if rng.random() < 0.5:
-                m.agreement.transfer(m.clock(self.t), rng.choice([o.seat for o in self.members.values()]))
+                m.agreement.transfer_leadership(
+                    m.clock(self.t), rng.choice([o.seat for o in self.members.values()])
+                )
             elif len(self.wanted) < len(self.members):
                 gone, come = (
                     rng.choice(sorted(self.wanted)),
@@ -470,19 +495,21 @@
         elif kind == 16 and leaders:
             # what an operator may ask for and mostly does not get
             voters = rng.sample(
-                sorted(m.agreement.members.all()), rng.randint(0, len(m.agreement.members.all()))
+                sorted(m.agreement.configuration.replicas()),
+                rng.randint(0, len(m.agreement.configuration.replicas())),
             )
-            learners = m.agreement.members.all() - set(voters)
+            learners = m.agreement.configuration.replicas() - set(voters)
             if len(voters) > 1:
-                m.agreement.change(m.clock(self.t), Members(frozenset(voters), learners))
+                m.agreement.change_configuration(m.clock(self.t), Configuration(frozenset(voters), learners))
 
     def may_lose(self, m: Member) -> bool:
         """No majority's disks may go: all others that vote anywhere stand on theirs."""
         there = {o.seat for o in self.members.values()}
         return all(
-            len(o.agreement.members.voters - {m.seat} - there) == 0 and len(o.agreement.members.voters) > 2
+            len(o.agreement.configuration.voters - {m.seat} - there) == 0
+            and len(o.agreement.configuration.voters) > 2
             for o in self.members.values()
-            if o.agreement.members.voters
+            if o.agreement.configuration.voters
         )
 
     def sever(self, links: set[tuple[str, str]], ms: float) -> None:
@@ -495,7 +522,7 @@
         self.fierce = False
         for m in self.members.values():
             m.full = m.slow = 0.0
-            m.agreement.rng = random.Random(m.seat.disk)
+            m.agreement.rng = random.Random(m.seat.disk_id)
             if m.up:
                 m.stalled = min(m.stalled, self.t)
                 self.wake(m, m.life)
@@ -515,15 +542,15 @@
         self.well()
 
     def leader(self) -> Member:
-        leading = [m for m in self.members.values() if m.up and m.agreement.leads()]
+        leading = [m for m in self.members.values() if m.up and m.agreement.is_established_leader()]
         if not leading:
             raise Unwell("nobody leads, though nothing is broken")
         return max(leading, key=lambda m: m.agreement.term)
 
     def well(self) -> None:
         led = self.leader()
-        if {seat.name for seat in led.agreement.members.voters} != self.wanted:
-            raise Unwell(f"{led.agreement.members} vote, not {sorted(self.wanted)}")
+        if {seat.name for seat in led.agreement.configuration.voters} != self.wanted:
+            raise Unwell(f"{led.agreement.configuration} vote, not {sorted(self.wanted)}")
         for duty in DUTIES:
-            if self.t - self.unheld[duty] > 2 * LEASE.ms:
+            if self.t - self.unheld[duty] > 2 * LEASE.duration_ms:
                 raise Unwell(f"nobody acts on {duty}")
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -6,10 +6,18 @@
 
 from harrieryoke.council.decide import duties as d
 from harrieryoke.council.decide.lease import Fence
-from harrieryoke.council.decide.lease_manager import best, score
-from harrieryoke.council.decide.log import founded, kept
-from harrieryoke.council.decide.messages import Append, AskVote, Knock, Members, Offer, Seat, Vote
-from harrieryoke.council.decide.raft import Agreement
+from harrieryoke.council.decide.lease_manager import preferred_member, rendezvous_score
+from harrieryoke.council.decide.log import bootstrap_snapshot, replay_records
+from harrieryoke.council.decide.messages import (
+    AppendEntries,
+    Configuration,
+    ForwardProposal,
+    JoinRequest,
+    ReplicaId,
+    RequestVote,
+    RequestVoteResponse,
+)
+from harrieryoke.council.decide.raft import Raft
 
 from .council_world import DUTIES, TOLD, World
 
@@ -30,42 +38,42 @@
     assert ends[0] == ends[1]
 
 
-A, B, C = Seat("a", 1), Seat("b", 2), Seat("c", 3)
+A, B, C = ReplicaId("a", 1), ReplicaId("b", 2), ReplicaId("c", 3)
 
 
-def voter(seat: Seat) -> Agreement:
-    return Agreement(seat, TOLD, kept([founded([A, B, C])]), 1, 0.0)
+def voter(seat: ReplicaId) -> Raft:
+    return Raft(seat, TOLD, replay_records([bootstrap_snapshot([A, B, C])]), 1, 0.0)
 
 
 def test_a_vote_leaves_only_when_it_is_written() -> None:
     a = voter(A)
-    a.receive(0.0, B, AskVote(7, 0, 0))
-    out = a.take()
-    assert not out.sends and len(out.saves) == 2  # the term, the vote
-    a.disk_done(1.0, out.saves[0].number)
-    assert not a.take().sends
-    a.disk_done(2.0, out.saves[1].number)
-    assert [send.message for send in a.take().sends] == [Vote(7, True)]
+    a.receive(0.0, B, RequestVote(7, 0, 0))
+    out = a.take_ready()
+    assert not out.messages and len(out.writes) == 2  # the term, the vote
+    a.records_written(1.0, out.writes[0].sequence)
+    assert not a.take_ready().messages
+    a.records_written(2.0, out.writes[1].sequence)
+    assert [send.message for send in a.take_ready().messages] == [RequestVoteResponse(7, True)]
 
 
 def test_an_offer_leaves_though_the_disk_takes_nothing() -> None:
     a = voter(A)
-    a.receive(0.0, B, Append(7, 0, 0, (), 0))
-    a.take()
-    assert not a.offer(1.0, b"it can't be done here")
-    assert [send.message for send in a.take().sends] == [Offer(b"it can't be done here")]
+    a.receive(0.0, B, AppendEntries(7, 0, 0, (), 0))
+    a.take_ready()
+    assert not a.propose(1.0, b"it can't be done here")
+    assert [send.message for send in a.take_ready().messages] == [ForwardProposal(b"it can't be done here")]
 
 
 def test_who_is_in_takes_no_room_at_the_door() -> None:
     world = World(3, 3, 1)
     world.run(4000)
     a = world.leader().agreement
-    inside = [*a.others(), *a.members.learners]
-    for seat in [*inside, *(Seat("x", n) for n in range(TOLD.knocks - len(inside)))]:
-        a.receive(a.now, seat, Knock())
+    inside = [*a.other_voters(), *a.configuration.learners]
+    for seat in [*inside, *(ReplicaId("x", n) for n in range(TOLD.max_join_requests - len(inside)))]:
+        a.receive(a.now, seat, JoinRequest())
     a.tick(a.now)
-    a.receive(a.now, Seat("late", 1), Knock())
-    assert Seat("late", 1) in a.knocks
+    a.receive(a.now, ReplicaId("late", 1), JoinRequest())
+    assert ReplicaId("late", 1) in a.join_requests
 
 
 def test_changes_that_no_majority_could_bear_are_refused() -> None:
@@ -73,14 +81,18 @@
     world.run(4000)
     led = world.leader()
     now, a = led.clock(world.t), led.agreement
-    other = a.others()[0]
-    learner = min(a.members.learners)
-    assert "more than one" in a.change(now, Members(frozenset({a.seat})))
-    assert "itself" in a.change(now, Members(a.members.voters - {a.seat}))
-    assert "learner" in a.change(now, Members(a.members.voters | {Seat("x", 9)}))
-    assert "twice" in a.change(now, Members(a.members.voters, frozenset({Seat(other.name, 9)})))
-    assert a.change(now, Members(a.members.voters | {learner})) == ""
-    assert "before it" in a.change(now, Members(a.members.voters - {other}))
+    other = a.other_voters()[0]
+    learner = min(a.configuration.learners)
+    assert "more than one" in a.change_configuration(now, Configuration(frozenset({a.replica})))
+    assert "itself" in a.change_configuration(now, Configuration(a.configuration.voters - {a.replica}))
+    assert "learner" in a.change_configuration(
+        now, Configuration(a.configuration.voters | {ReplicaId("x", 9)})
+    )
+    assert "twice" in a.change_configuration(
+        now, Configuration(a.configuration.voters, frozenset({ReplicaId(other.name, 9)}))
+    )
+    assert a.change_configuration(now, Configuration(a.configuration.voters | {learner})) == ""
+    assert "before it" in a.change_configuration(now, Configuration(a.configuration.voters - {other}))
 
 
 def test_one_that_lives_is_not_put_out_while_another_is_dead() -> None:
@@ -88,18 +100,20 @@
     world = World(3, 3, 1)
     world.run(4000)
     led = world.leader()
-    lives, dies = led.agreement.others()
+    lives, dies = led.agreement.other_voters()
     world.crash(world.members[dies.name])
     world.run(400)
-    voters = led.agreement.members.voters
-    assert "heard" in led.agreement.change(led.clock(world.t), Members(voters - {lives}))
+    voters = led.agreement.configuration.voters
+    assert "heard" in led.agreement.change_configuration(led.clock(world.t), Configuration(voters - {lives}))
     # one that has just begun to lead has heard nothing of the dead either
-    led.agreement.transfer(led.clock(world.t), lives)
+    led.agreement.transfer_leadership(led.clock(world.t), lives)
     heir = world.members[lives.name]
-    while not heir.agreement.leads():
+    while not heir.agreement.is_established_leader():
         world.run(1)
-    assert "heard" in heir.agreement.change(heir.clock(world.t), Members(voters - {led.seat}))
-    assert heir.agreement.change(heir.clock(world.t), Members(voters - {dies})) == ""
+    assert "heard" in heir.agreement.change_configuration(
+        heir.clock(world.t), Configuration(voters - {led.seat})
+    )
+    assert heir.agreement.change_configuration(heir.clock(world.t), Configuration(voters - {dies})) == ""
 
 
 def test_a_lost_disk_comes_back_as_another_seat() -> None:
@@ -110,7 +124,7 @@
     world.lose_disk(m, 100.0)
     world.run(12_000)
     world.well()
-    voters = world.leader().agreement.members.voters
+    voters = world.leader().agreement.configuration.voters
     assert m.seat in voters and old not in voters
 
 
@@ -121,7 +135,7 @@
     while world.t < end:
         world.run(1.0)
         for duty in DUTIES:
-            if any(m.up and m.holder.acting(duty, m.clock(world.t)) for m in world.members.values()):
+            if any(m.up and m.holder.acting_token(duty, m.clock(world.t)) for m in world.members.values()):
                 since[duty] = world.t
             longest = max(longest, world.t - since[duty])
     return longest
@@ -131,10 +145,10 @@
     world = World(6, 3, 2)
     world.run(6000)
     world.well()
-    busy = next(m for m in world.members.values() if m.holder.acting(DUTIES[0], m.clock(world.t)))
-    busy.holder.weigh(0.0)
+    busy = next(m for m in world.members.values() if m.holder.acting_token(DUTIES[0], m.clock(world.t)))
+    busy.holder.set_weight(0.0)
     assert gap(world, 3000.0) <= 14.0  # links take 1 to 12 ms
-    holder = next(m for m in world.members.values() if m.holder.acting(DUTIES[0], m.clock(world.t)))
+    holder = next(m for m in world.members.values() if m.holder.acting_token(DUTIES[0], m.clock(world.t)))
     world.crash(holder)
     assert 300.0 < gap(world, 5000.0) < 2.5 * 1000.0
 
@@ -142,28 +156,32 @@
 def test_who_cannot_says_why_and_another_does_it() -> None:
     world = World(8, 3, 0)
     world.run(6000)
-    m = next(m for m in world.members.values() if m.holder.acting("reconcile", m.clock(world.t)))
-    m.holder.cannot("reconcile", "the disk is full")
+    m = next(m for m in world.members.values() if m.holder.acting_token("reconcile", m.clock(world.t)))
+    m.holder.mark_unavailable("reconcile", "the disk is full")
     world.run(1000)
     led = world.leader()
-    assert led.duties.sessions[m.name].cannot == {"reconcile": "the disk is full"}
+    assert led.duties.sessions[m.name].unavailable == {"reconcile": "the disk is full"}
     assert led.duties.duties["reconcile"].holder not in ("", m.name)
 
 
 def test_the_fence_and_the_entries_under_a_token() -> None:
     fence = Fence()
     assert [fence.admit(token) for token in (0, 5, 7, 6, 7)] == [False, True, True, False, True]
-    assert fence.refused == 2
-    duties = d.Duties()
-    first: list[d.Command] = [d.Define(("x",)), d.Word("a", 1, 1, 1.0), d.Word("b", 2, 1, 1.0)]
-    for index, command in enumerate([*first, d.Grant("x", "a", 1), d.Heir("x", 4, "b", 2)], 1):
+    assert fence.rejected == 2
+    duties = d.DutyTable()
+    first: list[d.Command] = [
+        d.DefineDuties(("x",)),
+        d.RenewSession("a", 1, 1, 1.0),
+        d.RenewSession("b", 2, 1, 1.0),
+    ]
+    for index, command in enumerate([*first, d.GrantDuty("x", "a", 1), d.AssignSuccessor("x", 4, "b", 2)], 1):
         assert duties.apply(index, d.decode(d.encode(command)))
-    assert [duties.rightful("x", token) for token in (3, 4, 5, 4)] == [False, True, True, False]
-    assert not duties.apply(6, d.End("a", 1, 0))  # a later word came in between
-    assert duties.apply(7, d.Word("a", 1, 2, 1.0, gives={"x": 4}))
+    assert [duties.admit_token("x", token) for token in (3, 4, 5, 4)] == [False, True, True, False]
+    assert not duties.apply(6, d.EndSession("a", 1, 0))  # a later word came in between
+    assert duties.apply(7, d.RenewSession("a", 1, 2, 1.0, released={"x": 4}))
     assert (duties.duties["x"].holder, duties.duties["x"].token) == ("b", 5)
-    assert not duties.apply(8, d.Word("a", 1, 2, 1.0))
-    again = d.Duties()
+    assert not duties.apply(8, d.RenewSession("a", 1, 2, 1.0))
+    again = d.DutyTable()
     again.load(duties.dump())
     assert again.dump() == duties.dump()
 
@@ -171,8 +189,8 @@
 def test_the_spread_follows_weights_and_moves_little() -> None:
     names = [f"budget:{n}" for n in range(2000)]
     three = {m: d.Session(1, 1, w, {}) for m, w in (("a", 1.0), ("b", 1.0), ("c", 2.0))}
-    before = {name: best(name, three) for name in names}
+    before = {name: preferred_member(name, three) for name in names}
     assert abs(sum(who == "c" for who in before.values()) / 2000 - 0.5) < 0.05
     without = {m: s for m, s in three.items() if m != "b"}
-    assert all(best(name, without) == who for name, who in before.items() if who != "b")
-    assert score("x", "a", 2.0) > score("x", "a", 1.0) > 0
+    assert all(preferred_member(name, without) == who for name, who in before.items() if who != "b")
+    assert rendezvous_score("x", "a", 2.0) > rendezvous_score("x", "a", 1.0) > 0
--- a/tests/test_council_disk.py
+++ b/tests/test_council_disk.py
@@ -15,8 +15,16 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from harrieryoke.council import disk as module
-from harrieryoke.council.decide.log import Kept, kept
-from harrieryoke.council.decide.messages import Entry, Hard, Members, Save, Seat, Snapshot, Written
+from harrieryoke.council.decide.log import PersistentState, replay_records
+from harrieryoke.council.decide.messages import (
+    Configuration,
+    Entry,
+    HardState,
+    PendingWrite,
+    PersistentRecord,
+    ReplicaId,
+    Snapshot,
+)
 from harrieryoke.council.disk import Disk
 from harrieryoke.log import Log
 from harrieryoke.store import actor
@@ -27,7 +35,7 @@
 from .faulty import Crash
 from .faulty import Disk as Faulty
 
-ME, OTHER = Seat("a", 1), Seat("b", 2)
+ME, OTHER = ReplicaId("a", 1), ReplicaId("b", 2)
 TOLD = StoreSettings("x", segment_mb=0.002)
 
 
@@ -97,10 +105,10 @@
         assert self.told < number <= self.numbered, "out of order, or of what was never saved"
         self.told = number
 
-    def save(self, *records: Written) -> None:
+    def save(self, *records: PersistentRecord) -> None:
         self.numbered += len(records)
         first = self.numbered - len(records) + 1
-        self.disk.save([Save(first + n, record) for n, record in enumerate(records)])
+        self.disk.save([PendingWrite(first + n, record) for n, record in enumerate(records)])
 
     def settle(self) -> Life:
         """Until nothing more is told for a while."""
@@ -117,18 +125,18 @@
         gevent.sleep(0)
 
 
-def same(got: Kept, want: Kept) -> bool:
+def same(got: PersistentState, want: PersistentState) -> bool:
     """A snapshot that is no news may be missing: the log has what it stands for."""
     log = module.copied(got).log
-    if got.snapshot != want.snapshot and not log.install(want.snapshot):
+    if got.snapshot != want.snapshot and not log.install_snapshot(want.snapshot):
         return False
-    return (got.term, got.vote, log) == (want.term, want.vote, want.log)
+    return (got.term, got.voted_for, log) == (want.term, want.voted_for, want.log)
 
 
 class World(RuleBasedStateMachine):
     @initialize(seed=st.integers(0, 1000))
     def begin(self, seed: int) -> None:
-        self.folder, self.saved = Folder(seed), list[Written]()
+        self.folder, self.saved = Folder(seed), list[PersistentRecord]()
         self.life = Life(self.folder)
         self.seat, self.before = self.life.disk.seat, 0  # how much an earlier life had
 
@@ -144,7 +152,7 @@
             except StoreError:
                 self.folder.fail.clear()
         got = self.life.disk.kept
-        fits = [n for n in range(sure, len(self.saved) + 1) if same(got, kept(self.saved[:n]))]
+        fits = [n for n in range(sure, len(self.saved) + 1) if same(got, replay_records(self.saved[:n]))]
         assert fits, f"{got} is nothing that was saved from {sure} of {len(self.saved)} on"
         assert self.life.disk.seat == self.seat and not self.life.disk.lost
         self.before = fits[0]
@@ -157,18 +165,20 @@
     def save(self, run: list[tuple[str, int]], room: bool) -> None:
         self.life.disk.keeper.most = 1 << 20 if room else 5000  # of which the store keeps 4096 to itself
         for what, size in run:
-            now = kept(self.saved)
-            last, base = now.log.last(), now.snapshot.index
-            record: Written = Hard(now.term + size % 2, OTHER if size % 3 else None)
+            now = replay_records(self.saved)
+            last, base = now.log.last_index(), now.snapshot.index
+            record: PersistentRecord = HardState(now.term + size % 2, OTHER if size % 3 else None)
             if what == "e":
                 index = last + 1 if size % 5 or last == base else last  # or in the place of the last
-                members = Members(frozenset({ME})) if size > 190 else None
+                members = Configuration(frozenset({ME})) if size > 190 else None
                 record = Entry(index, now.term + 1, b"e" * size, members)
             elif what == "c" and last > base:
                 index = base + 1 + size % (last - base)
-                record = Snapshot(index, now.log.term(index) or 0, Members(), b"c" * size)
+                record = Snapshot(index, now.log.term_at(index) or 0, Configuration(), b"c" * size)
             elif what == "i":
-                record = Snapshot(last + 1 + size, now.term + 2, Members(frozenset({OTHER})), b"i" * size)
+                record = Snapshot(
+                    last + 1 + size, now.term + 2, Configuration(frozenset({OTHER})), b"i" * size
+                )
             self.saved.append(record)
             self.life.save(record)
 
@@ -244,11 +254,11 @@
     return Life(None, StoreSettings(str(path), segment_mb=0.01), name)
 
 
-def written(path: Path) -> Seat:
+def written(path: Path) -> ReplicaId:
     """A folder with 300 entries, and a snapshot of the first 200."""
     life = real(path)
-    life.save(Hard(1, ME), *entries(1, 200))
-    life.settle().save(Snapshot(200, 1, Members(), b"state"), *entries(201, 100))
+    life.save(HardState(1, ME), *entries(1, 200))
+    life.settle().save(Snapshot(200, 1, Configuration(), b"state"), *entries(201, 100))
     life.settle().disk.stop(1.0)
     assert life.told == 302
     return life.disk.seat
@@ -262,7 +272,7 @@
     life.settle()
     assert life.failed == ["[Errno 5] EIO"] and life.told == 3
     folder.failing_sync = True
-    life.save(*entries(4, 50), Snapshot(99, 2, Members(), b"news"), *entries(100, 5))
+    life.save(*entries(4, 50), Snapshot(99, 2, Configuration(), b"news"), *entries(100, 5))
     life.settle()
     assert life.told == 3 and "ENOSPC" in life.failed[-1]
     folder.failing_sync = False
@@ -282,7 +292,7 @@
     life.settle()
     assert 0 < life.told == life.disk.keeper.durable < 60 and life.failed
     folder.full_from = None
-    assert life.told <= Life(after_cut(life, folder)).disk.kept.log.last() < 60
+    assert life.told <= Life(after_cut(life, folder)).disk.kept.log.last_index() < 60
 
 
 def test_a_snapshot_that_fails_midway_leaves_the_one_before_and_the_records() -> None:
@@ -299,17 +309,17 @@
             assert not [name for name in folder.names() if name.endswith(".new")]
 
     life.disk.keeper.ask = ask  # type: ignore[method-assign, assignment]
-    life.save(*entries(1, 9), Snapshot(5, 1, Members(), b"state"), *entries(10, 1))
+    life.save(*entries(1, 9), Snapshot(5, 1, Configuration(), b"state"), *entries(10, 1))
     life.settle()
     assert life.told == 11 and not life.failed and not tries and not life.disk.wanted
-    life.save(Snapshot(6, 1, Members(), b"state"), *entries(11, 1))
+    life.save(Snapshot(6, 1, Configuration(), b"state"), *entries(11, 1))
     life.settle()
     assert life.told == 13 and not life.failed and "ENOSPC" in life.disk.ailing
-    life.save(Snapshot(20, 1, Members(), b"news"), *entries(21, 1))
+    life.save(Snapshot(20, 1, Configuration(), b"news"), *entries(21, 1))
     life.settle()
     assert life.told == 13 and "ENOSPC" in life.failed[0]
     again = Life(after_cut(life, folder)).disk.kept
-    assert again.snapshot.index == 5 and again.log.last() == 11
+    assert again.snapshot.index == 5 and again.log.last_index() == 11
 
 
 def test_what_follows_news_is_not_done_when_an_older_snapshot_is_written() -> None:
@@ -322,9 +332,9 @@
         asked(what)
 
     life.disk.keeper.ask = ask  # type: ignore[method-assign, assignment]
-    life.save(*entries(1, 3), Snapshot(2, 1, Members(), b"old"))
+    life.save(*entries(1, 3), Snapshot(2, 1, Configuration(), b"old"))
     life.settle()
-    life.save(Snapshot(9, 2, Members(), b"news"), *entries(10, 1))
+    life.save(Snapshot(9, 2, Configuration(), b"news"), *entries(10, 1))
     life.settle()
     assert life.told == 4
     life.disk.done = lambda number: heard.append((number, max(life.disk.keeper.store.snapshots)))
@@ -346,18 +356,18 @@
     for seed in range(150):
         folder = Folder(seed)
         life = Life(folder)
-        life.save(Hard(1, ME), *entries(1, 3))
+        life.save(HardState(1, ME), *entries(1, 3))
         life.settle()
         folder.fail[folder.operations + 2] = "crash"
         life.save(*entries(4, 10))
         life.settle()
         again = Life(after_cut(life, folder))
-        assert again.disk.seat == life.disk.seat and again.disk.kept.log.last() >= 3 == life.told - 1
-        last = again.disk.kept.log.last()
+        assert again.disk.seat == life.disk.seat and again.disk.kept.log.last_index() >= 3 == life.told - 1
+        last = again.disk.kept.log.last_index()
         holes += again.disk.log.totals.get("store-cut", 0)
         again.save(*entries(last + 1, 2))
         again.settle()
-        assert Life(after_cut(again, folder)).disk.kept.log.last() == last + 2
+        assert Life(after_cut(again, folder)).disk.kept.log.last_index() == last + 2
     assert holes > 50
 
 
@@ -378,11 +388,11 @@
         file.write_bytes(data)
     there = {file.name: file.read_bytes() for file in path.iterdir()}
     again = real(path)
-    assert again.disk.lost and not again.disk.fresh and again.disk.kept == Kept()
+    assert again.disk.lost and not again.disk.fresh and again.disk.kept == PersistentState()
     assert again.disk.seat.name == "a" and again.disk.seat != seat
     (aside,) = tmp_path.glob("data.lost-*")
     assert {file.name: file.read_bytes() for file in aside.iterdir()} == there
-    again.save(Hard(7, None))
+    again.save(HardState(7, None))
     again.settle().disk.stop(1.0)
     third = real(path).disk
     assert (third.seat, third.kept.term, third.lost) == (again.disk.seat, 7, "")
@@ -391,7 +401,7 @@
 def test_a_bad_snapshot_is_a_lost_disk_though_all_records_are_there(tmp_path: Path) -> None:
     """It may have brought more than they say."""
     life = real(tmp_path / "data")
-    life.save(*entries(1, 3), Snapshot(50, 2, Members(), b"news"))
+    life.save(*entries(1, 3), Snapshot(50, 2, Configuration(), b"news"))
     life.settle().disk.stop(1.0)
     max(tmp_path.glob("data/*.snap")).write_bytes(b"damaged")
     assert "can't be read" in real(tmp_path / "data").disk.lost
@@ -403,7 +413,7 @@
         real(tmp_path / "a", "b")
     life = real(tmp_path / "a")
     assert life.disk.seat == seat and life.disk.kept.snapshot.data == b"state" and not life.disk.fresh
-    assert life.disk.kept.log.last() == 300 and life.disk.kept.vote == ME
+    assert life.disk.kept.log.last_index() == 300 and life.disk.kept.voted_for == ME
     with pytest.raises(StoreError, match="another process"):
         real(tmp_path / "a")
     ledger = Store(RealFiles(str(tmp_path / "ledger")), TOLD, 0.0)
@@ -428,7 +438,7 @@
 def test_snapshots_bound_what_is_on_the_disk(tmp_path: Path) -> None:
     life, most = real(tmp_path), 0
     for n in range(1, 4001, 100):
-        life.save(*entries(n, 100), Snapshot(n + 99, 1, Members(), b"state" * 100))
+        life.save(*entries(n, 100), Snapshot(n + 99, 1, Configuration(), b"state" * 100))
         life.settle()
         most = max(most, sum(file.stat().st_size for file in tmp_path.iterdir()))
     assert life.told == 4040 and most < 150_000
