--- a/tests/test_council_faults.py
+++ b/tests/test_council_faults.py
@@ -9,62 +9,76 @@
 import pytest
 
 from harrieryoke.council.decide import duties as d
-from harrieryoke.council.decide.lease import Fence, Holder, Lease, Passed
-from harrieryoke.council.decide.lease_manager import Steward
-from harrieryoke.council.decide.messages import Ack, Append, AskVote, Entry, Members, Message, Seat, Send
-from harrieryoke.council.decide.raft import Agreement
+from harrieryoke.council.decide.lease import DutyHandover, Fence, Lease, LeaseHolder
+from harrieryoke.council.decide.lease_manager import LeaseManager
+from harrieryoke.council.decide.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    Configuration,
+    Entry,
+    Message,
+    OutgoingMessage,
+    ReplicaId,
+    RequestVote,
+)
+from harrieryoke.council.decide.raft import Raft
 
 from . import council_world
 from .council_world import DUTIES, Member, Parts, Unwell, Violation, World
 
 
-class VoteNotWritten(Agreement):
-    def save_hard(self) -> None:
-        if self.vote in (None, self.seat):
-            super().save_hard()
+class VoteNotWritten(Raft):
+    def write_hard_state(self) -> None:
+        if self.voted_for in (None, self.replica):
+            super().write_hard_state()
 
 
-class AnswersBeforeItWrote(Agreement):
-    def put(self, after: int, send: Send) -> None:
-        super().put(0, send)
+class AnswersBeforeItWrote(Raft):
+    def send_after_write(self, after: int, send: OutgoingMessage) -> None:
+        super().send_after_write(0, send)
 
 
-class TakesAnyLog(Agreement):
+class TakesAnyLog(Raft):
     """Votes for one whose log lacks what is agreed."""
 
-    def asked(self, sender: Seat, m: AskVote) -> None:
-        super().asked(sender, AskVote(m.term, 1 << 40, 1 << 40, m.pre, m.force))
+    def handle_request_vote(self, sender: ReplicaId, m: RequestVote) -> None:
+        super().handle_request_vote(
+            sender, RequestVote(m.term, 1 << 40, 1 << 40, m.pre_vote, m.leadership_transfer)
+        )
 
 
-class KeepsWhatDoesNotFit(Agreement):
+class KeepsWhatDoesNotFit(Raft):
     """Says yes without looking at the term before."""
 
-    def append(self, leader: Seat, m: Append) -> None:
-        term = self.log.term(m.prev)
-        super().append(leader, m if term is None else Append(m.term, m.prev, term, m.entries, m.commit))
+    def handle_append_entries(self, leader: ReplicaId, m: AppendEntries) -> None:
+        term = self.log.term_at(m.prev_log_index)
+        super().handle_append_entries(
+            leader,
+            m if term is None else AppendEntries(m.term, m.prev_log_index, term, m.entries, m.leader_commit),
+        )
 
 
-class CountsFromTheAnswer(Holder):
-    def turn(self, now: float) -> list[d.Word | Passed]:
-        session = self.duties.session(self.member, self.life)
-        if session is not None and session.number in self.asked:
-            self.asked[session.number] = now
-        return super().turn(now)
+class CountsFromTheAnswer(LeaseHolder):
+    def tick(self, now: float) -> list[d.RenewSession | DutyHandover]:
+        session = self.duties.open_session(self.member, self.incarnation)
+        if session is not None and session.sequence in self.renewal_times:
+            self.renewal_times[session.sequence] = now
+        return super().tick(now)
 
 
-class KnowsNoDrift(Steward):
-    def note(self, now: float) -> None:
-        super().note(now)
-        for member, (life, number, at) in self.heard.items():
-            if now - at >= self.lease.ms:
-                self.heard[member] = life, number, at - self.lease.over()
+class KnowsNoDrift(LeaseManager):
+    def observe_sessions(self, now: float) -> None:
+        super().observe_sessions(now)
+        for member, (life, number, at) in self.last_renewals.items():
+            if now - at >= self.lease.duration_ms:
+                self.last_renewals[member] = life, number, at - self.lease.expiry_bound_ms()
 
 
-class PassesOnAndActs(Holder):
-    def pass_on(self) -> list[Passed]:
-        before = dict(self.dropped)
-        out = super().pass_on()
-        self.dropped = before
+class PassesOnAndActs(LeaseHolder):
+    def hand_over_duties(self) -> list[DutyHandover]:
+        before = dict(self.released)
+        out = super().hand_over_duties()
+        self.released = before
         return out
 
 
@@ -73,42 +87,44 @@
         return True
 
 
-class CountsItselfUnwritten(Agreement):
-    def advance(self) -> None:
-        self.durable = self.log.last()
-        super().advance()
+class CountsItselfUnwritten(Raft):
+    def advance_commit_index(self) -> None:
+        self.durable_index = self.log.last_index()
+        super().advance_commit_index()
 
 
-class SeveralAtOnce(Agreement):
-    def change(self, now: float, wanted: Members) -> str:
-        self.propose(Entry(self.log.last() + 1, self.term, members=wanted))
+class SeveralAtOnce(Raft):
+    def change_configuration(self, now: float, wanted: Configuration) -> str:
+        self.append_and_replicate(Entry(self.log.last_index() + 1, self.term, members=wanted))
         return ""
 
 
-class ActsAtOnceAgain(Holder):
+class ActsAtOnceAgain(LeaseHolder):
     """What it once could not do it does again before the others have heard so."""
 
-    def can(self, name: str) -> None:
-        super().can(name)
-        self.shut.pop(name, None)
+    def mark_available(self, name: str) -> None:
+        super().mark_available(name)
+        self.unavailable_since.pop(name, None)
 
 
-class NoPreVote(Agreement):
-    def ask(self) -> None:
-        self.stand()
+class NoPreVote(Raft):
+    def start_pre_vote(self) -> None:
+        self.start_election()
 
 
-class AcksItsTail(Agreement):
-    def send(self, to: Seat | None, message: Message, after: int = 0) -> None:
-        if isinstance(message, Ack) and message.ok:
-            message = Ack(message.term, True, self.log.last())
-        super().send(to, message, after)
+class AcksItsTail(Raft):
+    def send(self, to: ReplicaId | None, message: Message, after_sequence: int = 0) -> None:
+        if isinstance(message, AppendEntriesResponse) and message.success:
+            message = AppendEntriesResponse(message.term, True, self.log.last_index())
+        super().send(to, message, after_sequence)
 
 
-class EndsWhatWasRenewed(d.Duties):
+class EndsWhatWasRenewed(d.DutyTable):
     def apply(self, index: int, command: d.Command) -> bool:
-        if isinstance(command, d.End) and (session := self.session(command.member, command.life)):
-            command = d.End(command.member, command.life, session.number)
+        if isinstance(command, d.EndSession) and (
+            session := self.open_session(command.member, command.incarnation)
+        ):
+            command = d.EndSession(command.member, command.incarnation, session.sequence)
         return super().apply(index, command)
 
 
@@ -142,7 +158,7 @@
     a, b, c = (world.members[name] for name in "abc")
     world.sever({("a", "c"), ("b", "c")}, 60_000)
     world.run(1000)  # it hears no leader any more
-    ask = AskVote(50, 1 << 20, 50)
+    ask = RequestVote(50, 1 << 20, 50)
     c.full = world.t + (600 if how == "full" else 0)
     world.at_member(c, c.life, partial(world.receive, c, a.seat, ask))
     world.run(500)
@@ -150,7 +166,7 @@
         world.lose_disk(c, 10)
         world.run(100)
         # its leader let it in again before
-        c.agreement.configs = list(b.agreement.configs)
+        c.agreement.configurations = list(b.agreement.configurations)
     else:
         world.crash(c, 10)
         world.run(100)
@@ -182,7 +198,7 @@
     holder = next(
         m
         for m in world.members.values()
-        if m is not led and any(m.holder.acting(duty, m.clock(world.t)) for duty in DUTIES)
+        if m is not led and any(m.holder.acting_token(duty, m.clock(world.t)) for duty in DUTIES)
     )
     for m in world.members.values():
         m.drift(world.t, 0.8 if m is holder else 1.2)
@@ -224,9 +240,9 @@
     world.run(4000)
     led = world.leader()
     world.cut |= around(world, led)
-    wanted = Members(frozenset({led.seat}), led.agreement.members.voters - {led.seat})
+    wanted = Configuration(frozenset({led.seat}), led.agreement.configuration.voters - {led.seat})
     # with what is due after it, so that it is on its way before the leader wants anything else
-    world.at_member(led, led.life, lambda: led.agreement.change(led.clock(world.t), wanted))
+    world.at_member(led, led.life, lambda: led.agreement.change_configuration(led.clock(world.t), wanted))
     world.run(4000)
 
 
@@ -239,11 +255,11 @@
         (m, duty)
         for m in world.members.values()
         for duty in DUTIES
-        if m is not led and m.holder.acting(duty, m.clock(world.t))
+        if m is not led and m.holder.acting_token(duty, m.clock(world.t))
     )
     world.cut |= {(name, m.name) for name in world.members}
-    world.at_member(m, m.life, partial(m.holder.cannot, duty, "behind"))
-    world.later(1, m, partial(m.holder.can, duty))
+    world.at_member(m, m.life, partial(m.holder.mark_unavailable, duty, "behind"))
+    world.later(1, m, partial(m.holder.mark_available, duty))
     world.run(3000)
 
 
--- a/tests/test_council_link.py
+++ b/tests/test_council_link.py
@@ -11,8 +11,8 @@
 import pytest
 from gevent import socket
 
-from harrieryoke.council.decide.lease import Passed
-from harrieryoke.council.decide.messages import Knock, Message, Now, Offer, Seat
+from harrieryoke.council.decide.lease import DutyHandover
+from harrieryoke.council.decide.messages import ForwardProposal, JoinRequest, Message, ReplicaId, TimeoutNow
 from harrieryoke.council.handshake import say_hello
 from harrieryoke.council.link import Links, LinkTold
 from harrieryoke.council.wire.codec import MOST_FRAME, pb
@@ -44,12 +44,12 @@
 class Member:
     """Links, what they heard and what they logged."""
 
-    def __init__(self, seat: Seat, told: LinkTold) -> None:
+    def __init__(self, seat: ReplicaId, told: LinkTold) -> None:
         self.seat, self.log = seat, Lines()
-        self.heard: list[tuple[Seat, Message | Passed]] = []
+        self.heard: list[tuple[ReplicaId, Message | DutyHandover]] = []
         self.links = Links(seat, told, self.log, 7, lambda *said: self.heard.append(said))
 
-    def said(self) -> list[Message | Passed]:
+    def said(self) -> list[Message | DutyHandover]:
         return [message for _, message in self.heard]
 
     def status(self, name: str) -> Any:
@@ -76,7 +76,7 @@
         return LinkTold(**(short | other))
 
     def start(self, name: str, disk: int = 1, **other: Any) -> Member:
-        made = Member(Seat(name, disk), self.told(name, **other))
+        made = Member(ReplicaId(name, disk), self.told(name, **other))
         made.links.start()
         self.running.append(made)
         return made
@@ -94,16 +94,16 @@
         """A listener at that member's address, for the test to answer as it likes."""
         return self.listening(*self.members[name])
 
-    def welcome(self, listener: Any, seat: Seat) -> Any:
+    def welcome(self, listener: Any, seat: ReplicaId) -> Any:
         sock, _ = listener.accept()
         self.socks.append(sock)
         sock.recv(4096)
         sock.sendall(
-            encode(pb.Frame(welcome=pb.Welcome(version=1, seat=pb.Seat(name=seat.name, disk=seat.disk))))
+            encode(pb.Frame(welcome=pb.Welcome(version=1, seat=pb.Seat(name=seat.name, disk=seat.disk_id))))
         )
         return sock
 
-    def dial(self, to: str, seat: Seat, **change: Any) -> Any:
+    def dial(self, to: str, seat: ReplicaId, **change: Any) -> Any:
         """By hand, with a hello that may be changed."""
         source = (self.members.get(seat.name, ("127.0.0.1", 0))[0], 0)
         sock = socket.create_connection(self.members[to], 2.0, source)
@@ -141,8 +141,8 @@
         return True
 
 
-def offers(begin: int, end: int, size: int = 8) -> list[Offer]:
-    return [Offer(at.to_bytes(8) + bytes(size - 8)) for at in range(begin, end)]
+def offers(begin: int, end: int, size: int = 8) -> list[ForwardProposal]:
+    return [ForwardProposal(at.to_bytes(8) + bytes(size - 8)) for at in range(begin, end)]
 
 
 # --- who is heard ---
@@ -152,11 +152,11 @@
     a, b, c = fleet.start("a", 1), fleet.start("b", 2), fleet.start("c", 3)
     for one in offers(0, 100):
         a.links.send(b.seat, one)
-    b.links.send(None, Knock())
-    b.links.send_to(["a", "b", "c"], Passed("a", "reconcile", 9))
+    b.links.send(None, JoinRequest())
+    b.links.send_to(["a", "b", "c"], DutyHandover("a", "reconcile", 9))
     until(lambda: len(b.heard) == 100 and len(a.heard) == 2 and len(c.heard) == 2)
     assert b.heard == [(a.seat, one) for one in offers(0, 100)]
-    assert a.heard == c.heard == [(b.seat, Knock()), (b.seat, Passed("a", "reconcile", 9))]
+    assert a.heard == c.heard == [(b.seat, JoinRequest()), (b.seat, DutyHandover("a", "reconcile", 9))]
     assert a.status("b") == {
         "connected": True,
         "queued": 0,
@@ -190,7 +190,7 @@
     a, b = fleet.start("a", **here(fleet)), fleet.start("b", **there(fleet))
     c = fleet.start("c")
     refuser = c if "'c'" in why and "wanted" in why else b
-    a.links.send_to(["b"], Knock())
+    a.links.send_to(["b"], JoinRequest())
     until(lambda: why in a.status("b")["refused"])
     times = refuser.log.totals["council-refused"]
     # it dials again after a pause, with the same end: told once at both sides
@@ -205,14 +205,14 @@
 
 def test_versions_are_agreed_or_refused(fleet: Fleet) -> None:
     fleet.start("b")
-    assert answer(fleet.dial("b", Seat("a", 1), version=5)).welcome.version == 1
-    assert "versions 2 to 5" in answer(fleet.dial("b", Seat("a", 1), version=5, least=2)).refused.why
-    assert "versions 1 to 0" in answer(fleet.dial("b", Seat("a", 1), version=0)).refused.why
+    assert answer(fleet.dial("b", ReplicaId("a", 1), version=5)).welcome.version == 1
+    assert "versions 2 to 5" in answer(fleet.dial("b", ReplicaId("a", 1), version=5, least=2)).refused.why
+    assert "versions 1 to 0" in answer(fleet.dial("b", ReplicaId("a", 1), version=0)).refused.why
 
 
 def test_a_refused_member_pauses_long_and_a_broken_one_does_not(fleet: Fleet) -> None:
     a, b = fleet.start("a", pause_ms=1.0, pause_most_ms=400.0), fleet.plays("b")
-    a.links.send_to(["b"], Knock())
+    a.links.send_to(["b"], JoinRequest())
     for _ in range(3):
         sock, _ = b.accept()
         sock.close()
@@ -226,8 +226,8 @@
 
 def test_somebody_else_at_a_members_address_gets_nothing(fleet: Fleet) -> None:
     a, b = fleet.start("a"), fleet.plays("b")
-    a.links.send_to(["b"], Knock())
-    sock = fleet.welcome(b, Seat("c", 1))
+    a.links.send_to(["b"], JoinRequest())
+    sock = fleet.welcome(b, ReplicaId("c", 1))
     assert closed(sock)
     until(lambda: a.log.of("council-bad-frame"))
     assert "'c' answers where 'b' should" in a.log.of("council-bad-frame")[0]
@@ -235,16 +235,16 @@
 
 def test_one_of_two_disks_is_heard_under_a_name(fleet: Fleet) -> None:
     b = fleet.start("b", silent_ms=150.0)
-    first, again = fleet.dial("b", Seat("a", 1)), None
+    first, again = fleet.dial("b", ReplicaId("a", 1)), None
     assert answer(first).HasField("welcome")
-    again = fleet.dial("b", Seat("a", 1))
+    again = fleet.dial("b", ReplicaId("a", 1))
     assert answer(again).HasField("welcome") and closed(first)
-    assert "another disk (1)" in answer(fleet.dial("b", Seat("a", 2))).refused.why
+    assert "another disk (1)" in answer(fleet.dial("b", ReplicaId("a", 2))).refused.why
     until(lambda: time.monotonic() - b.links.listener.heard["a"].heard > 0.15)
-    other = fleet.dial("b", Seat("a", 2))
+    other = fleet.dial("b", ReplicaId("a", 2))
     assert answer(other).HasField("welcome") and closed(again)
     other.sendall(encode(pb.Frame(knock=pb.Knock())))
-    until(lambda: b.heard == [(Seat("a", 2), Knock())])
+    until(lambda: b.heard == [(ReplicaId("a", 2), JoinRequest())])
 
 
 # --- what can't be read ---
@@ -265,20 +265,20 @@
 )
 def test_bad_bytes_end_the_connection_and_are_told(fleet: Fleet, bytes_: bytes, told: str) -> None:
     b, c = fleet.start("b", write_ms=50.0), fleet.start("c")
-    sock = fleet.dial("b", Seat("a", 1))
+    sock = fleet.dial("b", ReplicaId("a", 1))
     assert answer(sock).HasField("welcome")
     sock.sendall(bytes_)
-    c.links.send(b.seat, Knock())  # others are heard meanwhile
+    c.links.send(b.seat, JoinRequest())  # others are heard meanwhile
     until(lambda: b.heard)
     assert closed(sock)
     assert told in b.log.of("council-bad-frame")[0]
-    assert b.heard == [(c.seat, Knock())] and list(b.links.listener.heard) == ["c"]
+    assert b.heard == [(c.seat, JoinRequest())] and list(b.links.listener.heard) == ["c"]
 
 
 def test_strangers_hold_no_place_for_long(fleet: Fleet) -> None:
     a, b = fleet.start("a"), fleet.start("b", incoming=3, hello_ms=300.0)
     silent = [socket.create_connection(fleet.members["b"], 2.0) for _ in range(5)]
-    a.links.send(b.seat, Knock())
+    a.links.send(b.seat, JoinRequest())
     until(lambda: b.heard)
     assert not a.log.lines, "it had to dial again"
     assert closed(silent[0]) and len(b.links.listener.open) <= 3
@@ -292,8 +292,8 @@
 def test_who_does_not_read_blocks_nobody_and_loses_the_oldest(fleet: Fleet) -> None:
     a, c = fleet.start("a", queue=20, write_ms=100.0), fleet.start("c")
     listener = fleet.plays("b")
-    a.links.send_to(["b"], Knock())
-    deaf = fleet.welcome(listener, Seat("b", 1))
+    a.links.send_to(["b"], JoinRequest())
+    deaf = fleet.welcome(listener, ReplicaId("b", 1))
     until(lambda: a.status("b")["connected"])
     way = a.links.peers["b"].sock
     way.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)  # else it takes them all
@@ -302,10 +302,10 @@
     ran: list[int] = []
     gevent.spawn(ran.append, 1)
     for one in offers(0, 200, 100_000):
-        a.links.send(Seat("b", 1), one)
+        a.links.send(ReplicaId("b", 1), one)
     assert not ran, "a sender waited"
     assert a.status("b")["queued"] == 20 and a.status("b")["dropped"] == 180
-    a.links.send(c.seat, Knock())
+    a.links.send(c.seat, JoinRequest())
     until(lambda: c.heard)
     until(lambda: a.log.of("council-lost") == ["council-lost b: it does not read"])  # in the midst of a frame
     deaf.close()
@@ -323,16 +323,16 @@
     a = fleet.start("a", queue_bytes=1000)
     for one in offers(0, 5, 300):
         a.links.send_to(["b"], one)
-    a.links.send_to(["c"], Offer(bytes(1001)))
+    a.links.send_to(["c"], ForwardProposal(bytes(1001)))
     assert (a.status("b")["queued"], a.status("b")["dropped"]) == (3, 2)
     assert (a.status("c")["queued"], a.status("c")["dropped"]) == (0, 1)
 
 
 def test_what_can_go_nowhere_is_told_once(fleet: Fleet) -> None:
     a = fleet.start("a")
-    a.links.send_to(["b"], Offer(bytes(MOST_FRAME)))
+    a.links.send_to(["b"], ForwardProposal(bytes(MOST_FRAME)))
     for _ in range(3):
-        a.links.send(Seat("d", 1), Knock())
+        a.links.send(ReplicaId("d", 1), JoinRequest())
     assert a.log.lines == [
         f"council-too-large Offer of {MOST_FRAME + 14} bytes is not sent",
         "council-no-address 'd' is agreed to be a member and is not in members here",
@@ -345,62 +345,62 @@
 
 def test_a_cut_link_is_dialled_again(fleet: Fleet) -> None:
     a, b = fleet.start("a"), fleet.start("b")
-    a.links.send(b.seat, Now(1))
+    a.links.send(b.seat, TimeoutNow(1))
     until(lambda: b.heard)
     b.links.listener.heard["a"].sock.shutdown(socket.SHUT_RDWR)
     until(lambda: not a.status("b")["connected"])
     assert a.log.of("council-lost")
-    a.links.send(b.seat, Now(2))
+    a.links.send(b.seat, TimeoutNow(2))
     until(lambda: len(b.heard) == 2)
-    assert b.said() == [Now(1), Now(2)] and a.log.of("council-reached")
+    assert b.said() == [TimeoutNow(1), TimeoutNow(2)] and a.log.of("council-reached")
 
 
 def test_one_that_dials_is_dialled_at_once(fleet: Fleet) -> None:
     a = fleet.start("a", pause_ms=60_000.0, pause_most_ms=60_000.0)
-    a.links.send_to(["b"], Now(1))
+    a.links.send_to(["b"], TimeoutNow(1))
     until(lambda: "refused" in a.status("b")["lost"])
     a.links.peers["b"].told = fleet.told("a")  # the pause has begun; what comes after it is short
     b = fleet.start("b")
-    b.links.send(a.seat, Now(2))
+    b.links.send(a.seat, TimeoutNow(2))
     until(lambda: a.heard and b.heard)
 
 
 def test_a_restart_with_another_disk_gets_nothing_of_the_old_seat(fleet: Fleet) -> None:
     a, old = fleet.start("a"), fleet.start("b", 1)
-    a.links.send(old.seat, Now(1))
+    a.links.send(old.seat, TimeoutNow(1))
     until(lambda: old.heard)
     old.links.stop()
     until(lambda: not a.status("b")["connected"])
-    a.links.send(Seat("b", 1), Now(2))
-    a.links.send(Seat("b", 2), Now(3))
-    a.links.send_to(["b"], Now(4))
-    a.links.send(Seat("b", 1), Now(5))
+    a.links.send(ReplicaId("b", 1), TimeoutNow(2))
+    a.links.send(ReplicaId("b", 2), TimeoutNow(3))
+    a.links.send_to(["b"], TimeoutNow(4))
+    a.links.send(ReplicaId("b", 1), TimeoutNow(5))
     new = fleet.start("b", 2)
     until(lambda: a.status("b")["queued"] == 0 and len(new.heard) == 2)
-    assert new.said() == [Now(3), Now(4)] and a.status("b")["dropped"] == 2
+    assert new.said() == [TimeoutNow(3), TimeoutNow(4)] and a.status("b")["dropped"] == 2
 
 
 def test_a_machine_that_went_without_a_word_is_found_under_its_new_seat(fleet: Fleet) -> None:
     a, listener = fleet.start("a"), fleet.plays("b")
-    a.links.send_to(["b"], Now(1))
-    fleet.welcome(listener, Seat("b", 1))  # and this connection stays as it is
+    a.links.send_to(["b"], TimeoutNow(1))
+    fleet.welcome(listener, ReplicaId("b", 1))  # and this connection stays as it is
     until(lambda: a.status("b")["sent"] == 1)
     listener.close()
     b = fleet.start("b", 2)
-    a.links.send(b.seat, Now(2))
+    a.links.send(b.seat, TimeoutNow(2))
 
     def again() -> bool:
-        a.links.send(b.seat, Now(3))
+        a.links.send(b.seat, TimeoutNow(3))
         return bool(b.heard)
 
     until(again)
-    assert set(b.said()) <= {Now(2), Now(3)}
+    assert set(b.said()) <= {TimeoutNow(2), TimeoutNow(3)}
 
 
 def test_an_idle_link_is_closed_and_costs_no_greenlet(fleet: Fleet) -> None:
     a, b = fleet.start("a", idle_ms=30.0), fleet.start("b")
     for at in (1, 2):
-        a.links.send(b.seat, Now(at))
+        a.links.send(b.seat, TimeoutNow(at))
         until(lambda at=at: len(b.heard) == at)  # type: ignore[misc]
         until(lambda: not a.links.peers["b"].running and not b.links.listener.open)
         assert not a.status("b")["connected"]
@@ -429,7 +429,7 @@
     members = fleet.members | {f"n{at}": ("127.0.0.1", 1 + at) for at in range(40)}
     for name in members.keys() - {"gone"}:
         told = LinkTold(HIVES, ("127.0.0.1", 0), members)
-        peer = Member(Seat(name, 1), told).links.peers["gone"]
+        peer = Member(ReplicaId(name, 1), told).links.peers["gone"]
         times[name] = [0.0]
 
         peer.awake = Pauses(peer, times[name])
@@ -446,12 +446,12 @@
 
 def test_what_is_queued_goes_out_before_the_end(fleet: Fleet) -> None:
     a, b = fleet.start("a"), fleet.start("b")
-    a.links.send(b.seat, Now(1))
+    a.links.send(b.seat, TimeoutNow(1))
     until(lambda: b.heard)
     for one in offers(0, 50):
         a.links.send(b.seat, one)
     a.links.stop()
     until(lambda: len(b.heard) == 51)
-    a.links.send(b.seat, Now(2))
+    a.links.send(b.seat, TimeoutNow(2))
     gevent.sleep(0)
     assert not a.links.peers["b"].running
--- a/tests/test_council_part.py
+++ b/tests/test_council_part.py
@@ -12,11 +12,11 @@
 from msgspec.structs import replace
 
 from harrieryoke.council.actor import CouncilActor, boot_ms
-from harrieryoke.council.decide.duties import MOST_BODY
-from harrieryoke.council.decide.lease import Fence, Passed
-from harrieryoke.council.decide.lease_manager import best
-from harrieryoke.council.decide.log import Kept, founded, kept
-from harrieryoke.council.decide.messages import Knock, Message, Save, Seat
+from harrieryoke.council.decide.duties import MAX_BODY_BYTES
+from harrieryoke.council.decide.lease import DutyHandover, Fence
+from harrieryoke.council.decide.lease_manager import preferred_member
+from harrieryoke.council.decide.log import PersistentState, bootstrap_snapshot, replay_records
+from harrieryoke.council.decide.messages import JoinRequest, Message, PendingWrite, ReplicaId
 from harrieryoke.council.decide.raft import Role
 from harrieryoke.council.disk import Disk
 from harrieryoke.council.part import CouncilPart
@@ -59,13 +59,13 @@
     """A disk that takes a moment, or nothing."""
 
     def __init__(self, name: str, number: int, first: bool) -> None:
-        self.seat = Seat(name, number)
-        self.kept = kept([founded([self.seat])]) if first else Kept()
-        self.full, self.waiting = False, list[Save]()
+        self.seat = ReplicaId(name, number)
+        self.kept = replay_records([bootstrap_snapshot([self.seat])]) if first else PersistentState()
+        self.full, self.waiting = False, list[PendingWrite]()
         self.done: Callable[[int], object] = lambda number: None
         self.failed: Callable[[str], object] = lambda why: None
 
-    def save(self, saves: list[Save]) -> None:
+    def save(self, saves: list[PendingWrite]) -> None:
         self.waiting += saves
         gevent.spawn_later(0.001, self.sync)
 
@@ -74,7 +74,7 @@
             self.failed("no space left")
             gevent.spawn_later(0.02, self.sync)
         elif self.waiting:
-            number, self.waiting = self.waiting[-1].number, []
+            number, self.waiting = self.waiting[-1].sequence, []
             self.done(number)
 
 
@@ -91,8 +91,8 @@
             disk.done, disk.failed = actor.disk_done, actor.disk_failed
             actor.start()
 
-    def deliver(self, sender: str, to: str, message: Message | Passed) -> None:
-        gevent.spawn_later(0.001, self.actors[to].hear, self.actors[sender].agreement.seat, message)
+    def deliver(self, sender: str, to: str, message: Message | DutyHandover) -> None:
+        gevent.spawn_later(0.001, self.actors[to].hear, self.actors[sender].agreement.replica, message)
 
     def holders(self, duty: str) -> dict[str, int]:
         found = {name: token for name, a in self.actors.items() if (token := a.acting(duty))}
@@ -105,19 +105,22 @@
 
     def leader(self) -> CouncilActor:
         """Where two think they lead, the later; where none does, the first."""
-        return max(self.actors.values(), key=lambda a: (a.agreement.leads(), a.agreement.term, not a.over))
+        return max(
+            self.actors.values(),
+            key=lambda a: (a.agreement.is_established_leader(), a.agreement.term, not a.over),
+        )
 
 
 class Paths:
     def __init__(self, town: Town, me: str) -> None:
         self.town, self.me = town, me
 
-    def send(self, to: Seat | None, message: Message | Passed) -> None:
+    def send(self, to: ReplicaId | None, message: Message | DutyHandover) -> None:
         for name in self.town.actors.keys() - {self.me}:
             if to is None or to == self.town.disks[name].seat:
                 self.town.deliver(self.me, name, message)
 
-    def send_to(self, names: Iterable[str], message: Message | Passed) -> None:
+    def send_to(self, names: Iterable[str], message: Message | DutyHandover) -> None:
         for name in names:
             self.town.deliver(self.me, name, message)
 
@@ -125,7 +128,7 @@
 @pytest.fixture
 def town() -> Iterator[Town]:
     made = Town("abcd", "abc")
-    until(lambda: made.all_held() and len(made.leader().agreement.members.voters) == 3)
+    until(lambda: made.all_held() and len(made.leader().agreement.configuration.voters) == 3)
     yield made
     for actor in made.actors.values():
         actor.over = True
@@ -135,7 +138,7 @@
 def settled(town: Town) -> dict[str, str]:
     """Who holds what, when all are there and each duty is where it belongs."""
     until(lambda: len(town.leader().duties.sessions) == len(town.actors))
-    wanted = {duty: best(duty, town.leader().duties.sessions) for duty in DUTIES}
+    wanted = {duty: preferred_member(duty, town.leader().duties.sessions) for duty in DUTIES}
     until(lambda: all(list(town.holders(duty)) == [wanted[duty]] for duty in DUTIES))
     return {duty: name for duty, name in wanted.items() if name is not None}
 
@@ -143,9 +146,9 @@
 def holder(town: Town, leads: bool) -> tuple[CouncilActor, list[str]]:
     """A voter with duties, which leads or does not."""
     held, led = settled(town), town.leader().agreement
-    name = next(n for n in held.values() if n in "abc" and (leads or n != led.seat.name))
-    if leads and name != led.seat.name:
-        led.transfer(boot_ms(), town.disks[name].seat)
+    name = next(n for n in held.values() if n in "abc" and (leads or n != led.replica.name))
+    if leads and name != led.replica.name:
+        led.transfer_leadership(boot_ms(), town.disks[name].seat)
         until(lambda: town.leader().me == name)
     return town.actors[name], [duty for duty in DUTIES if held[duty] == name]
 
@@ -160,7 +163,7 @@
     until(lambda: town.all_held())
     assert town.leader().me != name and "no space left" in status(actor)["ailing"]
     if not leads:  # its words still reach the leader: the others see why
-        until(lambda: "no space left" in town.leader().duties.sessions[name].cannot.get(mine[0], ""))
+        until(lambda: "no space left" in town.leader().duties.sessions[name].unavailable.get(mine[0], ""))
     well = boot_ms()
     town.disks[name].full = False
     until(lambda: all(list(town.holders(duty)) == [name] for duty in mine))
@@ -208,23 +211,23 @@
     actor.over = True
     quiet = Town("a", "a", weight=0.0)
     until(lambda: quiet.actors["a"].duties.duties)
-    assert quiet.actors["a"].holder.number == 0
+    assert quiet.actors["a"].holder.last_sequence == 0
     quiet.actors["a"].over = True
 
 
 def test_the_mailbox_is_bounded_and_the_disk_is_heard_all_the_same() -> None:
     actor = CouncilActor("a", settings(mailbox=64), Memory("a", 1, True), Quiet(), 1)
     for _ in range(70):
-        actor.hear(Seat("b", 2), Knock())
-    actor.agreement.leader = actor.agreement.seat
+        actor.hear(ReplicaId("b", 2), JoinRequest())
+    actor.agreement.leader = actor.agreement.replica
     assert actor.dropped == 6 and "full" in actor.propose("reconcile", 1, b"x")
     actor.disk_failed("no space left")
     actor.disk_failed("no space left")
     assert len(actor.box) == 65
     while actor.box:
         actor.work()
-    assert actor.agreement.ailing == "no space left" and not actor.propose("reconcile", 1, b"x")
-    assert "too many" in actor.propose("reconcile", 1, b"x" * (MOST_BODY + 1))
+    assert actor.agreement.disk_error == "no space left" and not actor.propose("reconcile", 1, b"x")
+    assert "too many" in actor.propose("reconcile", 1, b"x" * (MAX_BODY_BYTES + 1))
 
 
 @pytest.mark.parametrize(
@@ -275,7 +278,7 @@
         self.bodies.append(body)
         return True
 
-    def ask(self, index: int, body: bytes) -> bool:
+    def apply_unfenced(self, index: int, body: bytes) -> bool:
         return self.apply(index, 0, body)
 
     def dump(self) -> bytes:
--- a/tests/test_council_sizes.py
+++ b/tests/test_council_sizes.py
@@ -34,12 +34,12 @@
 
     def holders(self) -> list[Member]:
         now = [m for m in self.members.values() if m.up]
-        return [m for m in now if any(m.holder.acting(duty, m.clock(self.t)) for duty in DUTIES)]
+        return [m for m in now if any(m.holder.acting_token(duty, m.clock(self.t)) for duty in DUTIES)]
 
     def remove(self, m: Member) -> None:
         """What it holds is to be another's."""
         for duty in DUTIES:
-            if token := m.holder.acting(duty, m.clock(self.t)):
+            if token := m.holder.acting_token(duty, m.clock(self.t)):
                 self.gone[duty] = self.t, token
 
     def until_held(self, ms: float) -> None:
@@ -51,19 +51,19 @@
     def fails(self) -> None:
         m = self.rng.choice(self.holders())
         self.remove(m)
-        self.crash(m, 2.5 * LEASE.ms)
-        self.until_held(5 * LEASE.ms)
+        self.crash(m, 2.5 * LEASE.duration_ms)
+        self.until_held(5 * LEASE.duration_ms)
         while not m.up:  # one at a time
             self.run(100)
-        self.run(self.rng.uniform(LEASE.ms, 2 * LEASE.ms))
+        self.run(self.rng.uniform(LEASE.duration_ms, 2 * LEASE.duration_ms))
 
     def drains(self) -> None:
         m = self.rng.choice(self.holders())
         self.remove(m)
-        m.holder.weigh(0.0)
-        self.until_held(5 * LEASE.ms)
-        m.holder.weigh(1.0)
-        self.run(LEASE.ms)
+        m.holder.set_weight(0.0)
+        self.until_held(5 * LEASE.duration_ms)
+        m.holder.set_weight(1.0)
+        self.run(LEASE.duration_ms)
 
     def rates(self, ms: float) -> tuple[float, float]:
         """Entries and messages a second in that time."""
@@ -81,7 +81,7 @@
     world.run(4000)
     for _ in range(10):
         world.fails()
-    assert len(world.took) >= 10 and max(world.took) < 2.5 * LEASE.ms
+    assert len(world.took) >= 10 and max(world.took) < 2.5 * LEASE.duration_ms
     world.took.clear()
     for _ in range(10):
         world.drains()
--- a/tests/test_council_wire.py
+++ b/tests/test_council_wire.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from harrieryoke.council.decide import messages as m
-from harrieryoke.council.decide.lease import Passed
+from harrieryoke.council.decide.lease import DutyHandover
 from harrieryoke.council.wire.codec import MOST_FRAME, from_wire, pb, to_wire
 from harrieryoke.wire.frames import Decoder, WireError, encode
 
@@ -22,15 +22,15 @@
 
 
 @st.composite
-def members(draw: st.DrawFn) -> m.Members:
+def members(draw: st.DrawFn) -> m.Configuration:
     names = draw(st.lists(NAME, min_size=1, max_size=12, unique=True))
-    seats = [m.Seat(name, draw(st.integers(0, (1 << 64) - 1))) for name in names]
+    seats = [m.ReplicaId(name, draw(st.integers(0, (1 << 64) - 1))) for name in names]
     voters = draw(st.integers(1, min(7, len(seats))))
-    return m.Members(frozenset(seats[:voters]), frozenset(seats[voters:]))
+    return m.Configuration(frozenset(seats[:voters]), frozenset(seats[voters:]))
 
 
 @st.composite
-def append(draw: st.DrawFn) -> m.Append:
+def append(draw: st.DrawFn) -> m.AppendEntries:
     prev = draw(st.integers(0, 1 << 62))
     terms = sorted(draw(st.lists(COUNT, min_size=2, max_size=6)))
     entries = []
@@ -38,44 +38,44 @@
         changes = draw(st.booleans())
         told = (b"", draw(members())) if changes else (draw(DATA), None)
         entries.append(m.Entry(prev + 1 + at, term, *told))
-    return m.Append(terms[-1], prev, terms[0], tuple(entries), draw(COUNT))
+    return m.AppendEntries(terms[-1], prev, terms[0], tuple(entries), draw(COUNT))
 
 
 @st.composite
-def piece(draw: st.DrawFn) -> m.Piece:
+def piece(draw: st.DrawFn) -> m.InstallSnapshot:
     term, data, offset = draw(COUNT), draw(DATA), draw(st.integers(0, 1 << 40))
     head = m.Snapshot(draw(COUNT), draw(st.integers(0, term)), draw(members()))
-    return m.Piece(term, head, offset, offset + len(data) + draw(st.integers(0, 1 << 40)), data)
-
-
-ALL: dict[type, st.SearchStrategy[m.Message | Passed]] = {
-    m.AskVote: st.builds(m.AskVote, COUNT, COUNT, COUNT, st.booleans(), st.booleans()),
-    m.Vote: st.builds(m.Vote, COUNT, st.booleans(), st.booleans()),
-    m.Append: append(),
-    m.Ack: st.builds(m.Ack, COUNT, st.booleans(), COUNT, COUNT),
-    m.Piece: piece(),
-    m.PieceAck: st.builds(m.PieceAck, COUNT, COUNT, COUNT),
-    m.Now: st.builds(m.Now, COUNT),
-    m.Offer: st.builds(m.Offer, st.binary(min_size=1, max_size=100)),
-    m.Knock: st.just(m.Knock()),
-    Passed: st.builds(Passed, NAME, NAME, st.integers(1, (1 << 63) - 1)),
+    return m.InstallSnapshot(term, head, offset, offset + len(data) + draw(st.integers(0, 1 << 40)), data)
+
+
+ALL: dict[type, st.SearchStrategy[m.Message | DutyHandover]] = {
+    m.RequestVote: st.builds(m.RequestVote, COUNT, COUNT, COUNT, st.booleans(), st.booleans()),
+    m.RequestVoteResponse: st.builds(m.RequestVoteResponse, COUNT, st.booleans(), st.booleans()),
+    m.AppendEntries: append(),
+    m.AppendEntriesResponse: st.builds(m.AppendEntriesResponse, COUNT, st.booleans(), COUNT, COUNT),
+    m.InstallSnapshot: piece(),
+    m.InstallSnapshotResponse: st.builds(m.InstallSnapshotResponse, COUNT, COUNT, COUNT),
+    m.TimeoutNow: st.builds(m.TimeoutNow, COUNT),
+    m.ForwardProposal: st.builds(m.ForwardProposal, st.binary(min_size=1, max_size=100)),
+    m.JoinRequest: st.just(m.JoinRequest()),
+    DutyHandover: st.builds(DutyHandover, NAME, NAME, st.integers(1, (1 << 63) - 1)),
 }
 ANY = st.one_of(*ALL.values())
 
 
-def read(data: bytes) -> list[m.Message | Passed]:
+def read(data: bytes) -> list[m.Message | DutyHandover]:
     return [from_wire(frame) for frame in Decoder(pb.Frame, MOST_FRAME).feed(data)]
 
 
 def test_each_message_has_its_frame() -> None:
-    assert set(ALL) == {*m.Message.__args__, Passed}
+    assert set(ALL) == {*m.Message.__args__, DutyHandover}
     assert len(pb.Frame.DESCRIPTOR.oneofs_by_name["said"].fields) == len(ALL) + 3  # hello, welcome, refused
-    assert [f.name for f in fields(Passed)] == [f.name for f in pb.Passed.DESCRIPTOR.fields]
+    assert [f.name for f in fields(DutyHandover)] == [f.name for f in pb.Passed.DESCRIPTOR.fields]
 
 
 @FUZZ
 @given(st.lists(ANY, min_size=1, max_size=5), st.integers(1, 40))
-def test_what_is_said_comes_back_however_it_is_cut(said: list[m.Message | Passed], cut: int) -> None:
+def test_what_is_said_comes_back_however_it_is_cut(said: list[m.Message | DutyHandover], cut: int) -> None:
     data, decoder, heard = b"".join(encode(to_wire(one)) for one in said), Decoder(pb.Frame, MOST_FRAME), []
     for at in range(0, len(data), cut):
         heard += [from_wire(frame) for frame in decoder.feed(data[at : at + cut])]
@@ -84,7 +84,9 @@
 
 @FUZZ
 @given(ANY, st.data())
-def test_broken_bytes_raise_nothing_but_wire_errors(said: m.Message | Passed, data: st.DataObject) -> None:
+def test_broken_bytes_raise_nothing_but_wire_errors(
+    said: m.Message | DutyHandover, data: st.DataObject
+) -> None:
     broken = bytearray(encode(to_wire(said)))
     for _ in range(data.draw(st.integers(1, 4))):
         at = data.draw(st.integers(0, len(broken) - 1))
--- a/tests/test_interleave_council.py
+++ b/tests/test_interleave_council.py
@@ -10,28 +10,28 @@
 import pytest
 
 from harrieryoke.council.decide import duties as d
-from harrieryoke.council.decide.lease import Holder, Lease, Passed
-from harrieryoke.council.decide.log import founded, kept
+from harrieryoke.council.decide.lease import DutyHandover, Lease, LeaseHolder
+from harrieryoke.council.decide.log import bootstrap_snapshot, replay_records
 from harrieryoke.council.decide.messages import (
-    Ack,
-    Append,
-    AskVote,
+    AppendEntries,
+    AppendEntriesResponse,
     Entry,
     Message,
-    Save,
-    Seat,
-    Send,
-    Vote,
-    Written,
+    OutgoingMessage,
+    PendingWrite,
+    PersistentRecord,
+    ReplicaId,
+    RequestVote,
+    RequestVoteResponse,
 )
-from harrieryoke.council.decide.raft import Agreement, Role
+from harrieryoke.council.decide.raft import Raft, Role
 
 from .council_world import TOLD, Parts
 from .interleave import Failed, Wait, World, explore, replay, shape
 from .test_council_faults import AcksItsTail, EndsWhatWasRenewed, NoFence
 
 LEASE = Lease(1000.0, 0.0)  # one clock for all
-A, B, C = Seat("a", 1), Seat("b", 2), Seat("c", 3)
+A, B, C = ReplicaId("a", 1), ReplicaId("b", 2), ReplicaId("c", 3)
 
 
 def shortest(make: Callable[[], World], failure: str, preemptions: int | None = None) -> list[str]:
@@ -58,9 +58,9 @@
         self.read, self.turned = dict.fromkeys("abs", 0), dict.fromkeys("abs", 700.0)
         self.holders = {name: parts.holder(name, 1, 1.0, LEASE, self.copies[name]) for name in "ab"}
         self.steward, self.fence = parts.steward(LEASE, self.copies["s"], 1e9), parts.fence()
-        self.said, self.passed = list[d.Word](), list[Passed]()
+        self.said, self.passed = list[d.RenewSession](), list[DutyHandover]()
         self.token, self.changed = 0, 0
-        self.log.append(d.Define(("x",)))
+        self.log.append(d.DefineDuties(("x",)))
         for at, name in enumerate("asa"):  # asked for at 0, granted at 0, heard at 300
             self.now = (0.0, 0.0, 300.0)[at]
             self.all(name)
@@ -83,13 +83,13 @@
             self.threads["clock"] = [("at-1000", lambda: setattr(self, "now", 1000.0))]
             self.threads["s"] = self.each(lambda: self.turned["s"] < self.now, lambda: self.turn("s"), "turn")
             return
-        self.threads["leader"] = [("heir", lambda: self.log.append(d.Heir("x", 3, "b", 1)))]
+        self.threads["leader"] = [("heir", lambda: self.log.append(d.AssignSuccessor("x", 3, "b", 1)))]
         self.threads["passed"] = self.each(lambda: self.passed, self.tell, "arrives")
         if case == "wavers":
             b = self.holders["b"]
             self.threads["b"] = [
-                ("cannot", lambda: self.says(partial(b.cannot, "x", "behind"))),
-                ("can", lambda: self.says(partial(b.can, "x"))),
+                ("cannot", lambda: self.says(partial(b.mark_unavailable, "x", "behind"))),
+                ("can", lambda: self.says(partial(b.mark_available, "x"))),
             ]
             del self.threads["a"]
 
@@ -124,10 +124,10 @@
     def turn(self, name: str) -> None:
         self.turned[name] = self.now
         if name == "s":
-            self.log += self.steward.turn(self.now, True)
+            self.log += self.steward.tick(self.now, True)
             return
-        for out in self.holders[name].turn(self.now):
-            if isinstance(out, Passed):
+        for out in self.holders[name].tick(self.now):
+            if isinstance(out, DutyHandover):
                 self.passed.append(out)
             elif self.now < 1000.0:  # what is said then is lost
                 self.said.append(out)
@@ -137,13 +137,13 @@
 
     def tell(self) -> None:
         out = self.passed.pop(0)
-        self.holders[out.to].passed(out.duty, out.token)
+        self.holders[out.to].accept_handover(out.duty, out.token)
 
     def holder_b(self) -> int:
-        return self.holders["b"].acting("x", self.now)
+        return self.holders["b"].acting_token("x", self.now)
 
     def look(self) -> None:
-        self.token = self.holders["a"].acting("x", self.now)
+        self.token = self.holders["a"].acting_token("x", self.now)
 
     def act(self, token: int) -> None:
         if token and self.fence.admit(token):
@@ -151,7 +151,7 @@
             self.changed = token
 
     def check(self) -> None:
-        acting = [name for name, holder in self.holders.items() if holder.acting("x", self.now)]
+        acting = [name for name, holder in self.holders.items() if holder.acting_token("x", self.now)]
         assert len(acting) < 2, "two act"
 
     def key(self) -> Hashable:
@@ -166,34 +166,39 @@
             self.changed,
             [vars(h) for h in self.holders.values()],
             list(self.steward.proposed.items()),
-            self.steward.heard,
+            self.steward.last_renewals,
         ]
         return msgspec.msgpack.encode(state, enc_hook=lambda part: None)
 
 
-class Untold(Holder):
+class Untold(LeaseHolder):
     """Acts as heir before the holder has said that it stopped."""
 
-    def acting(self, name: str, now: float) -> int:
+    def acting_token(self, name: str, now: float) -> int:
         duty = self.duties.duties.get(name)
-        if duty is not None and duty.heir == self.member:
-            self.passed(name, duty.heir_token)
-        return super().acting(name, now)
+        if duty is not None and duty.successor == self.member:
+            self.accept_handover(name, duty.successor_token)
+        return super().acting_token(name, now)
 
 
-class Unagreed(Holder):
+class Unagreed(LeaseHolder):
     """Acts on what it was told, whatever is agreed."""
 
-    def acting(self, name: str, now: float) -> int:
-        return super().acting(name, now) or (self.told.get(name, 0) if name not in self.why else 0)
+    def acting_token(self, name: str, now: float) -> int:
+        return super().acting_token(name, now) or (
+            self.handed_over.get(name, 0) if name not in self.unavailable else 0
+        )
 
 
-class CountsFromWhenHeard(Holder):
-    def turn(self, now: float) -> list[d.Word | Passed]:
-        session = self.duties.session(self.member, self.life)
-        if session is not None and self.until < self.asked.get(session.number, now) + self.lease.ms:
-            self.asked[session.number] = now
-        return super().turn(now)
+class CountsFromWhenHeard(LeaseHolder):
+    def tick(self, now: float) -> list[d.RenewSession | DutyHandover]:
+        session = self.duties.open_session(self.member, self.incarnation)
+        if (
+            session is not None
+            and self.lease_expires < self.renewal_times.get(session.sequence, now) + self.lease.duration_ms
+        ):
+            self.renewal_times[session.sequence] = now
+        return super().tick(now)
 
 
 # --- a voter's disk against what it says ---
@@ -206,17 +211,17 @@
     """The voter c hears `heard`, each from its sender, in any order. Its disk writes a record a step and says
     so in the next; once the power may go."""
 
-    def __init__(self, kind: type[Agreement], heard: dict[str, tuple[Seat, Message]]) -> None:
+    def __init__(self, kind: type[Raft], heard: dict[str, tuple[ReplicaId, Message]]) -> None:
         self.kind = kind
-        self.disk: list[Written] = [founded([A, B, C]), *OLD]
+        self.disk: list[PersistentRecord] = [bootstrap_snapshot([A, B, C]), *OLD]
         self.start()
-        self.votes, self.said = set[tuple[int, Seat | None]](), list[Send]()
+        self.votes, self.said = set[tuple[int, ReplicaId | None]](), list[OutgoingMessage]()
         self.threads = {name: [("hear", partial(self.hear, *what))] for name, what in heard.items()}
         self.threads |= {"disk": self.syncing(), "power": [("cut", self.start)]}
 
     def start(self) -> None:
-        self.writing, self.done = list[Save](), 0
-        self.voter = self.kind(C, TOLD, kept(self.disk), 1, 0.0)
+        self.writing, self.done = list[PendingWrite](), 0
+        self.voter = self.kind(C, TOLD, replay_records(self.disk), 1, 0.0)
 
     def syncing(self) -> Iterator[Wait]:
         while True:
@@ -224,24 +229,24 @@
             if not self.done:
                 save = self.writing.pop(0)
                 self.disk.append(save.record)
-                self.done = save.number
+                self.done = save.sequence
             else:
-                self.voter.disk_done(0.0, self.done)
+                self.voter.records_written(0.0, self.done)
                 self.done = 0
                 self.take()
 
-    def hear(self, sender: Seat, message: Message) -> None:
+    def hear(self, sender: ReplicaId, message: Message) -> None:
         self.voter.receive(0.0, sender, message)
         self.take()
 
     def take(self) -> None:
-        out = self.voter.take()
-        self.writing += out.saves
-        for send in out.sends:
-            if isinstance(send.message, Vote) and send.message.granted:
-                self.votes.add((send.message.term, send.to))
-            if isinstance(send.message, Ack) and send.message.ok:
-                has = kept(self.disk).log.entries[: send.message.index]
+        out = self.voter.take_ready()
+        self.writing += out.writes
+        for send in out.messages:
+            if isinstance(send.message, RequestVoteResponse) and send.message.granted:
+                self.votes.add((send.message.term, send.recipient))
+            if isinstance(send.message, AppendEntriesResponse) and send.message.success:
+                has = replay_records(self.disk).log.entries[: send.message.index]
                 assert has == NEW[: send.message.index], "an ack of what is not durable, or not the leader's"
 
     def check(self) -> None:
@@ -251,27 +256,27 @@
         return shape(self.disk, self.writing, self.done, sorted(self.votes), vars(self.voter).values())
 
 
-ASKED = {"a": (A, AskVote(6, 3, 5)), "b": (B, AskVote(6, 3, 5))}
-APPENDED: dict[str, tuple[Seat, Message]] = {
-    "beat": (A, Append(5, 1, 1, (), 1)),
-    "first": (A, Append(5, 1, 1, (NEW[1],), 1)),
-    "second": (A, Append(5, 2, 5, (NEW[2],), 1)),
-    "both": (A, Append(5, 1, 1, (NEW[1], NEW[2]), 2)),
+ASKED = {"a": (A, RequestVote(6, 3, 5)), "b": (B, RequestVote(6, 3, 5))}
+APPENDED: dict[str, tuple[ReplicaId, Message]] = {
+    "beat": (A, AppendEntries(5, 1, 1, (), 1)),
+    "first": (A, AppendEntries(5, 1, 1, (NEW[1],), 1)),
+    "second": (A, AppendEntries(5, 2, 5, (NEW[2],), 1)),
+    "both": (A, AppendEntries(5, 1, 1, (NEW[1], NEW[2]), 2)),
 }
 
 
-class SaysAtOnce(Agreement):
-    def put(self, after: int, send: Send) -> None:
-        super().put(0, send)
+class SaysAtOnce(Raft):
+    def send_after_write(self, after: int, send: OutgoingMessage) -> None:
+        super().send_after_write(0, send)
 
 
-class VoteForgotten(Agreement):
+class VoteForgotten(Raft):
     """Writes the term, not whom it voted for in it."""
 
-    def save_hard(self) -> None:
-        vote, self.vote = self.vote, None
-        super().save_hard()
-        self.vote = vote
+    def write_hard_state(self) -> None:
+        vote, self.voted_for = self.voted_for, None
+        super().write_hard_state()
+        self.voted_for = vote
 
 
 # --- a leader on a failing disk ---
@@ -281,21 +286,25 @@
     """a leads; an entry is offered to it, its disk fails and takes records again. Links keep their order; the
     others' disks write at once."""
 
-    def __init__(self, kind: type[Agreement]) -> None:
+    def __init__(self, kind: type[Raft]) -> None:
         seats = {"a": A, "b": B, "c": C}
-        self.disks: dict[str, list[Written]] = {name: [founded(seats.values())] for name in seats}
-        self.members = {n: kind(seat, TOLD, kept(self.disks[n]), 1, 0.0) for n, seat in seats.items()}
-        self.writing = {name: list[Save]() for name in seats}
-        self.way = {name: list[tuple[Seat, Message]]() for name in seats}
+        self.disks: dict[str, list[PersistentRecord]] = {
+            name: [bootstrap_snapshot(seats.values())] for name in seats
+        }
+        self.members = {
+            n: kind(seat, TOLD, replay_records(self.disks[n]), 1, 0.0) for n, seat in seats.items()
+        }
+        self.writing = {name: list[PendingWrite]() for name in seats}
+        self.way = {name: list[tuple[ReplicaId, Message]]() for name in seats}
         self.agreed, self.leaders, self.failing = dict[int, Entry](), dict[int, str](), False
         self.act("a", lambda: self.members["a"].tick(2 * TOLD.election_ms))
         while any(self.way.values()) or self.writing["a"]:
             self.write("a")
             for name in [n for n in seats if self.way[n]]:
                 self.hear(name)
-        assert self.members["a"].leads()
+        assert self.members["a"].is_established_leader()
         self.threads = {
-            "client": [("offer", lambda: self.act("a", lambda: self.members["a"].offer(0.0, b"x")))],
+            "client": [("offer", lambda: self.act("a", lambda: self.members["a"].propose(0.0, b"x")))],
             "disk": [("fails", self.fail), ("takes", lambda: setattr(self, "failing", False))],
             "write": self.each(lambda: self.writing["a"] and not self.failing, partial(self.write, "a"), "a"),
             **{f"to-{n}": self.each(partial(self.way.get, n), partial(self.hear, n), "hear") for n in seats},
@@ -317,23 +326,23 @@
     def write(self, name: str) -> None:
         if self.writing[name]:
             self.disks[name] += [save.record for save in self.writing[name]]
-            last = self.writing[name].pop().number
+            last = self.writing[name].pop().sequence
             self.writing[name].clear()
-            self.act(name, lambda: self.members[name].disk_done(600.0, last))
+            self.act(name, lambda: self.members[name].records_written(600.0, last))
 
     def act(self, name: str, step: Callable[[], object]) -> None:
         step()
         member = self.members[name]
-        out = member.take()
-        self.writing[name] += out.saves
-        for send in out.sends:
+        out = member.take_ready()
+        self.writing[name] += out.writes
+        for send in out.messages:
             for other in "abc":
-                if send.to is not None and other == send.to.name:
-                    self.way[other].append((member.seat, send.message))
-        for each in out.applies:
+                if send.recipient is not None and other == send.recipient.name:
+                    self.way[other].append((member.replica, send.message))
+        for each in out.committed:
             assert isinstance(each, Entry)
             assert self.agreed.setdefault(each.index, each) == each, "two are agreed"
-            has = sum(each in kept(disk).log.entries for disk in self.disks.values())
+            has = sum(each in replay_records(disk).log.entries for disk in self.disks.values())
             assert has > 1, "agreed, and not durable at a majority"
         if name != "a":
             self.write(name)
@@ -353,10 +362,10 @@
         )
 
 
-class TakesFailedForWritten(Agreement):
+class TakesFailedForWritten(Raft):
     def disk_failed(self, now: float, why: str) -> None:
-        self.durable = self.log.last()
-        self.advance()
+        self.durable_index = self.log.last_index()
+        self.advance_commit_index()
         super().disk_failed(now, why)
 
 
@@ -412,7 +421,7 @@
 
 def test_no_order_says_what_is_not_durable() -> None:
     for heard in (ASKED, APPENDED):
-        assert explore(lambda heard=heard: Sync(Agreement, heard)).whole  # type: ignore[misc]
+        assert explore(lambda heard=heard: Sync(Raft, heard)).whole  # type: ignore[misc]
 
 
 @pytest.mark.parametrize(
@@ -430,13 +439,13 @@
     ],
 )
 def test_planted_before_the_disk(
-    fault: type[Agreement], heard: dict[str, tuple[Seat, Message]], failure: str, schedule: str
+    fault: type[Raft], heard: dict[str, tuple[ReplicaId, Message]], failure: str, schedule: str
 ) -> None:
     assert shortest(lambda: Sync(fault, heard), failure) == schedule.split()
 
 
 def test_no_order_of_a_failing_disk_agrees_on_what_is_not_durable() -> None:
-    counts = explore(lambda: Resigning(Agreement))
+    counts = explore(lambda: Resigning(Raft))
     assert counts.whole and counts.states > 500
 
 
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -16,8 +16,8 @@
 
 from harrieryoke.council.decide import duties as d
 from harrieryoke.council.decide import rounds as r
-from harrieryoke.council.decide.commands import Acts
-from harrieryoke.council.decide.grants import Conductor, Own, Pace, PaceError
+from harrieryoke.council.decide.commands import ReplicatedState
+from harrieryoke.council.decide.grants import MemberTurns, TurnScheduler, TurnSettings, TurnSettingsError
 from harrieryoke.council.decide.lease import Fence
 
 COUNTS = r.Counts(9, 1, -1, 400)
@@ -30,9 +30,14 @@
     def __init__(self) -> None:
         super().__init__()
         self.patch = pytest.MonkeyPatch()
-        for name, value in (("MOST_OPEN", 5), ("MOST_EACH", 2), ("MOST_ENDED", 4), ("MOST_TRIES", 3)):
+        for name, value in (
+            ("MAX_OPEN_ROUNDS", 5),
+            ("MAX_OPEN_PER_MEMBER", 2),
+            ("MAX_ENDED_ROUNDS", 4),
+            ("MAX_TRIES", 3),
+        ):
             self.patch.setattr(r, name, value)
-        self.rounds, self.index = r.Rounds(), 0
+        self.rounds, self.index = r.ReconciliationRounds(), 0
         self.line: list[
             list[int | str]
         ] = []  # member, period, mark, tries, turn: in the order of their places
@@ -44,25 +49,25 @@
     def found(self, member: str, period: int) -> list[Any] | None:
         return next((each for each in self.line if each[:2] == [member, period]), None)
 
-    def say(self, body: r.Asked | r.Given) -> bool:
+    def say(self, body: r.MemberRequest | r.HolderCommand) -> bool:
         self.index += 1
-        if isinstance(body, r.Turn | r.GiveUp):
+        if isinstance(body, r.GrantTurn | r.RevokeTurn):
             return self.rounds.apply(self.index, 1, r.encode(body))
-        return self.rounds.ask(self.index, r.encode(body))
+        return self.rounds.apply_unfenced(self.index, r.encode(body))
 
     @rule(member=NAMES, period=PERIODS, mark=st.integers(1, 2))
     def want(self, member: str, period: int, mark: int) -> None:
         good = self.found(member, period) is None and len(self.line) < 5
         good = good and sum(each[0] == member for each in self.line) < 2
         good = good and not any(each[:3] == (member, period, mark) for each in self.over)
-        assert self.say(r.Want(member, period, mark)) == good
+        assert self.say(r.RequestTurn(member, period, mark)) == good
         self.line += [[member, period, mark, 0, 0]] if good else []
 
     @rule(member=NAMES, period=PERIODS, most=st.integers(0, 3))
     def turn(self, member: str, period: int, most: int) -> None:
         has, running = self.found(member, period), [each for each in self.line if each[4]]
         good = has is not None and len(running) < most and member not in [each[0] for each in running]
-        assert self.say(r.Turn(member, period, most)) == good
+        assert self.say(r.GrantTurn(member, period, most)) == good
         if has is not None and good:
             has[4] = self.index
             self.line.sort(key=lambda each: each[0] == member)  # behind the others, in the order they had
@@ -75,11 +80,11 @@
         turn = 0 if has is None else has[4] - old
         good = has is not None and has[4] == turn != 0
         if how == "done":
-            said = self.say(r.Done(member, period, turn, COUNTS))
+            said = self.say(r.CompleteTurn(member, period, turn, COUNTS))
         elif how == "back":
-            said = self.say(r.Back(member, period, turn))
+            said = self.say(r.ReturnTurn(member, period, turn))
         else:
-            said = self.say(r.GiveUp(member, period, turn, how == "last"))
+            said = self.say(r.RevokeTurn(member, period, turn, how == "last"))
         assert said == good
         if not good or has is None:
             return
@@ -96,22 +101,24 @@
     @rule()
     def restarted(self) -> None:
         data = self.rounds.dump()
-        self.rounds = r.Rounds()
+        self.rounds = r.ReconciliationRounds()
         self.rounds.load(data)
         assert self.rounds.dump() == data
 
     @rule(body=st.binary(max_size=20))
     def nonsense(self, body: bytes) -> None:
-        assert not self.rounds.ask(self.index, body) and not self.rounds.apply(self.index, 1, body)
+        assert not self.rounds.apply_unfenced(self.index, body) and not self.rounds.apply(self.index, 1, body)
 
     @invariant()
     def same(self) -> None:
         opened = [(m, p, x) for m, mine in self.rounds.open.items() for p, x in mine.items()]
-        opened.sort(key=lambda each: (each[2].place, [e[:2] for e in self.line].index([each[0], each[1]])))
-        assert [[m, p, x.mark, x.tries, x.turn] for m, p, x in opened] == self.line
-        assert self.rounds.wanted == len(self.line)
+        opened.sort(
+            key=lambda each: (each[2].queue_position, [e[:2] for e in self.line].index([each[0], each[1]]))
+        )
+        assert [[m, p, x.request_id, x.tries, x.turn] for m, p, x in opened] == self.line
+        assert self.rounds.open_count == len(self.line)
         assert self.rounds.running == {(e[0], e[1]): e[4] for e in self.line if e[4]}
-        ended = [(m, p, end.mark, end.counts == COUNTS) for (m, p), end in self.rounds.ended.items()]
+        ended = [(m, p, end.request_id, end.counts == COUNTS) for (m, p), end in self.rounds.ended.items()]
         assert ended == self.over
 
 
@@ -124,7 +131,7 @@
 LAG = 12.0  # ms at the most, from a member to the log and back
 WORK = 60.0  # ms at the most, of one turn
 PERIOD = 7
-PACE = Pace(at_once=3, turn_ms=2000.0, tries=3, again_ms=500.0, spread_ms=1000.0, repeat_ms=200.0)
+PACE = TurnSettings(at_once=3, turn_ms=2000.0, tries=3, again_ms=500.0, spread_ms=1000.0, repeat_ms=200.0)
 
 
 class Node:
@@ -132,11 +139,11 @@
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         self.fleet, self.name, self.applied, self.up, self.cut = fleet, name, 0, True, False
-        self.acts, self.rounds = Acts(d.Duties()), r.Rounds()
-        self.acts.add(r.DUTY, self.rounds)
-        self.conductor = Conductor(self.rounds, PACE)
-        self.own = Own(name, self.rounds, PACE, fleet.rng.getrandbits(30))
-        self.own.can(True)
+        self.acts, self.rounds = ReplicatedState(d.DutyTable()), r.ReconciliationRounds()
+        self.acts.add_machine(r.DUTY, self.rounds)
+        self.conductor = TurnScheduler(self.rounds, PACE)
+        self.own = MemberTurns(name, self.rounds, PACE, fleet.rng.getrandbits(30))
+        self.own.set_collector_reachable(True)
         self.begun, self.wakes = list[int](), float("inf")
 
     def token(self) -> int:
@@ -147,14 +154,14 @@
         if not self.up:
             return
         now, token = self.fleet.t, self.token()
-        for body in self.conductor.turn(now, token):
-            self.fleet.offer(self, d.Act(r.DUTY, token, body))
-        for body in self.own.turn(now):
-            self.fleet.offer(self, d.Ask(r.DUTY, body))
-        while (given := self.own.take()) is not None:
+        for body in self.conductor.tick(now, token):
+            self.fleet.offer(self, d.FencedCommand(r.DUTY, token, body))
+        for body in self.own.tick(now):
+            self.fleet.offer(self, d.UnfencedCommand(r.DUTY, body))
+        while (given := self.own.take_ready()) is not None:
             self.begun.append(given[1])
             self.work(*given, 3)
-        due = [at for at in (self.conductor.due, self.own.due) if at is not None]
+        due = [at for at in (self.conductor.wake_at, self.own.wake_at) if at is not None]
         if due and not now < self.wakes <= min(due):
             self.wakes = min(due)
             self.fleet.at(self.wakes, self.step)
@@ -165,7 +172,7 @@
         if not self.up or not self.own.holds(self.fleet.t, period, turn):
             return
         if not messages:
-            self.own.done(period, turn, COUNTS)
+            self.own.complete(period, turn, COUNTS)
             return self.step()
         self.fleet.working.add(self.name)
         self.fleet.most = max(self.fleet.most, len(self.fleet.working))
@@ -186,8 +193,8 @@
         self.fences: dict[str, Fence] = {}
         self.nodes = [Node(self, name) for name in ("h0", "h1", *(f"m{n}" for n in range(count)))]
         self.members = self.nodes[2:]
-        words = [d.Word(name, 1, 1, 1.0) for name in ("h0", "h1")]
-        first: list[d.Command] = [d.Define((r.DUTY,)), *words, d.Grant(r.DUTY, "h0", 1)]
+        words = [d.RenewSession(name, 1, 1, 1.0) for name in ("h0", "h1")]
+        first: list[d.Command] = [d.DefineDuties((r.DUTY,)), *words, d.GrantDuty(r.DUTY, "h0", 1)]
         for command in first:
             self.append(command)
         self.run(100.0)
@@ -225,7 +232,7 @@
 
     def end_period(self) -> None:
         for node in self.members:
-            node.own.want(self.t, PERIOD)
+            node.own.request(self.t, PERIOD)
             node.step()
 
     def ended(self, member: str) -> bool | None:
@@ -254,7 +261,7 @@
     fleet.run(600_000.0)
     assert len(fleet.log) == entries and not fleet.events  # and then nobody has anything to do
     for data in fleet.log[:entries]:
-        if isinstance(command := d.decode(data), d.Ask):
+        if isinstance(command := d.decode(data), d.UnfencedCommand):
             fleet.append(command)  # what comes once more, late
     fleet.run(600_000.0)
     assert not fleet.nodes[1].rounds.open and all(len(node.begun) == 1 for node in fleet.members)
@@ -269,13 +276,15 @@
     assert second.rounds.running
     first.cut = True  # it hears nothing and goes on conducting: what it says comes late
     for at in range(20):
-        fleet.at(fleet.t + 50 * at, partial(fleet.append, d.Act(r.DUTY, first.token(), stale(fleet, at))))
-    fleet.append(d.End("h0", 1, 1))
-    fleet.append(d.Grant(r.DUTY, "h1", 1))
+        fleet.at(
+            fleet.t + 50 * at, partial(fleet.append, d.FencedCommand(r.DUTY, first.token(), stale(fleet, at)))
+        )
+    fleet.append(d.EndSession("h0", 1, 1))
+    fleet.append(d.GrantDuty(r.DUTY, "h1", 1))
     fleet.run(60_000.0, fleet.all_done)
     assert fleet.all_done()
     fleet.run(1000.0)
-    assert second.acts.void["token"] >= 20
+    assert second.acts.rejected["token"] >= 20
     assert all(len(node.begun) == 1 and fleet.ended(node.name) for node in fleet.members)
     assert fleet.most <= PACE.at_once
 
@@ -284,7 +293,7 @@
     waits = [(m, p) for m, mine in fleet.nodes[1].rounds.open.items() for p in mine]
     member, period = waits[at % len(waits)]
     turn = fleet.nodes[1].rounds.open[member][period].turn
-    return r.encode(r.GiveUp(member, period, turn, True) if turn else r.Turn(member, period, 8))
+    return r.encode(r.RevokeTurn(member, period, turn, True) if turn else r.GrantTurn(member, period, 8))
 
 
 @pytest.mark.parametrize("back", [False, True])
@@ -334,12 +343,12 @@
     fleet.end_period()
     fleet.run(60_000.0, lambda: bool(fleet.working))
     node = next(node for node in fleet.members if node.name in fleet.working)
-    node.own.can(False)
+    node.own.set_collector_reachable(False)
     node.step()
     fleet.run(5 * LAG)
     assert node.name not in fleet.nodes[1].rounds.open and fleet.ended(node.name) is None
     fleet.run(60_000.0)
-    node.own.can(True)
+    node.own.set_collector_reachable(True)
     node.step()
     fleet.run(60_000.0, fleet.all_done)
     assert fleet.ended(node.name) and len(node.begun) == 2
@@ -349,7 +358,7 @@
     fleet = Fleet(5, 4)
     greedy = fleet.members[0]
     for period in range(100, 112):
-        greedy.own.want(fleet.t, period)
+        greedy.own.request(fleet.t, period)
     fleet.run(PACE.spread_ms / 2)
     fleet.end_period()
     fleet.run(60_000.0, lambda: all(fleet.ended(node.name) for node in fleet.members))
@@ -360,5 +369,5 @@
 
 def test_a_pace_that_cannot_be_used_is_named() -> None:
     PACE.check("council.rounds")
-    with pytest.raises(PaceError, match=r"council.rounds.at_once: 1 to 8"):
-        Pace(at_once=9).check("council.rounds")
+    with pytest.raises(TurnSettingsError, match=r"council.rounds.at_once: 1 to 8"):
+        TurnSettings(at_once=9).check("council.rounds")
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -12,8 +12,8 @@
 from harrieryoke.core.clock import now_ms
 from harrieryoke.core.records import Call
 from harrieryoke.council.decide import duties as d
-from harrieryoke.council.decide.commands import Acts, Machine
-from harrieryoke.council.decide.grants import Pace
+from harrieryoke.council.decide.commands import ReplicatedState, StateMachine
+from harrieryoke.council.decide.grants import TurnSettings
 from harrieryoke.council.decide.lease import Fence
 from harrieryoke.council.turns import TurnsActor
 from harrieryoke.lab.collector import EmulatedCollector
@@ -24,20 +24,20 @@
 from harrieryoke.limits import Limits
 from harrieryoke.plugins.bench import SETTINGS, Quiet
 
-PACE = Pace(at_once=1, turn_ms=1000.0, tries=3, again_ms=0.0, spread_ms=20.0, repeat_ms=100.0)
+PACE = TurnSettings(at_once=1, turn_ms=1000.0, tries=3, again_ms=0.0, spread_ms=20.0, repeat_ms=100.0)
 
 
 class Copies:
     """The machines of all members, as one."""
 
     def __init__(self) -> None:
-        self.machines = list[Machine]()
+        self.machines = list[StateMachine]()
 
     def apply(self, index: int, token: int, body: bytes) -> bool:
         return all([machine.apply(index, token, body) for machine in self.machines])
 
-    def ask(self, index: int, body: bytes) -> bool:
-        return all([machine.ask(index, body) for machine in self.machines])
+    def apply_unfenced(self, index: int, body: bytes) -> bool:
+        return all([machine.apply_unfenced(index, body) for machine in self.machines])
 
     def dump(self) -> bytes:
         return self.machines[0].dump()
@@ -51,8 +51,8 @@
     """A council that agrees at once. `holder` conducts."""
 
     def __init__(self) -> None:
-        self.acts, self.copies, self.index, self.holder = Acts(d.Duties()), Copies(), 0, ""
-        self.acts.add("reconcile", self.copies)
+        self.acts, self.copies, self.index, self.holder = ReplicatedState(d.DutyTable()), Copies(), 0, ""
+        self.acts.add_machine("reconcile", self.copies)
         self.told = list[Callable[[], object]]()
 
     def apply(self, command: d.Command) -> None:
@@ -62,8 +62,8 @@
             told()
 
     def hold(self, name: str) -> None:
-        first: list[d.Command] = [d.Define(("reconcile",)), d.Word(name, 1, 1, 1.0)]
-        for command in [*first, d.Grant("reconcile", name, 1)]:
+        first: list[d.Command] = [d.DefineDuties(("reconcile",)), d.RenewSession(name, 1, 1, 1.0)]
+        for command in [*first, d.GrantDuty("reconcile", name, 1)]:
             self.apply(command)
         self.holder = name
 
@@ -78,14 +78,14 @@
         return self.council.acts.duties.duties[duty].token if self.council.holder == self.name else 0
 
     def propose(self, duty: str, token: int, body: bytes) -> str:
-        self.council.apply(d.Act(duty, token, body))
+        self.council.apply(d.FencedCommand(duty, token, body))
         return ""
 
     def ask(self, duty: str, body: bytes) -> str:
-        self.council.apply(d.Ask(duty, body))
+        self.council.apply(d.UnfencedCommand(duty, body))
         return ""
 
-    def add_machine(self, duty: str, machine: Machine) -> None:
+    def add_machine(self, duty: str, machine: StateMachine) -> None:
         self.council.copies.machines.append(machine)
 
     def watch(self, told: Callable[[], object]) -> None:
@@ -175,13 +175,13 @@
     member.want(period)
     until(lambda: member.part.link is not None and member.part.link.reconciler.stopped)
     assert collector.counts["older"] and not collector.counts["repaired"] and not member.result()
-    until(lambda: not member.turns.own.wishes)  # given up as often as the pace has it
+    until(lambda: not member.turns.own.pending)  # given up as often as the pace has it
     assert member.turns.status()["failed"] == 1
     fence.token = 0
     collector.down()
-    until(lambda: not member.turns.own.able)
+    until(lambda: not member.turns.own.collector_reachable)
     member.want(period)
-    until(lambda: member.turns.own.wishes)
+    until(lambda: member.turns.own.pending)
     collector.listen()
     until(member.result)
     until(lambda: member.turns.status()["failed"] == 0)
