--- a/harrieryoke/council/decide/__init__.py
+++ b/harrieryoke/council/decide/__init__.py
@@ -1,1 +1,1 @@
-"""The council's agreement and its duties. No I/O, no clock: times come in as monotonic milliseconds."""
+"""Raft consensus and duty leases. No I/O and no clock: the caller passes times as monotonic milliseconds."""
--- a/harrieryoke/council/decide/commands.py
+++ b/harrieryoke/council/decide/commands.py
@@ -1,8 +1,9 @@
-"""What is agreed beside who holds what: each duty's machine, fed from the same log.
+"""The replicated state: the duty table and one state machine per duty, fed from the same log.
 
-An `Act` counts under the duty's token alone, which is checked where it is applied: that is the fence of the
-log. An `Ask` may come from any member and counts by the machine's own rules. Every member has the same
-machines, also one that never holds the duty: a snapshot of one that lacked a machine would lose its state.
+A `FencedCommand` is applied only under the duty's current token, which is checked when the entry is applied.
+An `UnfencedCommand` may come from any member and is subject to the state machine's own rules. Every member
+runs the same state machines, also a member that never holds the duty: a snapshot taken by a member that
+lacked one would lose its state.
 """
 
 from __future__ import annotations
@@ -15,31 +16,32 @@
 
 from .duties import MAX_BODY_BYTES, Command, DutyTable, FencedCommand, UnfencedCommand
 
-MAX_DUMP_BYTES = 16 << 20  # bytes of one machine's dump
+MAX_DUMP_BYTES = 16 << 20  # of one state machine's dump
 
 
 class StateError(ValueError):
-    """A state that can't be dumped or loaded; the message names the duty and what can be done."""
+    """A state that cannot be dumped or loaded. The message names the duty and what can be done about it."""
 
 
 class StateMachine(Protocol):
-    """Deterministic, bounded, without a clock. It raises on no body: what it can't read, or what does not fit
-    its state any more, changes nothing, and it says False."""
+    """Deterministic, bounded and without a clock. It raises on no body: a body that it cannot decode, or that
+    no longer fits its state, changes nothing and returns False.
+    """
 
     def apply(self, index: int, token: int, body: bytes) -> bool:
-        """An act of the duty's rightful holder. `index`: of the entry, so that it only grows."""
+        """A command of the current holder of the duty. `index` is the entry's log index, so it only grows."""
         ...
 
     def apply_unfenced(self, index: int, body: bytes) -> bool:
-        """Of any member."""
+        """A command of any member."""
         ...
 
     def dump(self) -> bytes:
-        """Never more than MOST_DUMP bytes."""
+        """At most MAX_DUMP_BYTES bytes."""
         ...
 
     def load(self, data: bytes) -> None:
-        """Takes the place of all it has; b"" stands for nothing. Raises ValueError for what is no dump."""
+        """Replaces the whole state; b"" is the empty state. Raises ValueError for data that is not a dump."""
         ...
 
 
@@ -49,10 +51,12 @@
 
 
 class ReplicatedState:
-    """The whole agreed state: `duties`, and the machines of duties. `apply` in the order of the log.
+    """The whole replicated state: the duty table and the duties' state machines. `apply` must be called in
+    log order.
 
-    `void` counts by why what came changed nothing, since the start: "size", "token", "machine" (the duty has
-    none here), "body" (the machine did not take it)."""
+    `rejected` counts the commands that changed nothing since the start, by reason: "size", "token", "machine"
+    (no state machine for the duty here), "body" (refused by the state machine).
+    """
 
     def __init__(self, duties: DutyTable) -> None:
         self.duties = duties
@@ -60,11 +64,11 @@
         self.rejected: Counter[str] = Counter()
 
     def add_machine(self, duty: str, machine: StateMachine) -> None:
-        """Before the first entry."""
+        """Must be called before the first entry is applied."""
         self.machines[duty] = machine
 
     def apply(self, index: int, command: Command) -> bool:
-        """Whether it changed anything."""
+        """Returns whether the command changed anything."""
         if not isinstance(command, FencedCommand | UnfencedCommand):
             return self.duties.apply(index, command)
         reason = self.dispatch(index, command)
@@ -73,10 +77,11 @@
         return not reason
 
     def dispatch(self, index: int, command: FencedCommand | UnfencedCommand) -> str:
-        """Why it changed nothing, or ""."""
+        """Returns the reason why the command changed nothing, or ""."""
         if len(command.body) > MAX_BODY_BYTES:
             return "size"
-        # before the machine is looked for: the fence is state, and must be the same where there is none
+        # Checked before the machine lookup: the token check changes replicated state, so it must also run on
+        # members that have no such machine.
         if isinstance(command, FencedCommand) and not self.duties.admit_token(command.duty, command.token):
             return "token"
         machine = self.machines.get(command.duty)
@@ -89,19 +94,21 @@
         return "" if changed else "body"
 
     def dump(self) -> bytes:
-        """Raises ActsError where a machine has grown past its bound."""
+        """Raises StateError if a state machine's dump exceeds its bound."""
         dumps = {duty: machine.dump() for duty, machine in self.machines.items()}
         for duty, data in dumps.items():
             if len(data) > MAX_DUMP_BYTES:
-                raise StateError(f"{duty}: its state has {len(data)} bytes, of {MAX_DUMP_BYTES} at the most")
+                raise StateError(f"{duty}: state of {len(data)} bytes exceeds the limit of {MAX_DUMP_BYTES}")
         return msgspec.msgpack.encode(ReplicatedStateDump(self.duties.dump(), dumps))
 
     def load(self, data: bytes) -> None:
-        """Raises ActsError, and nothing has changed, for a state with a machine that is not here: to go on
-        without it would lose it. For what is no dump msgspec.ValidationError or another ValueError."""
+        """Raises StateError, without changing anything, if the dump holds a state machine that does not exist
+        here: going on without it would lose its state. Raises msgspec.ValidationError or another ValueError
+        for data that is not a dump.
+        """
         dump: ReplicatedStateDump = msgspec.msgpack.decode(data, type=ReplicatedStateDump)
         if unknown := ", ".join(sorted(dump.machines.keys() - self.machines.keys())):
-            raise StateError(f"{unknown}: nothing here applies it; bring this member to the others' version")
+            raise StateError(f"{unknown}: no state machine here; bring this member to the others' version")
         self.duties.load(dump.duties)
         for duty, machine in self.machines.items():
             machine.load(dump.machines.get(duty, b""))
--- a/harrieryoke/council/decide/duties.py
+++ b/harrieryoke/council/decide/duties.py
@@ -1,9 +1,10 @@
-"""Who holds which duty under which token: applied from the agreed log, the same everywhere.
+"""Which member holds which duty under which token, derived from the committed log and equal on all members.
 
-A member has a session, which its numbered words open and renew; duties stand on sessions (docs/council.md).
-A duty is freed by nothing but its holder's own word or the end of its session: so a holder whose copy of the
-log is behind is wrong about nothing but its lease, which it counts by its own clock (`hold.py`). Tokens are
-indexes of the log. What an entry asks that does not fit the state any more is void and changes nothing.
+A member has a session, which its numbered renewals open and extend; duties depend on sessions
+(docs/council.md). A duty is released only by its holder's own renewal or by the end of the holder's session,
+so a holder whose copy of the log is behind can be wrong only about its lease, which it measures by its own
+clock (`lease.py`). Tokens are log indexes. A command that no longer fits the state is rejected and changes
+nothing.
 """
 
 from __future__ import annotations
@@ -12,26 +13,28 @@
 from msgspec import Struct
 
 MAX_DUTIES = 1024
-MAX_SESSIONS = 1024  # with those that ended; of these the oldest goes first
-MAX_REASON_CHARS = 200  # characters
+MAX_SESSIONS = 1024  # including ended sessions, of which the oldest is dropped first
+MAX_REASON_CHARS = 200
 MAX_NAME_CHARS = 200
-MAX_BODY_BYTES = 64 * 1024  # bytes of an act or a request; a longer one is void
+MAX_BODY_BYTES = 64 * 1024  # of a command's body; a longer one is rejected
 
 
 class RenewSession(Struct, frozen=True, array_like=True, tag="word"):
-    """A member of itself. `life` is drawn at random when the process starts, `number` rises in it by one."""
+    """Opens or renews the sender's session. `incarnation` is drawn at random when the process starts;
+    `sequence` grows by one with each renewal.
+    """
 
     member: str
     incarnation: int
     sequence: int
-    weight: float  # 0: it drains, and takes nothing more
-    unavailable: dict[str, str] = {}  # duty: why
-    released: dict[str, int] = {}  # duty: the token under which it does not act any more
+    weight: float  # 0: the member drains and takes no more duties
+    unavailable: dict[str, str] = {}  # reason by duty
+    released: dict[str, int] = {}  # by duty: the token under which the member no longer acts
     leaving: bool = False
 
 
 class EndSession(Struct, frozen=True, array_like=True, tag="end"):
-    """The session ran out, and `number` was its last word: void if there was a later one."""
+    """The session expired after the renewal `sequence`; rejected if a later renewal has been applied."""
 
     member: str
     incarnation: int
@@ -45,7 +48,7 @@
 
 
 class AssignSuccessor(Struct, frozen=True, array_like=True, tag="heir"):
-    """Who holds `duty` under `token` shall pass it on to the member."""
+    """The holder of `duty` under `token` is to hand it over to `member`."""
 
     duty: str
     token: int
@@ -54,13 +57,17 @@
 
 
 class DefineDuties(Struct, frozen=True, array_like=True, tag="define"):
-    """The duties that there are from now on. One that is held and not among them goes when it is free."""
+    """The full set of duties from now on. A duty that is held and missing from the set is removed once it is
+    released.
+    """
 
     duties: tuple[str, ...]
 
 
 class FencedCommand(Struct, frozen=True, array_like=True, tag="act"):
-    """Of who acts on `duty` under `token`: for the duty's machine (`acts.py`), if the token still counts."""
+    """A command of the member that acts on `duty` under `token`, for the duty's state machine
+    (`commands.py`); rejected if the token is no longer valid.
+    """
 
     duty: str
     token: int
@@ -68,8 +75,10 @@
 
 
 class UnfencedCommand(Struct, frozen=True, array_like=True, tag="ask"):
-    """Of any member, for the duty's machine, whose own rules say whether it counts. A kind of its own: an act
-    under token 0, of one that does not act, must never pass as a request."""
+    """A command of any member for the duty's state machine, whose own rules decide whether it applies. It is
+    a separate type so that a fenced command with token 0, from a member that does not act, can never pass as
+    unfenced.
+    """
 
     duty: str
     body: bytes
@@ -82,7 +91,7 @@
 
 class Session(Struct, rename={"incarnation": "life", "sequence": "number", "unavailable": "cannot"}):
     incarnation: int
-    sequence: int  # of its last word
+    sequence: int  # of its last renewal
     weight: float
     unavailable: dict[str, str]
     open: bool = True
@@ -98,7 +107,9 @@
         "retired": "gone",
     },
 ):
-    """`holder` and `heir` are empty for nobody. `fence`: the highest token under which an entry came."""
+    """`holder` and `successor` are empty if there is none. `fence` is the highest token under which an entry
+    has been applied.
+    """
 
     holder: str = ""
     holder_incarnation: int = 0
@@ -120,7 +131,7 @@
 
 
 def decode(data: bytes) -> Command:
-    """Raises msgspec.ValidationError, a ValueError, for what is none."""
+    """Raises msgspec.ValidationError, a ValueError, for data that is not a command."""
     return COMMAND_DECODER.decode(data)
 
 
@@ -128,7 +139,7 @@
 
 
 class DutyTable:
-    """`apply` in the order of the log."""
+    """`apply` must be called in log order."""
 
     def __init__(self) -> None:
         self.sessions: dict[str, Session] = {}
@@ -138,20 +149,21 @@
         return msgspec.msgpack.encode(DutyTableState(self.sessions, self.duties))
 
     def load(self, data: bytes) -> None:
-        """Raises msgspec.ValidationError for what is no dump."""
+        """Raises msgspec.ValidationError for data that is not a dump."""
         state: DutyTableState = msgspec.msgpack.decode(data, type=DutyTableState)
         self.sessions, self.duties = state.sessions, state.duties
 
     def open_session(self, member: str, incarnation: int) -> Session | None:
-        """The open one of that life."""
+        """Returns the member's session if it is open and of that incarnation."""
         session = self.sessions.get(member)
         return (
             session if session is not None and session.open and session.incarnation == incarnation else None
         )
 
     def apply(self, index: int, command: Command) -> bool:
-        """Whether it changed anything. Acts and requests change nothing of who holds what: they are for
-        `Acts`."""
+        """Returns whether the command changed anything. Fenced and unfenced commands do not change the table:
+        they are for `ReplicatedState`.
+        """
         if isinstance(command, RenewSession):
             return self.apply_renewal(command)
         if isinstance(command, EndSession):
@@ -188,8 +200,9 @@
         return True
 
     def admit_token(self, name: str, token: int) -> bool:
-        """Whether an entry that is applied now under that token counts. Under an older one than an entry
-        before it had, it does not. To be asked once for each such entry."""
+        """Returns whether an entry that is applied now under `token` is valid, and records the token: a token
+        older than that of an earlier entry is not valid. Call it exactly once per entry.
+        """
         duty = self.duties.get(name)
         if duty is None or not duty.holder or token < duty.fence:
             return False
@@ -223,7 +236,7 @@
             )
             return True
         if session.incarnation != renewal.incarnation:
-            return False  # its life before may still act: not before its session has ended
+            return False  # the previous incarnation may still act until its session has ended
         session.sequence, session.weight, session.unavailable = renewal.sequence, renewal.weight, unavailable
         if renewal.leaving:
             self.close_session(renewal.member, session)
@@ -238,7 +251,9 @@
         return True
 
     def make_room(self, member: str) -> bool:
-        """For one more session; an ended one goes for it."""
+        """Makes room for one more session by dropping an ended one if necessary; returns whether there is
+        room.
+        """
         if member in self.sessions or len(self.sessions) < MAX_SESSIONS:
             self.sessions.pop(member, None)
             return len(member) <= MAX_NAME_CHARS
--- a/harrieryoke/council/decide/grants.py
+++ b/harrieryoke/council/decide/grants.py
@@ -1,8 +1,9 @@
-"""Who gives turns, and who takes them: the holder's and a member's own side of `rounds.py`.
+"""Granting and using turns for reconciliation: the duty holder's and the member's side of `rounds.py`.
 
-Both look at their copy of what was agreed and say what to propose; what is lost on the way they say again.
-Times are milliseconds of the own monotonic clock. Their state is their process's: a new holder gives what it
-finds running a whole time of its own, and a process that starts takes over what its name had open.
+Both sides look at their copy of the replicated state and return commands to propose; a command that is lost
+is proposed again. Times are milliseconds of the local monotonic clock. Their state lives as long as the
+process: a new holder gives each running turn its full time anew, and a restarted process adopts the rounds
+that are open under its name.
 """
 
 from __future__ import annotations
@@ -28,26 +29,29 @@
     encode,
 )
 
-MAX_PENDING_REQUESTS = 1024  # of one member, that wait for room among what is open
-MAX_BACKOFF_FACTOR = 16  # times `repeat_ms`, the longest pause between two tries to say a thing
+MAX_PENDING_REQUESTS = 1024  # of one member, waiting until it may open another round
+MAX_BACKOFF_FACTOR = 16  # times `repeat_ms`: the longest interval between two attempts to send a request
 
 
 class TurnSettingsError(ValueError):
-    """A key that can't be used; the message begins with its name."""
+    """A setting that cannot be used. The message begins with its key."""
 
 
 class TurnSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How the holder conducts, and how members ask. The holder's own file counts for giving turns."""
-
-    at_once: int = 2  # turns at one time
-    turn_ms: float = 60_000.0  # that a turn may take
-    tries: int = 3  # turns of a round until it has failed
-    again_ms: float = 30_000.0  # from a turn that was given up to the next of the round
-    spread_ms: float = 2_000.0  # over which members that want at one moment say so
-    repeat_ms: float = 1_000.0  # until what was proposed and not agreed is proposed again
+    """How the duty's holder grants turns and how members request them. The holder's own settings apply to
+    granting.
+    """
+
+    at_once: int = 2  # running turns
+    turn_ms: float = 60_000.0  # time limit of a turn
+    tries: int = 3  # turns of a round before it counts as failed
+    again_ms: float = 30_000.0  # from a revoked turn to the next turn of the same round
+    # over which the requests of members that become due at the same moment are spread
+    spread_ms: float = 2_000.0
+    repeat_ms: float = 1_000.0  # before a command that was not applied is proposed again
 
     def check(self, table: str) -> None:
-        """Raises PaceError."""
+        """Raises TurnSettingsError."""
         bounds: tuple[tuple[str, float, float], ...] = (
             ("at_once", 1, MAX_RUNNING_TURNS),
             ("turn_ms", 1000, 3.6e6),
@@ -58,12 +62,12 @@
         )
         for key, least, most in bounds:
             if not least <= getattr(self, key) <= most:
-                raise TurnSettingsError(f"{table}.{key}: {least:g} to {most:g} is wanted")
+                raise TurnSettingsError(f"{table}.{key}: must be {least:g} to {most:g}")
 
 
 @dataclass(slots=True)
 class ObservedRound:
-    """Of an open round: since when it is at this turn or try."""
+    """An open round and since when it has had this turn or number of tries."""
 
     turn: int
     tries: int
@@ -71,16 +75,16 @@
 
 
 class TurnScheduler:
-    """Of who holds the duty. `turn` after entries were applied, and at `due`."""
+    """Runs on the duty's holder. Call `tick` after entries were applied, and at `wake_at`."""
 
     def __init__(self, rounds: ReconciliationRounds, settings: TurnSettings) -> None:
         self.rounds, self.settings = rounds, settings
         self.observed: dict[tuple[str, int], ObservedRound] = {}
         self.proposed: dict[HolderCommand, float] = {}
-        self.wake_at: float | None = None  # when something is to be done next, if nothing is applied before
+        self.wake_at: float | None = None  # time of the next action if no entry is applied before
 
     def tick(self, now: float, token: int) -> list[bytes]:
-        """The acts to propose under `token`; 0: this member does not act on the duty."""
+        """Returns the commands to propose under `token`; 0 if this member does not act on the duty."""
         self.wake_at = None
         if not token:
             self.observed.clear()
@@ -103,7 +107,7 @@
         self.wake_at = due_at if self.wake_at is None else min(self.wake_at, due_at)
 
     def observe_rounds(self, now: float) -> None:
-        """Only rounds that have their turn or had one: of the others no time counts."""
+        """Tracks only rounds that have or had a turn: no timeouts apply to the others."""
         previous, self.observed = self.observed, {}
         for member, member_rounds in self.rounds.open.items():
             for period, open_round in member_rounds.items():
@@ -125,7 +129,9 @@
         return commands
 
     def next_grants(self, now: float) -> list[HolderCommand]:
-        """The first in the line of each member that has no turn now; so many as there is room for."""
+        """Returns grants for the first eligible round of each member without a running turn, as far as turns
+        are free.
+        """
         free_turns = self.settings.at_once - len(self.rounds.running)
         if free_turns <= 0:
             return []
@@ -154,36 +160,37 @@
 @dataclass(slots=True)
 class PendingRequest:
     request_id: int
-    send_at: float  # when to say so
+    send_at: float
     backoff_ms: float
 
 
 @dataclass(slots=True)
 class HeldTurn:
-    """A turn of this member. `counts`: it is done."""
+    """A turn of this member. `counts` is set once it is complete."""
 
     turn: int
     expires: float
     last_sent: float = float("-inf")
     counts: Counts | None = None
-    returned: bool = False  # it can't be done now
+    returned: bool = False  # it cannot be done now
 
 
 class MemberTurns:
-    """A member's own wishes and turns. `turn` after entries were applied, and at `due`. What `ready` holds is
-    begun by whoever reconciles, each turn once; `holds` is asked before each of its messages."""
+    """A member's own requests and turns. Call `tick` after entries were applied, and at `wake_at`. Each turn
+    in `ready` is started once by the reconciler, which calls `holds` before each of its messages.
+    """
 
     def __init__(self, member: str, rounds: ReconciliationRounds, settings: TurnSettings, seed: int) -> None:
         self.member, self.rounds, self.settings, self.rng = member, rounds, settings, Random(seed)
         self.pending: dict[int, PendingRequest] = {}  # by period
         self.held: dict[int, HeldTurn] = {}  # by period
         self.ready: deque[tuple[int, int]] = deque()  # period and turn
-        self.failed: list[int] = []  # periods, for the caller to tell and take away
-        self.collector_reachable = False  # the collector can be reached
+        self.failed: list[int] = []  # periods to be reported and removed by the caller
+        self.collector_reachable = False
         self.wake_at: float | None = None
 
     def request(self, now: float, period: int) -> bool:
-        """False: there are too many."""
+        """Returns False if too many requests are pending."""
         if period not in self.pending:
             if len(self.pending) >= MAX_PENDING_REQUESTS:
                 return False
@@ -191,13 +198,14 @@
         return True
 
     def add_request(self, now: float, period: int, request_id: int) -> None:
-        # guards the council against all members at one moment: periods end everywhere by the same clock
+        # Spreads the requests: periods end on all members at the same moment, and their requests would reach
+        # the council at once.
         self.pending[period] = PendingRequest(
             request_id, now + self.rng.random() * self.settings.spread_ms, self.settings.repeat_ms
         )
 
     def set_collector_reachable(self, reachable: bool) -> None:
-        """Turns that are not done go back where it can't."""
+        """Gives unfinished turns back while the collector is unreachable."""
         self.collector_reachable = reachable
         for held_turn in self.held.values():
             held_turn.returned = held_turn.returned or not reachable
@@ -208,7 +216,9 @@
             held_turn.counts = counts
 
     def holds(self, now: float, period: int, turn: int) -> bool:
-        """Whether it may go on. By its own clock too: one that hears no entry any more stops all the same."""
+        """Whether the turn may continue. Its expiry is also checked by the local clock, so that a member cut
+        off from the log stops as well.
+        """
         open_round = self.rounds.open.get(self.member, {}).get(period)
         held_turn = self.held.get(period)
         if open_round is None or held_turn is None or not open_round.turn == held_turn.turn == turn:
@@ -216,7 +226,7 @@
         return now < held_turn.expires and not held_turn.returned
 
     def tick(self, now: float) -> list[bytes]:
-        """The requests to make."""
+        """Returns the requests to propose."""
         self.wake_at = None
         member_rounds = self.rounds.open.get(self.member, {})
         self.observe_rounds(now)
@@ -255,7 +265,7 @@
         self.wake_at = due_at if self.wake_at is None else min(self.wake_at, due_at)
 
     def observe_rounds(self, now: float) -> None:
-        """What was agreed since the last time."""
+        """Adopts what was applied since the last call."""
         member_rounds = self.rounds.open.get(self.member, {})
         for period in [
             p
@@ -265,9 +275,8 @@
             del self.held[period]
         for period, open_round in member_rounds.items():
             if period not in self.pending:
-                self.add_request(
-                    now, period, open_round.request_id
-                )  # of this name's process before, or for want of room here
+                # opened by a previous process of this name, or dropped here because too many were pending
+                self.add_request(now, period, open_round.request_id)
             self.pending[period].request_id = open_round.request_id
             if open_round.turn and period not in self.held:
                 self.held[period] = HeldTurn(
@@ -286,5 +295,5 @@
         self.ready = deque(each for each in self.ready if self.holds(now, *each))
 
     def take_ready(self) -> tuple[int, int] | None:
-        """A turn to be begun now."""
+        """Returns a turn to be started now."""
         return self.ready.popleft() if self.ready else None
--- a/harrieryoke/council/decide/lease.py
+++ b/harrieryoke/council/decide/lease.py
@@ -1,4 +1,4 @@
-"""A member's own side of its duties: when it may act, what it says, and the fence at what it changes."""
+"""A member's view of its own lease: when it may act on a duty, when it renews, and how tokens are fenced."""
 
 from __future__ import annotations
 
@@ -7,28 +7,30 @@
 
 from .duties import MAX_REASON_CHARS, DutyTable, RenewSession
 
-MAX_PENDING_RENEWALS = (
-    64  # words whose time is remembered; one that is applied after 64 later ones renews nothing
-)
+# renewals whose send time is kept; one that is applied after 64 later ones does not extend the lease
+MAX_PENDING_RENEWALS = 64
 
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """`ms` of the holder's clock. Each clock's rate is within `drift` of true time."""
+    """A lease of `duration_ms` by the holder's clock. Each clock's rate is within `drift` of true time."""
 
     duration_ms: float = 5000.0
     drift: float = 0.01
 
     def expiry_bound_ms(self) -> float:
-        """Milliseconds of another's clock after which the holder's lease is over by any clock. If the holder
-        took no more than ms / (1 - drift) of true time, another's clock shows no more than that times
-        (1 + drift)."""
+        """Time on another member's clock after which the lease has expired by any clock. The holder's lease
+        takes at most duration_ms / (1 - drift) of true time, in which another clock advances by at most that
+        times (1 + drift).
+        """
         return self.duration_ms * (1 + self.drift) / (1 - self.drift)
 
 
 @dataclass(frozen=True, slots=True)
 class DutyHandover:
-    """To the heir `to`: the holder has stopped, `duty` is the heir's under `token`."""
+    """Sent to the successor `to`: the holder has stopped acting and `duty` belongs to the successor under
+    `token`.
+    """
 
     to: str
     duty: str
@@ -36,9 +38,10 @@
 
 
 class LeaseHolder:
-    """`duties` is this member's copy of what was agreed. After each entry that was applied, and at least ten
-    times a lease, `turn`; what it gives is offered to the log, or sent, after the time it was called with.
-    `acting` is asked before each act, with the time of then."""
+    """`duties` is this member's copy of the duty table. Call `tick` after each applied entry and at least ten
+    times per lease; propose or send what it returns after the time that was passed in. Call `acting_token`
+    before each action, with the current time.
+    """
 
     def __init__(self, member: str, incarnation: int, weight: float, lease: Lease, duties: DutyTable) -> None:
         self.member, self.incarnation, self.weight, self.lease, self.duties = (
@@ -49,17 +52,17 @@
             duties,
         )
         self.last_sequence = 0
-        self.renewal_times: OrderedDict[int, float] = OrderedDict()  # by word: the time before it was said
+        self.renewal_times: OrderedDict[int, float] = OrderedDict()  # by renewal: a time before it was sent
         self.lease_expires = float("-inf")
-        self.unavailable: dict[str, str] = {}  # by duty: why it can't be done
-        self.unavailable_since: dict[str, int] = {}  # by duty: the last word that said so
-        self.released: dict[str, int] = {}  # by duty: the token that was given back
-        self.handed_over: dict[str, int] = {}  # by duty: the token that its holder passed on
+        self.unavailable: dict[str, str] = {}  # reason by duty
+        self.unavailable_since: dict[str, int] = {}  # by duty: the last renewal that reported it unavailable
+        self.released: dict[str, int] = {}  # by duty: the token that was given up
+        self.handed_over: dict[str, int] = {}  # by duty: the token that its holder handed over
         self.renew_now = True
         self.has_left = False
 
     def acting_token(self, name: str, now: float) -> int:
-        """The token under which this member may act on the duty now; 0 for not at all."""
+        """Returns the token under which this member may act on the duty now, or 0 if it may not."""
         session = self.duties.open_session(self.member, self.incarnation)
         duty = self.duties.duties.get(name)
         if (
@@ -71,7 +74,7 @@
         ):
             return 0
         if session.sequence <= self.unavailable_since.get(name, 0):
-            return 0  # a word of before, which frees the duty, may still be on its way into the log
+            return 0  # an earlier renewal, which releases the duty, may not be in the log yet
         token = 0
         if duty.holder == self.member:
             token = duty.token
@@ -80,7 +83,7 @@
         return token if token > self.released.get(name, 0) else 0
 
     def mark_unavailable(self, name: str, reason: str) -> None:
-        """It stops at once; the others hear why."""
+        """Stops acting at once; the next renewal tells the others why."""
         self.renew_now = self.renew_now or name not in self.unavailable
         self.unavailable[name] = reason[:MAX_REASON_CHARS]
 
@@ -88,16 +91,18 @@
         self.renew_now = self.unavailable.pop(name, None) is not None or self.renew_now
 
     def set_weight(self, weight: float) -> None:
-        """0: it drains. Its duties are passed on, one after the other, while it still acts."""
+        """With 0 the member drains: its duties are handed over one by one while it still acts."""
         self.renew_now = self.renew_now or weight != self.weight
         self.weight = weight
 
     def leave(self) -> None:
-        """It stops all at once, and for good."""
+        """Stops acting on all duties at once and permanently."""
         self.has_left = self.renew_now = True
 
     def accept_handover(self, name: str, token: int) -> None:
-        """The duty's holder says so. Before the agreed state names this member its heir it does nothing."""
+        """The duty's holder has handed it over. Has no effect until the replicated state names this member as
+        the successor.
+        """
         if name in self.duties.duties and token > self.handed_over.get(name, 0):
             self.handed_over[name] = token
 
@@ -116,7 +121,9 @@
         return actions
 
     def hand_over_duties(self) -> list[DutyHandover]:
-        """Guards against a gap: the heir is told directly, and later learns the same from the log."""
+        """Avoids a gap in holding: the successor is notified directly, before it learns of the release from
+        the log.
+        """
         handovers = []
         for name, duty in self.duties.duties.items():
             is_holder = duty.holder == self.member and duty.holder_incarnation == self.incarnation
@@ -129,9 +136,9 @@
         return handovers
 
     def discard_stale(self) -> None:
-        """What is kept by duty goes with the duty; of a reason, when a word after it was applied."""
+        """Drops tokens of removed duties, and availability records once a later renewal has been applied."""
         for tokens in (self.released, self.handed_over):
-            for name in [sequence for sequence in tokens if sequence not in self.duties.duties]:
+            for name in [name for name in tokens if name not in self.duties.duties]:
                 del tokens[name]
         session = self.duties.open_session(self.member, self.incarnation)
         if session is not None:
@@ -167,14 +174,15 @@
 
 
 class Fence:
-    """At what a duty changes: turns down a token older than one that came before. What outlives a restart
-    keeps `token` with what it changes."""
+    """Checks fencing tokens at the resource that a duty changes: rejects a token older than one seen before.
+    A resource that survives a restart stores `token` together with its data.
+    """
 
     def __init__(self, token: int = 0) -> None:
         self.token, self.rejected = token, 0
 
     def admit(self, token: int) -> bool:
-        """Whether a change under that token may be made. To be asked in the step that makes it."""
+        """Returns whether a change under `token` may be made. Call it in the same step as the change."""
         if token < self.token or token <= 0:
             self.rejected += 1
             return False
--- a/harrieryoke/council/decide/lease_manager.py
+++ b/harrieryoke/council/decide/lease_manager.py
@@ -1,5 +1,7 @@
-"""What the leader proposes about duties: ends of sessions, grants and heirs. Each member runs one, so that a
-new leader knows for how long it has heard no word; only the leader's proposals count."""
+"""What the leader proposes about duties: ends of sessions, grants and successors. Every member runs a lease
+manager, so that a new leader knows how long ago each session was renewed; only the leader's proposals are
+used.
+"""
 
 from __future__ import annotations
 
@@ -10,18 +12,19 @@
 from .duties import AssignSuccessor, Command, DutyTable, EndSession, GrantDuty, Session
 from .lease import Lease
 
-MAX_PROPOSALS = 64  # proposals of one turn; the rest come with the next
+MAX_PROPOSALS = 64  # per tick; the rest follow with the next one
 
 
 def rendezvous_score(duty: str, member: str, weight: float) -> float:
-    """Weighted rendezvous (Thaler, Ravishankar 1998; Schindelhauer, Schomaker 2005): the member with the
-    highest does the duty. `weight` above 0."""
+    """Weighted rendezvous hashing (Thaler, Ravishankar 1998; Schindelhauer, Schomaker 2005): the member with
+    the highest score holds the duty. `weight` must be above 0.
+    """
     uniform = (xxhash.xxh3_64_intdigest(f"{duty}\0{member}".encode()) + 0.5) / 2**64
     return -weight / log(uniform)
 
 
 def preferred_member(duty: str, sessions: dict[str, Session]) -> str | None:
-    """Of those that are open and can."""
+    """Returns the best member among those with an open session that can take the duty."""
     candidates = [m for m, s in sessions.items() if s.open and s.weight > 0 and duty not in s.unavailable]
     return (
         max(candidates, key=lambda m: (rendezvous_score(duty, m, sessions[m].weight), m))
@@ -31,17 +34,18 @@
 
 
 class LeaseManager:
-    """`turn` after entries were applied, on every member, with a time that was read after that: one read
-    before would count a lease from before it was asked for. Times are milliseconds of the own monotonic
-    clock.
-    `settle`: for how long a member has been there before a healthy holder passes anything on to it."""
+    """Call `tick` on every member after entries were applied, with a time that was read after that: a time
+    read before would measure a lease from before its renewal was applied. Times are milliseconds of the local
+    monotonic clock. `settle_ms` is how long a member must have had its session before a healthy holder hands
+    anything over to it.
+    """
 
     def __init__(self, lease: Lease, duties: DutyTable, settle_ms: float = 10_000.0) -> None:
         self.lease, self.duties, self.settle_ms = lease, duties, settle_ms
-        self.last_renewals: dict[str, tuple[int, int, float]] = {}  # by member: life, last word, applied when
-        self.session_starts: dict[
-            str, tuple[int, float]
-        ] = {}  # by member: its life, and when it was first seen
+        # by member: incarnation, last renewal, when it was seen
+        self.last_renewals: dict[str, tuple[int, int, float]] = {}
+        # by member: incarnation, when it was first seen
+        self.session_starts: dict[str, tuple[int, float]] = {}
         self.proposed: dict[Command, float] = {}
 
     def tick(self, now: float, is_leader: bool) -> list[Command]:
@@ -51,14 +55,16 @@
             return []
         repeat_ms = self.lease.duration_ms / 5
         self.proposed = {
-            command: seen_at for command, seen_at in self.proposed.items() if now - seen_at < repeat_ms
+            command: proposed_at
+            for command, proposed_at in self.proposed.items()
+            if now - proposed_at < repeat_ms
         }
         new_commands = [c for c in self.due_commands(now) if c not in self.proposed][:MAX_PROPOSALS]
         self.proposed.update((command, now) for command in new_commands)
         return new_commands
 
     def observe_sessions(self, now: float) -> None:
-        """Guards against counting a lease from before its word was applied here: what is noted is later."""
+        """Records renewals at the time they are seen here, which is never before they were applied."""
         open_sessions = {m: s for m, s in self.duties.sessions.items() if s.open}
         for ended in self.last_renewals.keys() - open_sessions.keys():
             del self.last_renewals[ended], self.session_starts[ended]
--- a/harrieryoke/council/decide/log.py
+++ b/harrieryoke/council/decide/log.py
@@ -1,4 +1,4 @@
-"""A member's copy of the log, and what a disk's records come to."""
+"""A member's copy of the Raft log, and the state recovered from its disk."""
 
 from __future__ import annotations
 
@@ -10,7 +10,9 @@
 
 @dataclass(slots=True)
 class RaftLog:
-    """Entries after `base`; those up to it are in a snapshot. Index and term of nothing are 0."""
+    """Holds the entries after `base_index`; earlier ones are covered by a snapshot. The empty log has index
+    and term 0.
+    """
 
     base_index: int = 0
     base_term: int = 0
@@ -23,7 +25,7 @@
         return self.entries[-1].term if self.entries else self.base_term
 
     def term_at(self, index: int) -> int | None:
-        """None for what is not here."""
+        """Returns None for an index that is not in the log."""
         if index == self.base_index:
             return self.base_term
         return (
@@ -36,7 +38,7 @@
         return self.entries[index - self.base_index - 1]
 
     def entries_from(self, first_index: int, max_entries: int, max_bytes: int) -> tuple[Entry, ...]:
-        """Entries from `begin` on: at least one where there is one, else no more than either bound."""
+        """Returns entries from `first_index` on within both bounds, but at least one if there is one."""
         batch, size = list[Entry](), 0
         for entry in self.entries[
             first_index - self.base_index - 1 : first_index - self.base_index - 1 + max_entries
@@ -48,16 +50,18 @@
         return tuple(batch)
 
     def truncate_and_append(self, entry: Entry) -> None:
-        """At its index; what was there and behind it goes. Raises ValueError for a hole."""
+        """Stores the entry at its index and drops all entries from there on. Raises ValueError for a gap."""
         if not self.base_index < entry.index <= self.last_index() + 1:
             raise ValueError(
-                f"entry {entry.index} behind {self.last_index()}, after a snapshot up to {self.base_index}"
+                f"entry {entry.index} leaves a gap: the log has {self.base_index + 1} to {self.last_index()}"
             )
         del self.entries[entry.index - self.base_index - 1 :]
         self.entries.append(entry)
 
     def conflict_hint(self, index: int) -> int:
-        """Where a leader may try after `index` did not fit: before the term that is there (Raft, 5.3)."""
+        """Returns the index from which a leader may retry after a mismatch at `index`: the one before the
+        conflicting term (Raft, section 5.3).
+        """
         if index > self.last_index():
             return self.last_index()
         term = self.term_at(index)
@@ -66,14 +70,16 @@
         return index
 
     def install_snapshot(self, snapshot: Snapshot) -> bool:
-        """Entries behind the snapshot stay where they fit to it; else all go, and False."""
+        """Keeps the entries behind the snapshot if they are consistent with it and returns True; otherwise
+        drops all entries.
+        """
         matches = self.term_at(snapshot.index) == snapshot.term
         self.entries = self.entries[snapshot.index - self.base_index :] if matches else []
         self.base_index, self.base_term = snapshot.index, snapshot.term
         return matches
 
     def discard_through(self, index: int) -> None:
-        """Those up to `upto`, which a snapshot stands for."""
+        """Drops the entries up to `index`, which a snapshot covers."""
         if index > self.base_index:
             term = self.entry(index).term
             del self.entries[: index - self.base_index]
@@ -82,7 +88,7 @@
 
 @dataclass(slots=True)
 class PersistentState:
-    """What a member had on its disk. `add` in the order of the records."""
+    """What a member had on its disk. Call `apply_record` in the order of the records."""
 
     term: int = 0
     voted_for: ReplicaId | None = None
@@ -90,7 +96,7 @@
     log: RaftLog = field(default_factory=RaftLog)
 
     def apply_record(self, record: PersistentRecord) -> None:
-        """Raises ValueError for an entry that leaves a hole: the disk has lost what was durable."""
+        """Raises ValueError for an entry that leaves a gap: the disk has lost durable data."""
         if isinstance(record, HardState):
             self.term, self.voted_for = record.term, record.vote
         elif isinstance(record, Entry):
@@ -108,6 +114,8 @@
 
 
 def bootstrap_snapshot(voters: Iterable[ReplicaId], base_index: int = 0) -> Snapshot:
-    """The record with which a council begins, on the disk of its first voter. `base`: above every index of
-    one that was lost, so that tokens only grow. (Tests found several voters at once with one record.)"""
+    """The first record of a new council, on the disk of its first voter. `base_index` must be above every
+    index of a council that was lost, so that tokens only grow. (Tests bootstrap several voters with one
+    record.)
+    """
     return Snapshot(base_index, 0, Configuration(frozenset(voters)))
--- a/harrieryoke/council/decide/membership.py
+++ b/harrieryoke/council/decide/membership.py
@@ -1,4 +1,4 @@
-"""Which change of the configuration is due: a step at a time, by what is wanted and who is heard."""
+"""Chooses the next configuration change, one step at a time, from the desired members and who responds."""
 
 from __future__ import annotations
 
@@ -11,8 +11,10 @@
 def next_change(
     raft: Raft, voters: frozenset[str], known: frozenset[str]
 ) -> Configuration | ReplicaId | None:
-    """The next configuration, or to whom this leader must hand on first; None for nothing. `voters`: the
-    names that shall vote, `known`: all that may be let in. A name that is not known any more is put out."""
+    """Returns the next configuration, or the voter to which this leader must transfer leadership first, or
+    None. `voters` are the desired voters, `known` all members that may join. A member that is no longer known
+    is removed.
+    """
     if not raft.is_established_leader():
         return None
     for step in possible_changes(raft, voters, known):
@@ -24,9 +26,10 @@
 def possible_changes(
     raft: Raft, voters: frozenset[str], known: frozenset[str]
 ) -> Iterator[Configuration | ReplicaId]:
-    """Those that are wanted, the most urgent first. A new disk of a member gets the old one's place only when
-    that has been silent for `silent_ms`: guards against a second process under a name, which would put out
-    the first."""
+    """Yields the desired changes, most urgent first. A member's new disk replaces its old one only after the
+    old one has been silent for `silent_ms`: otherwise a second process under the same name would displace the
+    first.
+    """
     current = raft.configuration
     for replica in sorted(raft.join_requests):
         previous = current.find(replica.name)
@@ -44,7 +47,7 @@
         elif replica.name in voters and raft.is_caught_up(replica) and len(current.voters) < MAX_VOTERS:
             yield Configuration(current.voters | {replica}, current.learners - {replica})
     if len(current.voters) < min(len(voters) + 1, MAX_VOTERS):
-        return  # guards against fewer voters than wanted on the way: a replacement comes in first
+        return  # a replacement is added first, so that the number of voters never drops below the desired one
     for replica in sorted(current.voters):
         if replica.name in voters:
             continue
--- a/harrieryoke/council/decide/messages.py
+++ b/harrieryoke/council/decide/messages.py
@@ -1,7 +1,6 @@
-"""What members say to each other, what is in the log, and what is written to the disk.
+"""Messages between members, entries of the log, and records on the disk. All are values.
 
-All are values. Names after Raft's calls: `AskVote` is RequestVote, `Append` AppendEntries, `Piece`
-InstallSnapshot, `Now` TimeoutNow (Ongaro's dissertation, figure 3.1, sections 3.10 and 5.3, 9.6).
+Message names are those of Ongaro's dissertation (figure 3.1, sections 3.10, 5.3 and 9.6).
 """
 
 from __future__ import annotations
@@ -10,19 +9,23 @@
 
 from msgspec import Struct
 
-ENTRY_OVERHEAD_BYTES = 64  # bytes counted for an entry beside its data
+ENTRY_OVERHEAD_BYTES = 64  # counted per entry and replica beside the data
 
 
 class ReplicaId(NamedTuple):
-    """A member with its disk: `disk` is drawn at random when the disk is first used, so that a member that
-    lost it is another seat, whose votes count in no configuration that had the old one."""
+    """A member together with its disk. `disk_id` is drawn at random when the disk is first used: a member
+    that lost its disk is a different replica, whose votes count in no configuration that contains the old
+    one.
+    """
 
     name: str
     disk_id: int
 
 
 class Configuration(NamedTuple):
-    """A configuration. Learners get the log and count for nothing. No name is in it twice."""
+    """A cluster configuration. Learners receive the log but do not count towards quorums. No name occurs
+    twice.
+    """
 
     voters: frozenset[ReplicaId] = frozenset()
     learners: frozenset[ReplicaId] = frozenset()
@@ -38,8 +41,9 @@
 
 
 class Entry(Struct, frozen=True):
-    """`members` makes it a change of the configuration, which counts from when it is in a log; with neither
-    that nor `data` it is a new leader's first."""
+    """An entry with `members` changes the configuration and takes effect as soon as it is in a log. An entry
+    with neither `members` nor `data` is the first of a new leader.
+    """
 
     index: int
     term: int
@@ -52,7 +56,9 @@
 
 
 class Snapshot(Struct, frozen=True):
-    """Stands for all entries up to `index`. Without data it is a founding: nothing was applied before."""
+    """Covers all entries up to `index`. Without data it bootstraps a council: nothing has been applied before
+    it.
+    """
 
     index: int
     term: int
@@ -61,7 +67,7 @@
 
 
 class HardState(Struct, frozen=True):
-    """Term and vote, which are written before anything is said in that term."""
+    """Term and vote; written before anything is sent in that term."""
 
     term: int
     vote: ReplicaId | None
@@ -74,8 +80,8 @@
     term: int
     last_log_index: int
     last_log_term: int
-    pre_vote: bool = False  # would you vote for me in that term?
-    leadership_transfer: bool = False  # the leader itself has asked me to stand
+    pre_vote: bool = False  # asks whether the vote would be granted, without changing the term
+    leadership_transfer: bool = False  # the current leader asked the candidate to start this election
 
 
 class RequestVoteResponse(Struct, frozen=True):
@@ -93,8 +99,9 @@
 
 
 class AppendEntriesResponse(Struct, frozen=True):
-    """`ok`: entries up to `index` are durable here and are the leader's. Else what followed `at` did not fit;
-    up to `index` it may."""
+    """With `success`, entries up to `index` are durable here and match the leader's. Otherwise the entries
+    after `rejected_index` did not match, and the logs may agree up to `index`.
+    """
 
     term: int
     success: bool
@@ -103,7 +110,7 @@
 
 
 class InstallSnapshot(Struct, frozen=True):
-    """Bytes of a snapshot from `offset` of `total` on. `snapshot.data` is empty in it."""
+    """A chunk of a snapshot: the bytes from `offset` on out of `total_bytes`. `snapshot.data` is empty."""
 
     term: int
     snapshot: Snapshot
@@ -115,7 +122,7 @@
 class InstallSnapshotResponse(Struct, frozen=True):
     term: int
     snapshot_index: int
-    next_offset: int  # the offset of the next piece
+    next_offset: int
 
 
 class TimeoutNow(Struct, frozen=True):
@@ -127,7 +134,7 @@
 
 
 class JoinRequest(Struct, frozen=True):
-    """Of a seat that is in no configuration that it knows."""
+    """Sent by a replica that is in no configuration known to it."""
 
 
 Message = (
@@ -144,12 +151,12 @@
 
 
 class OutgoingMessage(Struct, frozen=True):
-    recipient: ReplicaId | None  # None: to each member whose address is known
+    recipient: ReplicaId | None  # None: every member with a known address
     message: Message
 
 
 class PendingWrite(Struct, frozen=True):
-    """To be written in the order of `number`, without a hole."""
+    """A record to be written; `sequence` has no gaps, and records are written in its order."""
 
     sequence: int
     record: PersistentRecord
--- a/harrieryoke/council/decide/raft.py
+++ b/harrieryoke/council/decide/raft.py
@@ -1,12 +1,14 @@
-"""One member's part in the agreement: Raft as in Ongaro's dissertation (2014), as a pure machine.
+"""Raft consensus as in Ongaro's dissertation (2014), as a deterministic state machine without I/O.
 
-In go messages, ticks and what the disk did; out come messages, records to write and entries to apply:
+Inputs are messages, ticks and disk results; outputs are messages, records to write and committed entries:
 
-    receive / tick / offer / change / disk_done / disk_failed  ->  take() -> saves, sends, applies
+    receive / tick / propose / change_configuration / records_written / disk_failed
 
-A message that rests on a record leaves `take` only after `disk_done` of that record (docs/council.md has the
-table), so that a caller can't answer before it has written. All times are milliseconds of the caller's
-monotonic clock, which may stop and go at its own rate: no rule of safety here rests on it.
+        ->  take_ready() -> writes, messages, committed
+
+A message that depends on a record leaves `take_ready` only after `records_written` for that record (the table
+is in docs/council.md), so a caller cannot send it before the record is durable. All times are milliseconds of
+the caller's monotonic clock, which may run at any rate: safety does not depend on it.
 """
 
 from __future__ import annotations
@@ -47,50 +49,51 @@
 
 class Role(Enum):
     FOLLOWER = "follower"
-    PRE_CANDIDATE = "asking"  # whether it would be voted for: pre-vote, 9.6
+    PRE_CANDIDATE = "asking"  # pre-vote phase, section 9.6
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
 @dataclass(frozen=True, slots=True)
 class RaftSettings:
-    """Times are milliseconds, sizes bytes. An election begins after `election_ms` to twice that without a
-    leader; a leader that does not hear a majority for `election_ms` is none."""
+    """Times are milliseconds, sizes bytes. A follower starts an election after one to two times `election_ms`
+    without a leader; a leader that hears no majority for `election_ms` steps down.
+    """
 
     election_ms: float = 1000.0
     heartbeat_ms: float = 200.0
-    stall_ms: float = 1500.0  # a write that takes longer: somebody else should lead
-    silent_ms: float = 10_000.0  # after which a seat may be given to the same member's new disk
-    max_promotion_lag: int = 64  # entries that a learner may lack when it is made a voter
-    max_batch_entries: int = 256  # entries of a message
+    stall_ms: float = 1500.0  # a leader with a slower write steps down
+    silent_ms: float = 10_000.0  # silence after which a member's new disk may replace its old one
+    max_promotion_lag: int = 64  # entries that a learner may lack when it is promoted to voter
+    max_batch_entries: int = 256  # per message
     max_batch_bytes: int = 512 << 10
-    max_inflight_batches: int = 4  # messages with entries to one member that are not answered
+    max_inflight_batches: int = 4  # unanswered messages with entries per member
     max_entry_bytes: int = 256 << 10
-    max_uncommitted_entries: int = 1024  # not committed; beyond them an offer is refused
-    max_unwritten_bytes: int = 8 << 20  # beyond them a follower drops entries and a leader refuses offers
-    max_held_messages: int = (
-        4096  # messages that wait for the disk; beyond them the oldest is dropped, as if lost
-    )
-    trailing_entries: int = 1024  # entries kept behind a snapshot for those who lack a few
+    max_uncommitted_entries: int = 1024  # beyond them a proposal is refused
+    max_unwritten_bytes: int = 8 << 20  # beyond them a follower drops entries and a leader refuses proposals
+    max_held_messages: int = 4096  # waiting for the disk; beyond them the oldest is dropped, as if lost
+    trailing_entries: int = 1024  # kept behind a snapshot for members that lack only a few entries
     snapshot_chunk_bytes: int = 256 << 10
-    max_snapshot_bytes: int = 256 << 20  # a larger one is not taken from a leader
-    max_join_requests: int = 16  # seats remembered that want to be let in
+    max_snapshot_bytes: int = 256 << 20  # a larger snapshot is not accepted from a leader
+    max_join_requests: int = 16  # replicas remembered that ask to join
 
 
 @dataclass(slots=True)
 class Progress:
-    """What a leader knows of another member. `heard` is when it last answered."""
+    """The leader's view of another replica. `last_response` is the time of its last answer."""
 
     next_index: int
     last_response: float
     match_index: int = 0
-    inflight: deque[int] = field(default_factory=deque)  # last index of each message that is not answered
+    inflight: deque[int] = field(default_factory=deque)  # last index of each unanswered message
     sending_snapshot: Snapshot | None = None
     snapshot_offset: int = 0
 
 
 class UnwrittenRecord(Struct, frozen=True):
-    """A record on its way to the disk. `index`: up to where the log is durable with it; 0 for nowhere."""
+    """A record on its way to the disk. Once it is written the log is durable up to `log_index`; 0 for a
+    record without an entry.
+    """
 
     sequence: int
     log_index: int
@@ -105,8 +108,9 @@
 
 
 class Raft:
-    """`seat` is this member's; `kept` is what its disk had. Between two calls of `take` anything may be
-    called; the order within each of its lists is all that counts."""
+    """`replica` is this member's own ID; `persisted` is what its disk had. Any method may be called between
+    two calls of `take_ready`; only the order within each of its lists matters.
+    """
 
     def __init__(
         self, replica: ReplicaId, settings: RaftSettings, persisted: PersistentState, seed: int, now: float
@@ -124,20 +128,18 @@
         self.durable_index = self.log.last_index()
         self.role = Role.FOLLOWER
         self.leader: ReplicaId | None = None
-        self.last_leader_contact = now - settings.election_ms  # when a leader was heard
+        self.last_leader_contact = now - settings.election_ms
         self.votes_received: set[ReplicaId] = set()
-        self.progress: dict[ReplicaId, Progress] = {}  # of a leader
-        self.term_start_index = 0  # of a leader: the index of its term's first entry
+        self.progress: dict[ReplicaId, Progress] = {}  # used by a leader
+        self.term_start_index = 0  # of a leader: index of the first entry of its term
         self.last_heartbeat = now
-        self.pending_transfer: tuple[ReplicaId, float] | None = (
-            None  # to whom leadership goes, and until when that is tried
-        )
-        self.disk_error = ""  # why the disk takes nothing
+        # the target of a leadership transfer, and until when it is tried
+        self.pending_transfer: tuple[ReplicaId, float] | None = None
+        self.disk_error = ""  # why the disk accepts no records, or ""
         self.join_requests: dict[ReplicaId, float] = {}
         self.incoming_snapshot: tuple[Snapshot, bytearray] | None = None
-        self.last_sequence = self.written_sequence = self.hard_state_sequence = self.own_vote_sequence = (
-            0  # numbers of records
-        )
+        # sequence numbers of records
+        self.last_sequence = self.written_sequence = self.hard_state_sequence = self.own_vote_sequence = 0
         self.unwritten: deque[UnwrittenRecord] = deque()
         self.unwritten_bytes = 0
         self.held_messages: deque[tuple[int, OutgoingMessage]] = deque()
@@ -145,7 +147,7 @@
         self.election_deadline = now
         self.reset_election_timer()
 
-    # --- what a caller sees ---
+    # --- interface ---
 
     @property
     def configuration(self) -> Configuration:
@@ -156,17 +158,18 @@
         return self.replica in self.configuration.voters
 
     def is_established_leader(self) -> bool:
-        """Whether it is leader and has committed an entry of its own term: all that was committed before is
-        applied here, or among what `take` gives."""
+        """Whether this replica is the leader and has committed an entry of its own term: all earlier
+        committed entries have then been applied here, or are in the result of `take_ready`.
+        """
         return self.role is Role.LEADER and self.commit_index >= self.term_start_index
 
     def take_ready(self) -> Ready:
-        """What is to be done. Messages that still wait for the disk come later."""
+        """Returns the pending output. Messages that wait for the disk follow in a later call."""
         out, self.ready = self.ready, Ready([], [], [])
         return out
 
     def tick(self, now: float) -> None:
-        """Wanted at least each `heartbeat_ms`."""
+        """Must be called at least every `heartbeat_ms`."""
         self.now = now
         present = self.configuration.replicas() if self.join_requests else ()
         for replica in [
@@ -174,7 +177,7 @@
             for s, received_at in self.join_requests.items()
             if s in present or now - received_at > self.settings.silent_ms
         ]:
-            del self.join_requests[replica]  # guards the room at the door against those who are in
+            del self.join_requests[replica]  # frees the slots of replicas that have joined in the meantime
         if self.role is Role.LEADER:
             self.tick_leader()
         elif now >= self.election_deadline:
@@ -185,7 +188,7 @@
                 self.start_pre_vote()
 
     def receive(self, now: float, sender: ReplicaId, message: Message) -> None:
-        """Of a member of the same council; the caller has seen to that."""
+        """The caller has checked that `sender` belongs to the same council."""
         self.now = now
         if isinstance(message, JoinRequest):
             if self.role is Role.LEADER and (
@@ -210,7 +213,8 @@
             self.become_follower(message.term)
         if message.term < self.term:
             if isinstance(message, AppendEntries | InstallSnapshot):
-                self.send(sender, AppendEntriesResponse(self.term, False, 0))  # it leads no more
+                # tells the old leader about the newer term
+                self.send(sender, AppendEntriesResponse(self.term, False, 0))
             return
         if isinstance(message, RequestVoteResponse):
             if message.granted and self.role is Role.CANDIDATE:
@@ -236,50 +240,55 @@
                 self.replicate(sender, progress)
 
     def propose(self, now: float, data: bytes) -> str:
-        """Into the log, where this is the leader; else it is sent to it. Why not, or nothing. What was taken
-        or sent may still be lost: an offer that matters is repeated, and its repeat does nothing."""
+        """Appends to the log on the leader, and forwards to the leader elsewhere. Returns the reason for a
+        refusal, or "". An accepted proposal may still be lost: the caller repeats it, so proposals are
+        idempotent.
+        """
         self.now = now
         if len(data) > self.settings.max_entry_bytes or not data:
-            return f"an entry has 1 to {self.settings.max_entry_bytes} bytes, not {len(data)}"
+            return f"entry of {len(data)} bytes is not within 1 to {self.settings.max_entry_bytes} bytes"
         if self.role is not Role.LEADER:
             if self.leader is None:
                 return "no leader is known"
-            # guards the word of one whose disk takes nothing, that it gives its duties up
+            # Does not wait for the disk: a member whose disk fails must still be able to report that it gives
+            # its duties up.
             self.send_after_write(0, OutgoingMessage(self.leader, ForwardProposal(data)))
             return ""
         if self.pending_transfer is not None:
-            return "leadership is handed on"
+            return "a leadership transfer is in progress"
         if (
             self.log.last_index() - self.commit_index >= self.settings.max_uncommitted_entries
             or self.unwritten_bytes > self.settings.max_unwritten_bytes
         ):
-            return "too many entries are not committed yet"
+            return "too many uncommitted entries"
         self.append_and_replicate(Entry(self.log.last_index() + 1, self.term, data))
         return ""
 
     def change_configuration(self, now: float, configuration: Configuration) -> str:
-        """To that configuration. Why not, or nothing. One voter a step (dissertation 4.1), with the
-        correction of 2015: not before an entry of the own term is committed."""
+        """Proposes that configuration. Returns the reason for a refusal, or "". Changes one voter at a time
+        (dissertation, section 4.1), with the correction of 2015: not before an entry of the leader's own term
+        is committed.
+        """
         self.now, current = now, self.configuration
         added = configuration.voters - current.voters
         if not self.is_established_leader():
-            return "not the leader, or only just"
+            return "not the leader, or no entry of its term is committed yet"
         if self.configurations[-1][0] > self.commit_index:
-            return "the change before it is not committed yet"
+            return "the previous configuration change is not committed yet"
         if len(configuration.voters ^ current.voters) > 1:
-            return "more than one voter comes or goes"
+            return "more than one voter would be added or removed"
         if self.replica not in configuration.voters:
-            return "a leader can't put itself out: it hands on first"
+            return "a leader cannot remove itself: it must transfer leadership first"
         if len({replica.name for replica in configuration.replicas()}) < len(configuration.voters) + len(
             configuration.learners
         ):
-            return "a name is in it twice"
+            return "duplicate member name"
         if added and len(configuration.voters) > MAX_VOTERS:
             return f"more than {MAX_VOTERS} voters"
         if not all(replica in current.learners and self.is_caught_up(replica) for replica in added):
-            return "a voter was a learner before, and has the log"
+            return "a new voter must be a learner that is caught up"
         if not self.has_responsive_quorum(configuration):
-            return "too few of its voters are heard"
+            return "too few of its voters respond"
         self.append_and_replicate(Entry(self.log.last_index() + 1, self.term, members=configuration))
         return ""
 
@@ -292,8 +301,10 @@
         )
 
     def has_responsive_quorum(self, configuration: Configuration) -> bool:
-        """Guards against putting out one that lives while another is dead: the rest would agree on nothing.
-        Who has answered nothing in this term does not count, since a new leader takes all for heard."""
+        """Refuses to remove a live voter while another is dead: the remaining voters would have no quorum. A
+        replica that has not answered in this term does not count, since a new leader initially treats all
+        replicas as responsive.
+        """
         responsive = [
             s
             for s in configuration.voters
@@ -302,7 +313,7 @@
         return len(responsive) >= configuration.quorum_size()
 
     def is_responsive(self, replica: ReplicaId, within_ms: float | None = None) -> bool:
-        """Of a leader: whether the member has answered within `within` (ms), or an election's time."""
+        """On a leader: whether the replica answered within `within_ms`, by default the election timeout."""
         progress = self.progress.get(replica)
         limit_ms = self.settings.election_ms if within_ms is None else within_ms
         return replica == self.replica or (
@@ -310,21 +321,24 @@
         )
 
     def transfer_leadership(self, now: float, recipient: ReplicaId) -> str:
-        """Hands leadership on once `to` has the log, within an election's time. Why not, or nothing."""
+        """Transfers leadership once `recipient` has the whole log; gives up after an election timeout.
+        Returns the reason for a refusal, or "".
+        """
         self.now = now
         if self.role is not Role.LEADER or self.pending_transfer is not None:
-            return "not the leader, or on the way already"
+            return "not the leader, or a transfer is already in progress"
         if recipient == self.replica or recipient not in self.configuration.voters:
-            return f"{recipient.name} is no other voter"
+            return f"{recipient.name} is not another voter"
         self.pending_transfer = recipient, now + self.settings.election_ms
-        self.send_timeout_now(recipient, self.progress[recipient])
+        self.finish_transfer(recipient, self.progress[recipient])
         return ""
 
     def compact(self, index: int, data: bytes) -> None:
-        """`data` is the state after the entry `index`, which has been applied. Raises ValueError else."""
+        """`data` is the state after the applied entry `index`. Raises ValueError for any other index."""
         if not self.snapshot.index < index <= self.last_applied or not data:
             raise ValueError(
-                f"a snapshot at {index}: the last is at {self.snapshot.index}, applied {self.last_applied}"
+                f"cannot take a snapshot at {index}: the last one is at {self.snapshot.index}, "
+                f"and {self.last_applied} is applied"
             )
         while len(self.configurations) > 1 and self.configurations[1][0] <= index:
             del self.configurations[0]
@@ -332,10 +346,10 @@
         self.write_record(self.snapshot, len(data), index)
         self.log.discard_through(index - self.settings.trailing_entries)
 
-    # --- the disk ---
+    # --- disk ---
 
     def records_written(self, now: float, sequence: int) -> None:
-        """All records up to `number` outlive a crash."""
+        """All records up to `sequence` are durable."""
         self.now = now
         self.written_sequence, self.disk_error = max(self.written_sequence, sequence), ""
         while self.unwritten and self.unwritten[0].sequence <= sequence:
@@ -351,7 +365,9 @@
             self.advance_commit_index()
 
     def disk_failed(self, now: float, reason: str) -> None:
-        """Records are not lost, but wait. A leader hands on; nobody stands until the disk takes them."""
+        """Records are not lost but delayed. A leader steps down, and the replica starts no election until the
+        disk accepts records again.
+        """
         self.now, self.disk_error = now, reason
         if self.role is Role.LEADER:
             self.step_down()
@@ -372,7 +388,7 @@
         self.hard_state_sequence = self.last_sequence
 
     def append_entry(self, entry: Entry) -> None:
-        """Into the log, in the place of what was there and behind it."""
+        """Writes the entry to the log; it replaces any entry at its index and all later ones."""
         if entry.index <= self.log.last_index():
             self.durable_index = min(self.durable_index, entry.index - 1)
             self.unwritten = deque(
@@ -387,7 +403,7 @@
             self.configurations.append((entry.index, entry.members))
 
     def send(self, recipient: ReplicaId | None, message: Message, after_sequence: int = 0) -> None:
-        """Not before the term is written, nor before record `after`."""
+        """Sent only after the current term and the record `after_sequence` are written."""
         self.send_after_write(
             max(after_sequence, self.hard_state_sequence), OutgoingMessage(recipient, message)
         )
@@ -406,7 +422,7 @@
         self.election_deadline = self.now + self.settings.election_ms * (1.0 + self.rng.random())
 
     def become_follower(self, term: int) -> None:
-        """Nobody's, for now."""
+        """Without a known leader for now."""
         if term > self.term:
             self.term, self.voted_for = term, None
             self.write_hard_state()
@@ -425,7 +441,9 @@
         return sorted(self.configuration.voters - {self.replica})
 
     def start_pre_vote(self) -> None:
-        """Guards against a member behind a broken link that unseats a leader by its higher term (9.6)."""
+        """Pre-vote keeps a member behind a broken link from deposing a leader by its higher term (section
+        9.6).
+        """
         self.role, self.leader, self.votes_received = Role.PRE_CANDIDATE, None, set()
         for replica in self.other_voters():
             self.send(
@@ -438,7 +456,7 @@
         self.role, self.leader, self.votes_received = Role.CANDIDATE, None, set()
         self.term, self.voted_for = self.term + 1, self.replica
         self.write_hard_state()
-        self.own_vote_sequence = self.hard_state_sequence  # the own vote counts when it is written
+        self.own_vote_sequence = self.hard_state_sequence  # its own vote counts once it is written
         self.reset_election_timer()
         for replica in self.other_voters():
             self.send(
@@ -456,7 +474,7 @@
             self.leader is not None and self.now - self.last_leader_contact < self.settings.election_ms
         )
         if message.term >= self.term and has_leader and not message.leadership_transfer:
-            return  # 4.2.3: who does not hear the leader disturbs nobody who does
+            return  # section 4.2.3: a candidate that cannot hear the leader must not disturb those that can
         is_up_to_date = (message.last_log_term, message.last_log_index) >= (
             self.log.last_term(),
             self.log.last_index(),
@@ -471,7 +489,8 @@
             return self.send(sender, RequestVoteResponse(self.term, False))
         if message.term > self.term:
             self.become_follower(message.term)
-        # a seat that nobody has let in does not vote: its member may have voted before it lost its disk
+        # A replica outside the configuration does not vote: its member may have voted before it lost its
+        # disk.
         granted = (
             is_up_to_date
             and self.voted_for in (None, sender)
@@ -503,7 +522,7 @@
         self.last_heartbeat = self.now
         self.append_and_replicate(Entry(self.term_start_index, self.term))
 
-    # --- leading ---
+    # --- leader ---
 
     def append_and_replicate(self, entry: Entry) -> None:
         self.append_entry(entry)
@@ -517,9 +536,7 @@
     def tick_leader(self) -> None:
         responsive_voters = sum(self.is_responsive(replica) for replica in self.configuration.voters)
         if responsive_voters < self.configuration.quorum_size():
-            return self.become_follower(
-                self.term
-            )  # 6.2: it would answer for a majority that it does not hear
+            return self.become_follower(self.term)  # section 6.2: it could no longer answer for a majority
         if self.is_disk_stalled():
             return self.step_down()
         if self.pending_transfer is not None and self.now >= self.pending_transfer[1]:
@@ -534,7 +551,9 @@
                 self.send_snapshot_chunk(replica, progress)
 
     def step_down(self) -> None:
-        """To the voter that has most and is heard; where there is none, to whom they elect."""
+        """Transfers leadership to the responsive voter with the longest log; without one, the others elect a
+        leader.
+        """
         candidates = [s for s in self.other_voters() if self.is_responsive(s)]
         if candidates:
             self.send(max(candidates, key=lambda s: self.progress[s].match_index), TimeoutNow(self.term))
@@ -590,17 +609,15 @@
             self.advance_commit_index()
             if self.role is not Role.LEADER:
                 return
-            self.send_timeout_now(replica, progress)
-        elif (
-            message.rejected_index > progress.match_index
-        ):  # else it was sent before what it has answered since
+            self.finish_transfer(replica, progress)
+        elif message.rejected_index > progress.match_index:  # otherwise the response predates a later one
             progress.next_index = (
                 max(progress.match_index, min(message.index, message.rejected_index - 1)) + 1
             )
             progress.inflight.clear()
         self.replicate(replica, progress)
 
-    def send_timeout_now(self, replica: ReplicaId, progress: Progress) -> None:
+    def finish_transfer(self, replica: ReplicaId, progress: Progress) -> None:
         if (
             self.pending_transfer is not None
             and self.pending_transfer[0] == replica
@@ -609,7 +626,9 @@
             self.send(replica, TimeoutNow(self.term))
 
     def advance_commit_index(self) -> None:
-        """Raft, 5.4.2: by count only an entry of the own term; those before it go with it."""
+        """Raft, section 5.4.2: only entries of the current term are committed by counting; earlier ones are
+        committed with them.
+        """
         match_indexes = sorted(
             (
                 self.durable_index if replica == self.replica else self.progress[replica].match_index
@@ -627,7 +646,7 @@
             self.last_applied += 1
             self.ready.committed.append(self.log.entry(self.last_applied))
 
-    # --- following ---
+    # --- follower ---
 
     def handle_append_entries(self, leader: ReplicaId, message: AppendEntries) -> None:
         if (
@@ -637,10 +656,10 @@
             hint = max(self.commit_index, self.log.conflict_hint(message.prev_log_index))
             return self.send(leader, AppendEntriesResponse(self.term, False, hint, message.prev_log_index))
         if message.entries and self.unwritten_bytes > self.settings.max_unwritten_bytes:
-            return  # as if lost: the leader sends it again
+            return  # treated as lost: the leader sends it again
         for entry in message.entries:
             if entry.index > self.log.base_index and self.log.term_at(entry.index) != entry.term:
-                assert entry.index > self.commit_index, "a committed entry would go"
+                assert entry.index > self.commit_index, "a committed entry would be overwritten"
                 self.append_entry(entry)
         index = message.prev_log_index + len(message.entries)
         self.commit_through(min(message.leader_commit, index))
--- a/harrieryoke/council/decide/rounds.py
+++ b/harrieryoke/council/decide/rounds.py
@@ -1,16 +1,18 @@
-"""Reconciliation in turns: which (member, period) is wanted, has its turn, or has ended, as all agree on it.
+"""Turns for reconciliation: the replicated record of which (member, period) requested, has or finished one.
 
-At a period's end all members want theirs at one moment, and the collector would have them all at once. So
-each says that it wants one; the holder of the duty gives turns, a few at a time (`conduct.py`).
+All members want to reconcile when a period ends, and would all reach the collector at once. So each member
+requests a turn, and the duty's holder grants a few at a time (`grants.py`).
 
-    wanted -> turn -> done
-      ^ |      |
-      | +<-----+ given up by the conductor: to the end of the line, or failed after the last try
-      +--------- gone: the member gave its turn back; it asks anew when it can
+    requested -> turn -> done
+        ^       | |
+        |       | +-> requested again at the end of the queue, or failed after the last try:
+        |       |     revoked by the duty's holder
+        +-------+ returned by the member, which requests a turn again when it can
 
-Wants, dones and turns given back are requests of any member; turns and giving up are acts of the holder. A
-turn is known by the index of the entry that gave it, which only grows: a member's messages carry it, and who
-keeps the highest that it saw turns down what comes late of a turn before, whichever holder gave it.
+Requests, completions and returns are unfenced commands of any member; grants and revocations are fenced
+commands of the duty's holder. A turn is identified by the index of the entry that granted it, which only
+grows: a member's messages carry it, and a receiver that keeps the highest index it has seen rejects late
+messages of an earlier turn, whichever holder granted it.
 """
 
 from __future__ import annotations
@@ -23,30 +25,33 @@
 from .duties import MAX_NAME_CHARS
 
 DUTY = "reconcile"
-MAX_OPEN_ROUNDS = (
-    4096  # rounds that are wanted or have their turn; at the bound a want is void, and comes again
-)
-MAX_OPEN_PER_MEMBER = 16  # of them of one member
-MAX_ENDED_ROUNDS = 4096  # at the bound the oldest done goes, and of failed ones the oldest when none is done
-MAX_RUNNING_TURNS = 8  # at one time, whatever a conductor says
+MAX_OPEN_ROUNDS = 4096  # requested or running; beyond them a request is rejected, and is sent again
+MAX_OPEN_PER_MEMBER = 16
+# beyond them the oldest completed round is dropped, or the oldest failed one if none is completed
+MAX_ENDED_ROUNDS = 4096
+MAX_RUNNING_TURNS = 8  # at one time, whatever the holder's settings say
 MAX_TRIES = 16
-MAX_FAILED_SHOWN = 64  # failed ones in the status
+MAX_FAILED_SHOWN = 64  # in the status
 
 Number = Annotated[int, Meta(ge=0, le=2**62)]
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARS)]
 
 
 class Counts(Struct, frozen=True, array_like=True):
-    """What a turn came to. `not_here`: entries that only the collector has; -1 where it was not found out."""
+    """The result of a turn. `missing_here` counts entries that only the collector has; -1 if that was not
+    determined.
+    """
 
     entries: Number
     sent: Number
     missing_here: Annotated[int, Meta(ge=-1, le=2**62)]
-    bytes_moved: Number  # bytes
+    bytes_moved: Number
 
 
 class RequestTurn(Struct, frozen=True, array_like=True, tag="want"):
-    """`mark` is drawn by the member for each wish: what comes again after the round has ended is void."""
+    """`request_id` is drawn by the member for each request: a duplicate that arrives after the round has
+    ended is rejected.
+    """
 
     member: Name
     period: Number
@@ -61,7 +66,7 @@
 
 
 class ReturnTurn(Struct, frozen=True, array_like=True, tag="back"):
-    """The member can't now, and does not want it until it says so again."""
+    """The member cannot use the turn now; it sends a new request when it can."""
 
     member: Name
     period: Number
@@ -69,7 +74,9 @@
 
 
 class GrantTurn(Struct, frozen=True, array_like=True, tag="turn"):
-    """Void while `most` have their turns: a conductor may not know of all that the one before it gave."""
+    """Rejected while `max_running` turns are running: a new holder may not know of all grants of its
+    predecessor.
+    """
 
     member: Name
     period: Number
@@ -77,7 +84,7 @@
 
 
 class RevokeTurn(Struct, frozen=True, array_like=True, tag="give-up"):
-    """The turn was not done in its time. `last`: it is not tried again."""
+    """The turn was not completed in time. With `final` the round is not tried again."""
 
     member: Name
     period: Number
@@ -94,13 +101,13 @@
 
 class OpenRound(Struct, rename={"request_id": "mark", "queue_position": "place"}):
     request_id: int
-    queue_position: int  # in the line: the index of the entry that put it there
-    tries: int = 0  # turns that were given up
-    turn: int = 0  # 0: it waits
+    queue_position: int  # index of the entry that queued it
+    tries: int = 0  # revoked turns
+    turn: int = 0  # 0: waiting
 
 
 class EndedRound(Struct, rename={"request_id": "mark"}):
-    """`counts` are None where it failed."""
+    """`counts` is None if the round failed."""
 
     request_id: int
     tries: int
@@ -113,13 +120,13 @@
 
 
 class ReconciliationRounds:
-    """The machine of the duty `reconcile` (`acts.Machine`)."""
+    """The state machine of the duty `reconcile` (`commands.StateMachine`)."""
 
     def __init__(self) -> None:
         self.open: dict[str, dict[int, OpenRound]] = {}  # by member and period
-        self.ended: dict[tuple[str, int], EndedRound] = {}  # the oldest first
-        self.open_count = 0  # rounds that are open
-        self.running: dict[tuple[str, int], int] = {}  # those that have their turn: which
+        self.ended: dict[tuple[str, int], EndedRound] = {}  # oldest first
+        self.open_count = 0
+        self.running: dict[tuple[str, int], int] = {}  # turn by member and period
 
     def apply_unfenced(self, index: int, body: bytes) -> bool:
         try:
@@ -178,16 +185,15 @@
         if open_round is None or len(self.running) >= min(command.max_running, MAX_RUNNING_TURNS):
             return False
         if any(other_round.turn for other_round in member_rounds.values()):
-            return False  # a member does one at a time
+            return False  # one running turn per member
         for other_round in member_rounds.values():
-            other_round.queue_position = (
-                index  # guards others against one that wants many: it goes behind them all
-            )
+            # A member with many requests queues behind all others, so that it does not starve them.
+            other_round.queue_position = index
         open_round.turn = self.running[command.member, command.period] = index
         return True
 
     def round_with_turn(self, message: CompleteTurn | ReturnTurn | RevokeTurn) -> OpenRound | None:
-        """The round, if that turn is the one it has."""
+        """Returns the round if `message` names its current turn."""
         open_round = self.open.get(message.member, {}).get(message.period)
         return (
             open_round
@@ -215,7 +221,7 @@
         )
 
     def load(self, data: bytes) -> None:
-        """Raises msgspec.ValidationError, a ValueError, for what is no dump."""
+        """Raises msgspec.ValidationError, a ValueError, for data that is not a dump."""
         state: RoundsState = msgspec.msgpack.decode(data, type=RoundsState) if data else RoundsState()
         self.open = state.open
         self.ended = {(member, period): ended_round for member, period, ended_round in state.ended}
@@ -228,7 +234,7 @@
         self.running = {(m, p): open_round.turn for m, p, open_round in opened if open_round.turn}
 
     def status(self) -> dict[str, Any]:
-        """For operators: how many wait and are done, and which run and have failed."""
+        """For operators: the number of waiting and completed rounds, and the running and failed ones."""
         failed = [key for key, ended_round in self.ended.items() if ended_round.counts is None]
         return {
             "waiting": self.open_count - len(self.running),
--- a/tests/test_acts.py
+++ b/tests/test_acts.py
@@ -64,7 +64,7 @@
     made, _ = acts()
     made.apply(4, d.FencedCommand("x", 3, b"one"))
     other = ReplicatedState(d.DutyTable())
-    with pytest.raises(StateError, match="x: nothing here applies"):
+    with pytest.raises(StateError, match="x: no state machine here"):
         other.load(made.dump())
     assert not other.duties.duties
     lines = Lines()
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -84,15 +84,15 @@
     other = a.other_voters()[0]
     learner = min(a.configuration.learners)
     assert "more than one" in a.change_configuration(now, Configuration(frozenset({a.replica})))
-    assert "itself" in a.change_configuration(now, Configuration(a.configuration.voters - {a.replica}))
+    assert "remove itself" in a.change_configuration(now, Configuration(a.configuration.voters - {a.replica}))
     assert "learner" in a.change_configuration(
         now, Configuration(a.configuration.voters | {ReplicaId("x", 9)})
     )
-    assert "twice" in a.change_configuration(
+    assert "duplicate" in a.change_configuration(
         now, Configuration(a.configuration.voters, frozenset({ReplicaId(other.name, 9)}))
     )
     assert a.change_configuration(now, Configuration(a.configuration.voters | {learner})) == ""
-    assert "before it" in a.change_configuration(now, Configuration(a.configuration.voters - {other}))
+    assert "previous" in a.change_configuration(now, Configuration(a.configuration.voters - {other}))
 
 
 def test_one_that_lives_is_not_put_out_while_another_is_dead() -> None:
@@ -104,13 +104,15 @@
     world.crash(world.members[dies.name])
     world.run(400)
     voters = led.agreement.configuration.voters
-    assert "heard" in led.agreement.change_configuration(led.clock(world.t), Configuration(voters - {lives}))
+    assert "respond" in led.agreement.change_configuration(
+        led.clock(world.t), Configuration(voters - {lives})
+    )
     # one that has just begun to lead has heard nothing of the dead either
     led.agreement.transfer_leadership(led.clock(world.t), lives)
     heir = world.members[lives.name]
     while not heir.agreement.is_established_leader():
         world.run(1)
-    assert "heard" in heir.agreement.change_configuration(
+    assert "respond" in heir.agreement.change_configuration(
         heir.clock(world.t), Configuration(voters - {led.seat})
     )
     assert heir.agreement.change_configuration(heir.clock(world.t), Configuration(voters - {dies})) == ""
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -369,5 +369,5 @@
 
 def test_a_pace_that_cannot_be_used_is_named() -> None:
     PACE.check("council.rounds")
-    with pytest.raises(TurnSettingsError, match=r"council.rounds.at_once: 1 to 8"):
+    with pytest.raises(TurnSettingsError, match=r"council.rounds.at_once: must be 1 to 8"):
         TurnSettings(at_once=9).check("council.rounds")
