--- a/tests/test_interleave_council.py
+++ b/tests/test_interleave_council.py
@@ -26,9 +26,9 @@
 )
 from harrieryoke.council.decide.raft import Raft, Role
 
-from .council_world import TOLD, Parts
+from .council_world import SETTINGS, Components
 from .interleave import Failed, Wait, World, explore, replay, shape
-from .test_council_faults import AcksItsTail, EndsWhatWasRenewed, NoFence
+from .test_council_faults import AcknowledgesWholeLog, EndsRenewedSession, NoFence
 
 LEASE = Lease(1000.0, 0.0)  # one clock for all
 A, B, C = ReplicaId("a", 1), ReplicaId("b", 2), ReplicaId("c", 3)
@@ -46,132 +46,143 @@
 # --- duties: a holds x, b could ---
 
 
-class Duty(World):
+class LeaseScenario(World):
     """a's word was said at 0 and is old, its next one was said at 600; b's was said at 700, which it is now.
     The agreed log is a list that a, b and the leader s apply each at its own pace. `case`: a's next word is
     still on its way while its lease `ends`; or x is to be `passed` on to b; and b says that it can't, and
     then that it can again (`wavers`)."""
 
-    def __init__(self, case: str, parts: Parts) -> None:
+    def __init__(self, case: str, components: Components) -> None:
         self.now, self.log = 0.0, list[d.Command]()
-        self.copies = {name: parts.duties() for name in "abs"}
-        self.read, self.turned = dict.fromkeys("abs", 0), dict.fromkeys("abs", 700.0)
-        self.holders = {name: parts.holder(name, 1, 1.0, LEASE, self.copies[name]) for name in "ab"}
-        self.steward, self.fence = parts.steward(LEASE, self.copies["s"], 1e9), parts.fence()
-        self.said, self.passed = list[d.RenewSession](), list[DutyHandover]()
-        self.token, self.changed = 0, 0
+        self.copies = {name: components.duties() for name in "abs"}
+        self.applied_count, self.last_tick = dict.fromkeys("abs", 0), dict.fromkeys("abs", 700.0)
+        self.lease_holders = {
+            name: components.lease_holder(name, 1, 1.0, LEASE, self.copies[name]) for name in "ab"
+        }
+        self.lease_manager, self.fence = (
+            components.lease_manager(LEASE, self.copies["s"], 1e9),
+            components.fence(),
+        )
+        self.renewals, self.handovers = list[d.RenewSession](), list[DutyHandover]()
+        self.token, self.resource_token = 0, 0
         self.log.append(d.DefineDuties(("x",)))
         for at, name in enumerate("asa"):  # asked for at 0, granted at 0, heard at 300
             self.now = (0.0, 0.0, 300.0)[at]
-            self.all(name)
+            self.catch_up(name)
         self.now = 700.0
         for name in "bsb":
-            self.all(name)
+            self.catch_up(name)
         self.now = 600.0
-        self.turn("a")
+        self.tick("a")
         self.now = 700.0
         if case != "ends":
             for name in "sab":
-                self.all(name)
+                self.catch_up(name)
         self.threads = {
-            "a": [("check", self.look), ("act", lambda: self.act(self.token))],
-            "b": self.each(lambda: self.holder_b() > self.changed, lambda: self.act(self.holder_b()), "act"),
-            "word": self.each(lambda: self.said, self.arrive, "arrives"),
-            **{f"copy-{name}": self.copying(name) for name in ("ab" if case == "passed" else "abs")},
+            "a": [("check", self.read_token), ("act", lambda: self.change_resource(self.token))],
+            "b": self.repeat(
+                lambda: self.token_of_b() > self.resource_token,
+                lambda: self.change_resource(self.token_of_b()),
+                "act",
+            ),
+            "word": self.repeat(lambda: self.renewals, self.deliver_renewal, "arrives"),
+            **{f"copy-{name}": self.apply_log(name) for name in ("ab" if case == "passed" else "abs")},
         }
         if case == "ends":
             self.threads["clock"] = [("at-1000", lambda: setattr(self, "now", 1000.0))]
-            self.threads["s"] = self.each(lambda: self.turned["s"] < self.now, lambda: self.turn("s"), "turn")
+            self.threads["s"] = self.repeat(
+                lambda: self.last_tick["s"] < self.now, lambda: self.tick("s"), "turn"
+            )
             return
         self.threads["leader"] = [("heir", lambda: self.log.append(d.AssignSuccessor("x", 3, "b", 1)))]
-        self.threads["passed"] = self.each(lambda: self.passed, self.tell, "arrives")
+        self.threads["passed"] = self.repeat(lambda: self.handovers, self.deliver_handover, "arrives")
         if case == "wavers":
-            b = self.holders["b"]
+            b = self.lease_holders["b"]
             self.threads["b"] = [
-                ("cannot", lambda: self.says(partial(b.mark_unavailable, "x", "behind"))),
-                ("can", lambda: self.says(partial(b.mark_available, "x"))),
+                ("cannot", lambda: self.run_and_tick(partial(b.mark_unavailable, "x", "behind"))),
+                ("can", lambda: self.run_and_tick(partial(b.mark_available, "x"))),
             ]
             del self.threads["a"]
 
-    def says(self, what: Callable[[], None]) -> None:
+    def run_and_tick(self, what: Callable[[], None]) -> None:
         what()
-        self.turn("b")
+        self.tick("b")
 
-    def each(self, there: Callable[[], object], step: Callable[[], None], label: str) -> Iterator[Wait]:
+    def repeat(self, condition: Callable[[], object], step: Callable[[], None], label: str) -> Iterator[Wait]:
         while True:
-            yield Wait(there, label, idle=True)
+            yield Wait(condition, label, idle=True)
             step()
 
-    def copying(self, name: str) -> Iterator[Wait]:
+    def apply_log(self, name: str) -> Iterator[Wait]:
         def apply() -> None:
             self.apply(name)
-            self.turn(name)
+            self.tick(name)
 
-        return self.each(lambda: self.read[name] < len(self.log), apply, "apply")
+        return self.repeat(lambda: self.applied_count[name] < len(self.log), apply, "apply")
 
     def apply(self, name: str) -> None:
-        self.copies[name].apply(self.read[name] + 1, self.log[self.read[name]])
-        self.read[name] += 1
+        self.copies[name].apply(self.applied_count[name] + 1, self.log[self.applied_count[name]])
+        self.applied_count[name] += 1
 
-    def all(self, name: str) -> None:
+    def catch_up(self, name: str) -> None:
         """All that is said arrives, all that is agreed is applied; then it has its turn."""
-        while self.said:
-            self.arrive()
-        while self.read[name] < len(self.log):
+        while self.renewals:
+            self.deliver_renewal()
+        while self.applied_count[name] < len(self.log):
             self.apply(name)
-        self.turn(name)
+        self.tick(name)
 
-    def turn(self, name: str) -> None:
-        self.turned[name] = self.now
+    def tick(self, name: str) -> None:
+        self.last_tick[name] = self.now
         if name == "s":
-            self.log += self.steward.tick(self.now, True)
+            self.log += self.lease_manager.tick(self.now, True)
             return
-        for out in self.holders[name].tick(self.now):
-            if isinstance(out, DutyHandover):
-                self.passed.append(out)
+        for action in self.lease_holders[name].tick(self.now):
+            if isinstance(action, DutyHandover):
+                self.handovers.append(action)
             elif self.now < 1000.0:  # what is said then is lost
-                self.said.append(out)
+                self.renewals.append(action)
 
-    def arrive(self) -> None:
-        self.log.append(self.said.pop(0))
+    def deliver_renewal(self) -> None:
+        self.log.append(self.renewals.pop(0))
 
-    def tell(self) -> None:
-        out = self.passed.pop(0)
-        self.holders[out.to].accept_handover(out.duty, out.token)
+    def deliver_handover(self) -> None:
+        action = self.handovers.pop(0)
+        self.lease_holders[action.to].accept_handover(action.duty, action.token)
 
-    def holder_b(self) -> int:
-        return self.holders["b"].acting_token("x", self.now)
+    def token_of_b(self) -> int:
+        return self.lease_holders["b"].acting_token("x", self.now)
 
-    def look(self) -> None:
-        self.token = self.holders["a"].acting_token("x", self.now)
+    def read_token(self) -> None:
+        self.token = self.lease_holders["a"].acting_token("x", self.now)
 
-    def act(self, token: int) -> None:
+    def change_resource(self, token: int) -> None:
         if token and self.fence.admit(token):
-            assert token >= self.changed, f"changed under {token} after {self.changed}"
-            self.changed = token
+            assert token >= self.resource_token, f"changed under {token} after {self.resource_token}"
+            self.resource_token = token
 
     def check(self) -> None:
-        acting = [name for name, holder in self.holders.items() if holder.acting_token("x", self.now)]
+        acting = [name for name, holder in self.lease_holders.items() if holder.acting_token("x", self.now)]
         assert len(acting) < 2, "two act"
 
     def key(self) -> Hashable:
         state = [
             self.now,
             self.log,
-            self.read,
-            self.turned,
-            self.said,
-            self.passed,
+            self.applied_count,
+            self.last_tick,
+            self.renewals,
+            self.handovers,
             self.token,
-            self.changed,
-            [vars(h) for h in self.holders.values()],
-            list(self.steward.proposed.items()),
-            self.steward.last_renewals,
+            self.resource_token,
+            [vars(holder) for holder in self.lease_holders.values()],
+            list(self.lease_manager.proposed.items()),
+            self.lease_manager.last_renewals,
         ]
         return msgspec.msgpack.encode(state, enc_hook=lambda part: None)
 
 
-class Untold(LeaseHolder):
+class ActsBeforeHandover(LeaseHolder):
     """Acts as heir before the holder has said that it stopped."""
 
     def acting_token(self, name: str, now: float) -> int:
@@ -181,7 +192,7 @@
         return super().acting_token(name, now)
 
 
-class Unagreed(LeaseHolder):
+class ActsBeforeAgreement(LeaseHolder):
     """Acts on what it was told, whatever is agreed."""
 
     def acting_token(self, name: str, now: float) -> int:
@@ -190,7 +201,7 @@
         )
 
 
-class CountsFromWhenHeard(LeaseHolder):
+class MeasuresLeaseFromApply(LeaseHolder):
     def tick(self, now: float) -> list[d.RenewSession | DutyHandover]:
         session = self.duties.open_session(self.member, self.incarnation)
         if (
@@ -203,74 +214,86 @@
 
 # --- a voter's disk against what it says ---
 
-OLD = [Entry(1, 1), Entry(2, 1, b"old"), Entry(3, 1, b"old")]  # on c's disk; agreed is the first only
-NEW = [Entry(1, 1), Entry(2, 5, b"new"), Entry(3, 5, b"new")]  # of a, who leads in term 5
+OLD_ENTRIES = [Entry(1, 1), Entry(2, 1, b"old"), Entry(3, 1, b"old")]  # on c's disk; agreed is the first only
+NEW_ENTRIES = [Entry(1, 1), Entry(2, 5, b"new"), Entry(3, 5, b"new")]  # of a, who leads in term 5
 
 
-class Sync(World):
+class DiskScenario(World):
     """The voter c hears `heard`, each from its sender, in any order. Its disk writes a record a step and says
     so in the next; once the power may go."""
 
-    def __init__(self, kind: type[Raft], heard: dict[str, tuple[ReplicaId, Message]]) -> None:
-        self.kind = kind
-        self.disk: list[PersistentRecord] = [bootstrap_snapshot([A, B, C]), *OLD]
+    def __init__(self, raft_type: type[Raft], messages: dict[str, tuple[ReplicaId, Message]]) -> None:
+        self.raft_type = raft_type
+        self.disk: list[PersistentRecord] = [bootstrap_snapshot([A, B, C]), *OLD_ENTRIES]
         self.start()
-        self.votes, self.said = set[tuple[int, ReplicaId | None]](), list[OutgoingMessage]()
-        self.threads = {name: [("hear", partial(self.hear, *what))] for name, what in heard.items()}
-        self.threads |= {"disk": self.syncing(), "power": [("cut", self.start)]}
+        self.votes, self.responses = set[tuple[int, ReplicaId | None]](), list[OutgoingMessage]()
+        self.threads = {name: [("hear", partial(self.receive, *what))] for name, what in messages.items()}
+        self.threads |= {"disk": self.write_to_disk(), "power": [("cut", self.start)]}
 
     def start(self) -> None:
-        self.writing, self.done = list[PendingWrite](), 0
-        self.voter = self.kind(C, TOLD, replay_records(self.disk), 1, 0.0)
+        self.pending_writes, self.written_sequence = list[PendingWrite](), 0
+        self.voter = self.raft_type(C, SETTINGS, replay_records(self.disk), 1, 0.0)
 
-    def syncing(self) -> Iterator[Wait]:
+    def write_to_disk(self) -> Iterator[Wait]:
         while True:
-            yield Wait(lambda: self.writing or self.done, lambda: "done" if self.done else "write", idle=True)
-            if not self.done:
-                save = self.writing.pop(0)
-                self.disk.append(save.record)
-                self.done = save.sequence
+            yield Wait(
+                lambda: self.pending_writes or self.written_sequence,
+                lambda: "done" if self.written_sequence else "write",
+                idle=True,
+            )
+            if not self.written_sequence:
+                write = self.pending_writes.pop(0)
+                self.disk.append(write.record)
+                self.written_sequence = write.sequence
             else:
-                self.voter.records_written(0.0, self.done)
-                self.done = 0
-                self.take()
+                self.voter.records_written(0.0, self.written_sequence)
+                self.written_sequence = 0
+                self.process_ready()
 
-    def hear(self, sender: ReplicaId, message: Message) -> None:
+    def receive(self, sender: ReplicaId, message: Message) -> None:
         self.voter.receive(0.0, sender, message)
-        self.take()
-
-    def take(self) -> None:
-        out = self.voter.take_ready()
-        self.writing += out.writes
-        for send in out.messages:
-            if isinstance(send.message, RequestVoteResponse) and send.message.granted:
-                self.votes.add((send.message.term, send.recipient))
-            if isinstance(send.message, AppendEntriesResponse) and send.message.success:
-                has = replay_records(self.disk).log.entries[: send.message.index]
-                assert has == NEW[: send.message.index], "an ack of what is not durable, or not the leader's"
+        self.process_ready()
+
+    def process_ready(self) -> None:
+        ready = self.voter.take_ready()
+        self.pending_writes += ready.writes
+        for outgoing in ready.messages:
+            if isinstance(outgoing.message, RequestVoteResponse) and outgoing.message.granted:
+                self.votes.add((outgoing.message.term, outgoing.recipient))
+            if isinstance(outgoing.message, AppendEntriesResponse) and outgoing.message.success:
+                written = replay_records(self.disk).log.entries[: outgoing.message.index]
+                assert (
+                    written == NEW_ENTRIES[: outgoing.message.index]
+                ), "an ack of what is not durable, or not the leader's"
 
     def check(self) -> None:
         assert len({term for term, _ in self.votes}) == len(self.votes), "two votes in a term"
 
     def key(self) -> Hashable:
-        return shape(self.disk, self.writing, self.done, sorted(self.votes), vars(self.voter).values())
+        return shape(
+            self.disk,
+            self.pending_writes,
+            self.written_sequence,
+            sorted(self.votes),
+            vars(self.voter).values(),
+        )
 
 
-ASKED = {"a": (A, RequestVote(6, 3, 5)), "b": (B, RequestVote(6, 3, 5))}
-APPENDED: dict[str, tuple[ReplicaId, Message]] = {
+VOTE_REQUESTS = {"a": (A, RequestVote(6, 3, 5)), "b": (B, RequestVote(6, 3, 5))}
+APPEND_REQUESTS: dict[str, tuple[ReplicaId, Message]] = {
     "beat": (A, AppendEntries(5, 1, 1, (), 1)),
-    "first": (A, AppendEntries(5, 1, 1, (NEW[1],), 1)),
-    "second": (A, AppendEntries(5, 2, 5, (NEW[2],), 1)),
-    "both": (A, AppendEntries(5, 1, 1, (NEW[1], NEW[2]), 2)),
+    "first": (A, AppendEntries(5, 1, 1, (NEW_ENTRIES[1],), 1)),
+    "second": (A, AppendEntries(5, 2, 5, (NEW_ENTRIES[2],), 1)),
+    "both": (A, AppendEntries(5, 1, 1, (NEW_ENTRIES[1], NEW_ENTRIES[2]), 2)),
 }
 
 
-class SaysAtOnce(Raft):
-    def send_after_write(self, after: int, send: OutgoingMessage) -> None:
-        super().send_after_write(0, send)
+class SendsBeforeWriting(Raft):
+    def send_after_write(self, after: int, message: OutgoingMessage) -> None:
+        super().send_after_write(0, message)
 
 
-class VoteForgotten(Raft):
+class OmitsVote(Raft):
     """Writes the term, not whom it voted for in it."""
 
     def write_hard_state(self) -> None:
@@ -282,91 +305,103 @@
 # --- a leader on a failing disk ---
 
 
-class Resigning(World):
+class StepDownScenario(World):
     """a leads; an entry is offered to it, its disk fails and takes records again. Links keep their order; the
     others' disks write at once."""
 
-    def __init__(self, kind: type[Raft]) -> None:
-        seats = {"a": A, "b": B, "c": C}
+    def __init__(self, raft_type: type[Raft]) -> None:
+        replicas = {"a": A, "b": B, "c": C}
         self.disks: dict[str, list[PersistentRecord]] = {
-            name: [bootstrap_snapshot(seats.values())] for name in seats
+            name: [bootstrap_snapshot(replicas.values())] for name in replicas
         }
         self.members = {
-            n: kind(seat, TOLD, replay_records(self.disks[n]), 1, 0.0) for n, seat in seats.items()
+            n: raft_type(replica, SETTINGS, replay_records(self.disks[n]), 1, 0.0)
+            for n, replica in replicas.items()
         }
-        self.writing = {name: list[PendingWrite]() for name in seats}
-        self.way = {name: list[tuple[ReplicaId, Message]]() for name in seats}
-        self.agreed, self.leaders, self.failing = dict[int, Entry](), dict[int, str](), False
-        self.act("a", lambda: self.members["a"].tick(2 * TOLD.election_ms))
-        while any(self.way.values()) or self.writing["a"]:
-            self.write("a")
-            for name in [n for n in seats if self.way[n]]:
-                self.hear(name)
+        self.pending_writes = {name: list[PendingWrite]() for name in replicas}
+        self.in_transit = {name: list[tuple[ReplicaId, Message]]() for name in replicas}
+        self.committed_entries, self.leaders, self.disk_failing = dict[int, Entry](), dict[int, str](), False
+        self.run_and_process("a", lambda: self.members["a"].tick(2 * SETTINGS.election_ms))
+        while any(self.in_transit.values()) or self.pending_writes["a"]:
+            self.finish_writes("a")
+            for name in [n for n in replicas if self.in_transit[n]]:
+                self.receive(name)
         assert self.members["a"].is_established_leader()
         self.threads = {
-            "client": [("offer", lambda: self.act("a", lambda: self.members["a"].propose(0.0, b"x")))],
-            "disk": [("fails", self.fail), ("takes", lambda: setattr(self, "failing", False))],
-            "write": self.each(lambda: self.writing["a"] and not self.failing, partial(self.write, "a"), "a"),
-            **{f"to-{n}": self.each(partial(self.way.get, n), partial(self.hear, n), "hear") for n in seats},
+            "client": [
+                ("offer", lambda: self.run_and_process("a", lambda: self.members["a"].propose(0.0, b"x")))
+            ],
+            "disk": [("fails", self.fail_disk), ("takes", lambda: setattr(self, "failing", False))],
+            "write": self.repeat(
+                lambda: self.pending_writes["a"] and not self.disk_failing,
+                partial(self.finish_writes, "a"),
+                "a",
+            ),
+            **{
+                f"to-{n}": self.repeat(partial(self.in_transit.get, n), partial(self.receive, n), "hear")
+                for n in replicas
+            },
         }
 
-    def each(self, there: Callable[[], object], step: Callable[[], None], label: str) -> Iterator[Wait]:
+    def repeat(self, condition: Callable[[], object], step: Callable[[], None], label: str) -> Iterator[Wait]:
         while True:
-            yield Wait(there, label, idle=True)
+            yield Wait(condition, label, idle=True)
             step()
 
-    def fail(self) -> None:
-        self.failing = True
-        self.act("a", lambda: self.members["a"].disk_failed(600.0, "no space left"))
+    def fail_disk(self) -> None:
+        self.disk_failing = True
+        self.run_and_process("a", lambda: self.members["a"].disk_failed(600.0, "no space left"))
 
-    def hear(self, name: str) -> None:
-        sender, message = self.way[name].pop(0)
-        self.act(name, lambda: self.members[name].receive(600.0, sender, message))
+    def receive(self, name: str) -> None:
+        sender, message = self.in_transit[name].pop(0)
+        self.run_and_process(name, lambda: self.members[name].receive(600.0, sender, message))
 
-    def write(self, name: str) -> None:
-        if self.writing[name]:
-            self.disks[name] += [save.record for save in self.writing[name]]
-            last = self.writing[name].pop().sequence
-            self.writing[name].clear()
-            self.act(name, lambda: self.members[name].records_written(600.0, last))
+    def finish_writes(self, name: str) -> None:
+        if self.pending_writes[name]:
+            self.disks[name] += [write.record for write in self.pending_writes[name]]
+            last = self.pending_writes[name].pop().sequence
+            self.pending_writes[name].clear()
+            self.run_and_process(name, lambda: self.members[name].records_written(600.0, last))
 
-    def act(self, name: str, step: Callable[[], object]) -> None:
+    def run_and_process(self, name: str, step: Callable[[], object]) -> None:
         step()
         member = self.members[name]
-        out = member.take_ready()
-        self.writing[name] += out.writes
-        for send in out.messages:
+        ready = member.take_ready()
+        self.pending_writes[name] += ready.writes
+        for outgoing in ready.messages:
             for other in "abc":
-                if send.recipient is not None and other == send.recipient.name:
-                    self.way[other].append((member.replica, send.message))
-        for each in out.committed:
-            assert isinstance(each, Entry)
-            assert self.agreed.setdefault(each.index, each) == each, "two are agreed"
-            has = sum(each in replay_records(disk).log.entries for disk in self.disks.values())
-            assert has > 1, "agreed, and not durable at a majority"
+                if outgoing.recipient is not None and other == outgoing.recipient.name:
+                    self.in_transit[other].append((member.replica, outgoing.message))
+        for item in ready.committed:
+            assert isinstance(item, Entry)
+            assert self.committed_entries.setdefault(item.index, item) == item, "two are agreed"
+            replica_count = sum(item in replay_records(disk).log.entries for disk in self.disks.values())
+            assert replica_count > 1, "agreed, and not durable at a majority"
         if name != "a":
-            self.write(name)
+            self.finish_writes(name)
         if member.role is Role.LEADER:
             assert self.leaders.setdefault(member.term, name) == name, "two lead"
-            assert all(each in member.log.entries for each in self.agreed.values()), "agreed, and lost"
+            assert all(
+                item in member.log.entries for item in self.committed_entries.values()
+            ), "agreed, and lost"
 
     def key(self) -> Hashable:
         return shape(
             self.disks,
-            self.writing,
-            self.way,
-            self.failing,
-            sorted(self.agreed),
+            self.pending_writes,
+            self.in_transit,
+            self.disk_failing,
+            sorted(self.committed_entries),
             self.leaders,
-            [vars(m).values() for m in self.members.values()],
+            [vars(raft).values() for raft in self.members.values()],
         )
 
 
-class TakesFailedForWritten(Raft):
-    def disk_failed(self, now: float, why: str) -> None:
+class CountsFailedWrites(Raft):
+    def disk_failed(self, now: float, reason: str) -> None:
         self.durable_index = self.log.last_index()
         self.advance_commit_index()
-        super().disk_failed(now, why)
+        super().disk_failed(now, reason)
 
 
 # --- the tests ---
@@ -374,7 +409,7 @@
 
 @pytest.mark.parametrize(("case", "states"), [("ends", 1500), ("passed", 100), ("wavers", 2500)])
 def test_no_order_lets_two_act_or_a_late_act_through(case: str, states: int) -> None:
-    counts = explore(lambda: Duty(case, Parts()))
+    counts = explore(lambda: LeaseScenario(case, Components()))
     assert counts.whole and counts.states > states
 
 
@@ -383,72 +418,74 @@
     [
         (
             "ends",
-            Parts(fence=NoFence),
+            Components(fence=NoFence),
             "changed under 3 after 6",
             "a:check clock:at-1000 s:turn copy-b:apply copy-s:apply copy-s:apply copy-b:apply b:act a:act",
         ),
         (
             "ends",
-            Parts(holder=CountsFromWhenHeard),
+            Components(lease_holder=MeasuresLeaseFromApply),
             "two act",
             "clock:at-1000 s:turn copy-b:apply copy-s:apply copy-s:apply copy-b:apply",
         ),
         (
             "ends",
-            Parts(duties=EndsWhatWasRenewed),
+            Components(duties=EndsRenewedSession),
             "two act",
             "word:arrives copy-a:apply copy-a:apply copy-b:apply clock:at-1000 s:turn copy-b:apply "
             "copy-s:apply copy-s:apply copy-s:apply copy-b:apply",
         ),
-        ("passed", Parts(holder=Untold), "two act", "leader:heir copy-b:apply"),
+        ("passed", Components(lease_holder=ActsBeforeHandover), "two act", "leader:heir copy-b:apply"),
         (
             "passed",
-            Parts(fence=NoFence),
+            Components(fence=NoFence),
             "changed under 3 after 6",
             "a:check leader:heir copy-a:apply copy-b:apply passed:arrives b:act a:act",
         ),
     ],
 )
-def test_planted_in_duties(case: str, fault: Parts, failure: str, schedule: str) -> None:
-    assert shortest(lambda: Duty(case, fault), failure, 1) == schedule.split()
+def test_planted_in_duties(case: str, fault: Components, failure: str, schedule: str) -> None:
+    assert shortest(lambda: LeaseScenario(case, fault), failure, 1) == schedule.split()
 
 
 def test_an_heir_that_acts_before_that_is_agreed_is_found() -> None:
     """It had said in between that it can't, and the duty went back."""
-    schedule = shortest(lambda: Duty("wavers", Parts(holder=Unagreed)), "two act")
+    schedule = shortest(
+        lambda: LeaseScenario("wavers", Components(lease_holder=ActsBeforeAgreement)), "two act"
+    )
     assert len(schedule) == 18 and schedule.index("b:cannot") < schedule.index("passed:arrives")
 
 
 def test_no_order_says_what_is_not_durable() -> None:
-    for heard in (ASKED, APPENDED):
-        assert explore(lambda heard=heard: Sync(Raft, heard)).whole  # type: ignore[misc]
+    for messages in (VOTE_REQUESTS, APPEND_REQUESTS):
+        assert explore(lambda messages=messages: DiskScenario(Raft, messages)).whole  # type: ignore[misc]
 
 
 @pytest.mark.parametrize(
     ("fault", "heard", "failure", "schedule"),
     [
-        (SaysAtOnce, ASKED, "two votes", "a:hear power:cut b:hear"),
+        (SendsBeforeWriting, VOTE_REQUESTS, "two votes", "a:hear power:cut b:hear"),
         (
-            VoteForgotten,
-            ASKED,
+            OmitsVote,
+            VOTE_REQUESTS,
             "two votes",
             "a:hear disk:write disk:done disk:write disk:done power:cut b:hear disk:write disk:done",
         ),
-        (SaysAtOnce, APPENDED, "not durable", "first:hear"),
-        (AcksItsTail, APPENDED, "not the leader's", "beat:hear disk:write disk:done"),
+        (SendsBeforeWriting, APPEND_REQUESTS, "not durable", "first:hear"),
+        (AcknowledgesWholeLog, APPEND_REQUESTS, "not the leader's", "beat:hear disk:write disk:done"),
     ],
 )
 def test_planted_before_the_disk(
-    fault: type[Raft], heard: dict[str, tuple[ReplicaId, Message]], failure: str, schedule: str
+    fault: type[Raft], messages: dict[str, tuple[ReplicaId, Message]], failure: str, schedule: str
 ) -> None:
-    assert shortest(lambda: Sync(fault, heard), failure) == schedule.split()
+    assert shortest(lambda: DiskScenario(fault, messages), failure) == schedule.split()
 
 
 def test_no_order_of_a_failing_disk_agrees_on_what_is_not_durable() -> None:
-    counts = explore(lambda: Resigning(Raft))
+    counts = explore(lambda: StepDownScenario(Raft))
     assert counts.whole and counts.states > 500
 
 
 def test_a_failed_write_that_counts_is_found() -> None:
-    schedule = shortest(lambda: Resigning(TakesFailedForWritten), "not durable at a majority", 0)
+    schedule = shortest(lambda: StepDownScenario(CountsFailedWrites), "not durable at a majority", 0)
     assert schedule == ["client:offer", "to-b:hear", "to-a:hear", "disk:fails"]
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -131,51 +131,53 @@
 LAG = 12.0  # ms at the most, from a member to the log and back
 WORK = 60.0  # ms at the most, of one turn
 PERIOD = 7
-PACE = TurnSettings(at_once=3, turn_ms=2000.0, tries=3, again_ms=500.0, spread_ms=1000.0, repeat_ms=200.0)
+TURN_SETTINGS = TurnSettings(
+    at_once=3, turn_ms=2000.0, tries=3, again_ms=500.0, spread_ms=1000.0, repeat_ms=200.0
+)
 
 
 class Node:
     """A member's process, with its copy of what is agreed."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
-        self.fleet, self.name, self.applied, self.up, self.cut = fleet, name, 0, True, False
-        self.acts, self.rounds = ReplicatedState(d.DutyTable()), r.ReconciliationRounds()
-        self.acts.add_machine(r.DUTY, self.rounds)
-        self.conductor = TurnScheduler(self.rounds, PACE)
-        self.own = MemberTurns(name, self.rounds, PACE, fleet.rng.getrandbits(30))
-        self.own.set_collector_reachable(True)
-        self.begun, self.wakes = list[int](), float("inf")
+        self.fleet, self.name, self.applied, self.up, self.isolated = fleet, name, 0, True, False
+        self.state, self.rounds = ReplicatedState(d.DutyTable()), r.ReconciliationRounds()
+        self.state.add_machine(r.DUTY, self.rounds)
+        self.scheduler = TurnScheduler(self.rounds, TURN_SETTINGS)
+        self.member_turns = MemberTurns(name, self.rounds, TURN_SETTINGS, fleet.rng.getrandbits(30))
+        self.member_turns.set_collector_reachable(True)
+        self.started_turns, self.next_wake = list[int](), float("inf")
 
     def token(self) -> int:
-        duty = self.acts.duties.duties.get(r.DUTY)
+        duty = self.state.duties.duties.get(r.DUTY)
         return duty.token if duty is not None and duty.holder == self.name else 0
 
     def step(self) -> None:
         if not self.up:
             return
         now, token = self.fleet.t, self.token()
-        for body in self.conductor.tick(now, token):
+        for body in self.scheduler.tick(now, token):
             self.fleet.offer(self, d.FencedCommand(r.DUTY, token, body))
-        for body in self.own.tick(now):
+        for body in self.member_turns.tick(now):
             self.fleet.offer(self, d.UnfencedCommand(r.DUTY, body))
-        while (given := self.own.take_ready()) is not None:
-            self.begun.append(given[1])
-            self.work(*given, 3)
-        due = [at for at in (self.conductor.wake_at, self.own.wake_at) if at is not None]
-        if due and not now < self.wakes <= min(due):
-            self.wakes = min(due)
-            self.fleet.at(self.wakes, self.step)
+        while (turn_to_start := self.member_turns.take_ready()) is not None:
+            self.started_turns.append(turn_to_start[1])
+            self.work(*turn_to_start, 3)
+        due = [at for at in (self.scheduler.wake_at, self.member_turns.wake_at) if at is not None]
+        if due and not now < self.next_wake <= min(due):
+            self.next_wake = min(due)
+            self.fleet.at(self.next_wake, self.step)
 
     def work(self, period: int, turn: int, messages: int) -> None:
         """A turn is so many messages to the collector."""
         self.fleet.working.discard(self.name)
-        if not self.up or not self.own.holds(self.fleet.t, period, turn):
+        if not self.up or not self.member_turns.holds(self.fleet.t, period, turn):
             return
         if not messages:
-            self.own.complete(period, turn, COUNTS)
+            self.member_turns.complete(period, turn, COUNTS)
             return self.step()
         self.fleet.working.add(self.name)
-        self.fleet.most = max(self.fleet.most, len(self.fleet.working))
+        self.fleet.max_working = max(self.fleet.max_working, len(self.fleet.working))
         self.fleet.collect(self.name, turn)
         later = self.fleet.t + self.fleet.rng.uniform(1, WORK / 3)
         self.fleet.at(later, partial(self.work, period, turn, messages - 1))
@@ -189,13 +191,13 @@
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.log: list[bytes] = []
         self.working: set[str] = set()
-        self.most, self.last = 0, 0.0
+        self.max_working, self.last_ended = 0, 0.0
         self.fences: dict[str, Fence] = {}
         self.nodes = [Node(self, name) for name in ("h0", "h1", *(f"m{n}" for n in range(count)))]
         self.members = self.nodes[2:]
-        words = [d.RenewSession(name, 1, 1, 1.0) for name in ("h0", "h1")]
-        first: list[d.Command] = [d.DefineDuties((r.DUTY,)), *words, d.GrantDuty(r.DUTY, "h0", 1)]
-        for command in first:
+        renewals = [d.RenewSession(name, 1, 1, 1.0) for name in ("h0", "h1")]
+        setup: list[d.Command] = [d.DefineDuties((r.DUTY,)), *renewals, d.GrantDuty(r.DUTY, "h0", 1)]
+        for command in setup:
             self.append(command)
         self.run(100.0)
 
@@ -210,7 +212,7 @@
             what()
 
     def offer(self, node: Node, command: d.Command) -> None:
-        if not node.cut and self.rng.random() >= self.loss:
+        if not node.isolated and self.rng.random() >= self.loss:
             self.at(self.t + self.rng.uniform(1, LAG), partial(self.append, command))
 
     def append(self, command: d.Command) -> None:
@@ -219,11 +221,11 @@
             self.at(self.t + self.rng.uniform(1, LAG), partial(self.catch_up, node, len(self.log)))
 
     def catch_up(self, node: Node, upto: int) -> None:
-        if not node.up or node.cut or node.applied >= upto:
+        if not node.up or node.isolated or node.applied >= upto:
             return
         for index in range(node.applied + 1, upto + 1):
-            node.acts.apply(index, d.decode(self.log[index - 1]))
-            assert len(node.rounds.running) <= PACE.at_once
+            node.state.apply(index, d.decode(self.log[index - 1]))
+            assert len(node.rounds.running) <= TURN_SETTINGS.at_once
         node.applied = upto
         node.step()
 
@@ -232,7 +234,7 @@
 
     def end_period(self) -> None:
         for node in self.members:
-            node.own.request(self.t, PERIOD)
+            node.member_turns.request(self.t, PERIOD)
             node.step()
 
     def ended(self, member: str) -> bool | None:
@@ -245,7 +247,11 @@
 
     def bound(self) -> float:
         """Milliseconds for all: a turn is given, heard of, done, and its end heard of, by way of the log."""
-        return PACE.spread_ms + -(-len(self.members) // PACE.at_once) * (WORK + 4 * LAG) + 4 * LAG
+        return (
+            TURN_SETTINGS.spread_ms
+            + -(-len(self.members) // TURN_SETTINGS.at_once) * (WORK + 4 * LAG)
+            + 4 * LAG
+        )
 
 
 @pytest.mark.parametrize("count", [5, 40, 200])
@@ -255,8 +261,10 @@
     fleet.end_period()
     fleet.run(fleet.bound(), fleet.all_done)
     assert fleet.all_done() and fleet.t - began <= fleet.bound()
-    assert fleet.most <= PACE.at_once and (count < 40 or fleet.most == PACE.at_once)
-    assert all(len(node.begun) == 1 and fleet.ended(node.name) for node in fleet.members)
+    assert fleet.max_working <= TURN_SETTINGS.at_once and (
+        count < 40 or fleet.max_working == TURN_SETTINGS.at_once
+    )
+    assert all(len(node.started_turns) == 1 and fleet.ended(node.name) for node in fleet.members)
     entries = len(fleet.log)
     fleet.run(600_000.0)
     assert len(fleet.log) == entries and not fleet.events  # and then nobody has anything to do
@@ -264,29 +272,30 @@
         if isinstance(command := d.decode(data), d.UnfencedCommand):
             fleet.append(command)  # what comes once more, late
     fleet.run(600_000.0)
-    assert not fleet.nodes[1].rounds.open and all(len(node.begun) == 1 for node in fleet.members)
+    assert not fleet.nodes[1].rounds.open and all(len(node.started_turns) == 1 for node in fleet.members)
 
 
 @pytest.mark.parametrize("count", [5, 40, 200])
 def test_a_new_conductor_loses_no_want_and_doubles_no_turn(count: int) -> None:
     fleet = Fleet(count, count, loss=0.05)
-    first, second = fleet.nodes[:2]
+    old_holder, new_holder = fleet.nodes[:2]
     fleet.end_period()
-    fleet.run(60_000.0, lambda: len(second.rounds.ended) >= count // 2)
-    assert second.rounds.running
-    first.cut = True  # it hears nothing and goes on conducting: what it says comes late
+    fleet.run(60_000.0, lambda: len(new_holder.rounds.ended) >= count // 2)
+    assert new_holder.rounds.running
+    old_holder.isolated = True  # it hears nothing and goes on conducting: what it says comes late
     for at in range(20):
         fleet.at(
-            fleet.t + 50 * at, partial(fleet.append, d.FencedCommand(r.DUTY, first.token(), stale(fleet, at)))
+            fleet.t + 50 * at,
+            partial(fleet.append, d.FencedCommand(r.DUTY, old_holder.token(), stale(fleet, at))),
         )
     fleet.append(d.EndSession("h0", 1, 1))
     fleet.append(d.GrantDuty(r.DUTY, "h1", 1))
     fleet.run(60_000.0, fleet.all_done)
     assert fleet.all_done()
     fleet.run(1000.0)
-    assert second.acts.rejected["token"] >= 20
-    assert all(len(node.begun) == 1 and fleet.ended(node.name) for node in fleet.members)
-    assert fleet.most <= PACE.at_once
+    assert new_holder.state.rejected["token"] >= 20
+    assert all(len(node.started_turns) == 1 and fleet.ended(node.name) for node in fleet.members)
+    assert fleet.max_working <= TURN_SETTINGS.at_once
 
 
 def stale(fleet: Fleet, at: int) -> bytes:
@@ -307,7 +316,10 @@
     fleet.working.discard(dead.name)
     fleet.run(60_000.0, lambda: len(fleet.nodes[1].rounds.ended) >= 39)
     # the others have one place less
-    assert fleet.t - began <= PACE.spread_ms + -(-39 // (PACE.at_once - 1)) * (WORK + 4 * LAG) + 4 * LAG
+    assert (
+        fleet.t - began
+        <= TURN_SETTINGS.spread_ms + -(-39 // (TURN_SETTINGS.at_once - 1)) * (WORK + 4 * LAG) + 4 * LAG
+    )
     if back:
         again = Node(fleet, dead.name)
         fleet.nodes[fleet.nodes.index(dead)] = again
@@ -315,10 +327,10 @@
     fleet.run(60_000.0, fleet.all_done)
     assert fleet.ended(dead.name) is back
     if back:
-        assert again.begun == dead.begun  # under the same turn
+        assert again.started_turns == dead.started_turns  # under the same turn
     else:
         assert fleet.t - began < 60_000.0
-        assert fleet.nodes[1].rounds.ended[dead.name, PERIOD].tries == PACE.tries
+        assert fleet.nodes[1].rounds.ended[dead.name, PERIOD].tries == TURN_SETTINGS.tries
     assert fleet.nodes[1].rounds.status()["failed"] == (not back)
 
 
@@ -327,15 +339,19 @@
     fleet.end_period()
     fleet.run(60_000.0, lambda: bool(fleet.working))
     node = next(node for node in fleet.members if node.name in fleet.working)
-    ((period, held),) = node.own.held.items()
-    node.cut = True
-    assert node.own.holds(fleet.t, period, held.turn)
-    assert not node.own.holds(fleet.t + PACE.turn_ms, period, held.turn)
-    fleet.run(2 * PACE.turn_ms)
-    node.cut = False
+    ((period, held),) = node.member_turns.held.items()
+    node.isolated = True
+    assert node.member_turns.holds(fleet.t, period, held.turn)
+    assert not node.member_turns.holds(fleet.t + TURN_SETTINGS.turn_ms, period, held.turn)
+    fleet.run(2 * TURN_SETTINGS.turn_ms)
+    node.isolated = False
     fleet.catch_up(node, len(fleet.log))
     fleet.run(60_000.0, fleet.all_done)
-    assert fleet.ended(node.name) and len(node.begun) == 2 and node.begun[0] < node.begun[1]
+    assert (
+        fleet.ended(node.name)
+        and len(node.started_turns) == 2
+        and node.started_turns[0] < node.started_turns[1]
+    )
 
 
 def test_who_cannot_reach_the_collector_gives_its_turn_back_and_asks_again_when_it_can() -> None:
@@ -343,23 +359,23 @@
     fleet.end_period()
     fleet.run(60_000.0, lambda: bool(fleet.working))
     node = next(node for node in fleet.members if node.name in fleet.working)
-    node.own.set_collector_reachable(False)
+    node.member_turns.set_collector_reachable(False)
     node.step()
     fleet.run(5 * LAG)
     assert node.name not in fleet.nodes[1].rounds.open and fleet.ended(node.name) is None
     fleet.run(60_000.0)
-    node.own.set_collector_reachable(True)
+    node.member_turns.set_collector_reachable(True)
     node.step()
     fleet.run(60_000.0, fleet.all_done)
-    assert fleet.ended(node.name) and len(node.begun) == 2
+    assert fleet.ended(node.name) and len(node.started_turns) == 2
 
 
 def test_who_wants_many_keeps_nobody_waiting() -> None:
     fleet = Fleet(5, 4)
     greedy = fleet.members[0]
     for period in range(100, 112):
-        greedy.own.request(fleet.t, period)
-    fleet.run(PACE.spread_ms / 2)
+        greedy.member_turns.request(fleet.t, period)
+    fleet.run(TURN_SETTINGS.spread_ms / 2)
     fleet.end_period()
     fleet.run(60_000.0, lambda: all(fleet.ended(node.name) for node in fleet.members))
     assert sum(name == greedy.name for name, _ in fleet.nodes[1].rounds.ended) < 13
@@ -368,6 +384,6 @@
 
 
 def test_a_pace_that_cannot_be_used_is_named() -> None:
-    PACE.check("council.rounds")
+    TURN_SETTINGS.check("council.rounds")
     with pytest.raises(TurnSettingsError, match=r"council.rounds.at_once: must be 1 to 8"):
         TurnSettings(at_once=9).check("council.rounds")
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -24,10 +24,12 @@
 from harrieryoke.limits import Limits
 from harrieryoke.plugins.bench import SETTINGS, Quiet
 
-PACE = TurnSettings(at_once=1, turn_ms=1000.0, tries=3, again_ms=0.0, spread_ms=20.0, repeat_ms=100.0)
+TURN_SETTINGS = TurnSettings(
+    at_once=1, turn_ms=1000.0, tries=3, again_ms=0.0, spread_ms=20.0, repeat_ms=100.0
+)
 
 
-class Copies:
+class AllMachines:
     """The machines of all members, as one."""
 
     def __init__(self) -> None:
@@ -47,35 +49,40 @@
             machine.load(data)
 
 
-class OnePlace:
+class LocalCouncil:
     """A council that agrees at once. `holder` conducts."""
 
     def __init__(self) -> None:
-        self.acts, self.copies, self.index, self.holder = ReplicatedState(d.DutyTable()), Copies(), 0, ""
-        self.acts.add_machine("reconcile", self.copies)
-        self.told = list[Callable[[], object]]()
+        self.state, self.machines, self.index, self.holder = (
+            ReplicatedState(d.DutyTable()),
+            AllMachines(),
+            0,
+            "",
+        )
+        self.state.add_machine("reconcile", self.machines)
+        self.watchers = list[Callable[[], object]]()
 
     def apply(self, command: d.Command) -> None:
         self.index += 1
-        self.acts.apply(self.index, d.decode(d.encode(command)))
-        for told in self.told:
-            told()
+        self.state.apply(self.index, d.decode(d.encode(command)))
+        for watcher in self.watchers:
+            watcher()
 
     def hold(self, name: str) -> None:
-        first: list[d.Command] = [d.DefineDuties(("reconcile",)), d.RenewSession(name, 1, 1, 1.0)]
-        for command in [*first, d.GrantDuty("reconcile", name, 1)]:
+        setup: list[d.Command] = [d.DefineDuties(("reconcile",)), d.RenewSession(name, 1, 1, 1.0)]
+        for command in [*setup, d.GrantDuty("reconcile", name, 1)]:
             self.apply(command)
         self.holder = name
 
 
-class Seen:
+class MemberView:
     """The council as one member sees it."""
 
-    def __init__(self, council: OnePlace, name: str) -> None:
+    def __init__(self, council: LocalCouncil, name: str) -> None:
         self.council, self.name = council, name
 
     def acting(self, duty: str) -> int:
-        return self.council.acts.duties.duties[duty].token if self.council.holder == self.name else 0
+        return self.council.state.duties.duties[duty].token if self.council.holder == self.name else 0
 
     def propose(self, duty: str, token: int, body: bytes) -> str:
         self.council.apply(d.FencedCommand(duty, token, body))
@@ -86,10 +93,10 @@
         return ""
 
     def add_machine(self, duty: str, machine: StateMachine) -> None:
-        self.council.copies.machines.append(machine)
+        self.council.machines.machines.append(machine)
 
-    def watch(self, told: Callable[[], object]) -> None:
-        self.council.told.append(told)
+    def watch(self, watcher: Callable[[], object]) -> None:
+        self.council.watchers.append(watcher)
 
 
 def until(done: Callable[[], object], seconds: float = 20.0) -> None:
@@ -100,11 +107,13 @@
 
 
 class Member:
-    def __init__(self, council: OnePlace, name: str, collector: EmulatedCollector) -> None:
-        self.turns = TurnsActor(Seen(council, name), name, PACE, len(council.told), Quiet())
-        link = CollectorSettings(collector.address(), batch=20, batch_ms=20.0, answer_ms=100.0)
+    def __init__(self, council: LocalCouncil, name: str, collector: EmulatedCollector) -> None:
+        self.turns = TurnsActor(
+            MemberView(council, name), name, TURN_SETTINGS, len(council.watchers), Quiet()
+        )
+        collector_settings = CollectorSettings(collector.address(), batch=20, batch_ms=20.0, answer_ms=100.0)
         self.part = LedgerPart(
-            LedgerSettings(collector=link),
+            LedgerSettings(collector=collector_settings),
             None,
             BackgroundSettings(time_share=0.9),
             name,
@@ -118,7 +127,7 @@
         self.turns.start()
         self.part.start()
 
-    def ends(self, count: int) -> int:
+    def end_period(self, count: int) -> int:
         """Its period."""
         now = now_ms()
         for number in range(count):
@@ -135,7 +144,7 @@
     def result(self) -> object:
         return self.part.answer("GET", "/ledger/reconcile", {}, 1000)[1]["results"]
 
-    def want(self, period: int) -> None:
+    def request_turn(self, period: int) -> None:
         assert self.part.answer("POST", "/ledger/reconcile", {"period": str(period)}, 1000)[0] == 200
 
     def stop(self) -> None:
@@ -144,13 +153,13 @@
 
 
 def test_ledgers_reconcile_each_in_its_turn_and_all_see_what_came_of_it() -> None:
-    council, collector = OnePlace(), EmulatedCollector(random.Random(3))
+    council, collector = LocalCouncil(), EmulatedCollector(random.Random(3))
     members = [Member(council, name, collector) for name in ("a", "b", "c")]
     council.hold("a")
-    (period,) = {member.ends(60) for member in members}
+    (period,) = {member.end_period(60) for member in members}
     collector.lose_entries(5)
     for member in members:
-        member.want(period)
+        member.request_turn(period)
     until(lambda: len(members[0].turns.rounds.ended) == 3)
     ended = members[2].turns.rounds.ended
     assert sum(end.counts.sent for end in ended.values() if end.counts) == 5
@@ -167,21 +176,21 @@
 
 
 def test_a_turn_that_no_collector_answers_is_stopped_and_one_that_is_lost_goes_back() -> None:
-    council, collector = OnePlace(), EmulatedCollector(random.Random(3))
+    council, collector = LocalCouncil(), EmulatedCollector(random.Random(3))
     member = Member(council, "a", collector)
     council.hold("a")
-    period = member.ends(40)
+    period = member.end_period(40)
     collector.fences["a", period] = fence = Fence(10**9)
-    member.want(period)
+    member.request_turn(period)
     until(lambda: member.part.link is not None and member.part.link.reconciler.stopped)
     assert collector.counts["older"] and not collector.counts["repaired"] and not member.result()
-    until(lambda: not member.turns.own.pending)  # given up as often as the pace has it
+    until(lambda: not member.turns.member_turns.pending)  # given up as often as the pace has it
     assert member.turns.status()["failed"] == 1
     fence.token = 0
     collector.down()
-    until(lambda: not member.turns.own.collector_reachable)
-    member.want(period)
-    until(lambda: member.turns.own.pending)
+    until(lambda: not member.turns.member_turns.collector_reachable)
+    member.request_turn(period)
+    until(lambda: member.turns.member_turns.pending)
     collector.listen()
     until(member.result)
     until(lambda: member.turns.status()["failed"] == 0)
@@ -195,8 +204,8 @@
     assert not collector.sketch("a", pb.Reconcile(period=7, seed=1)).newer  # nobody gives turns yet
     assert not collector.sketch("a", pb.Reconcile(period=7, seed=1, token=9)).newer
     for token in (0, 4, 8):
-        told = collector.sketch("a", pb.Reconcile(period=7, seed=1, token=token))
-        assert (told.newer, told.token, told.data) == (9, token, b"")
+        watcher = collector.sketch("a", pb.Reconcile(period=7, seed=1, token=token))
+        assert (watcher.newer, watcher.token, watcher.data) == (9, token, b"")
         collector.repair("a", pb.Repair(period=7, entries=[entry], token=token))
     assert not collector.raw() and collector.counts["older"] == 6
     collector.repair("a", pb.Repair(period=8, entries=[entry], token=4))  # another period's turn
