--- a/harrieryoke/brain.py
+++ b/harrieryoke/brain.py
@@ -8,7 +8,7 @@
 
 from . import interface as i
 from .copy_width import widen
-from .interface import Found, Outcome
+from .interface import CopyLookup, Outcome
 from .load_limit import STRAINED, adapt_limit
 from .repeat_rules import may_refuse, may_repeat
 from .state import NEVER, Bucket, Copy, Function, PossibleRestart, Request, Worker, count_since, digest
@@ -29,20 +29,21 @@
         self.rng = Random(seed)
         self.order_cap, self.stretch = ORDERS_FIRST, 1.0  # loads' time against the told time
         self.strain = STRAINED / 2  # of all workers together
-        self.retune(i.Retuned(settings))
+        self.retune(i.SettingsChanged(settings))
         if settings.list_on_request:
             self.later(0.0, self.say, i.FollowList())
         self.handlers: dict[type, Callable[[Any], None]] = {
             i.WorkersListed: self.listed, i.ListConfirmed: self.confirmed, i.RequestArrived: self.arrive,
             i.RequestDropped: self.close, i.AttemptEnded: self.attempt_ended,
             i.OrderEnded: self.order_ended, i.ProbeEnded: self.probe_ended,
-            i.WarmWished: lambda e: self.wishes.append(e.function), i.Retuned: self.retune}  # fmt: skip
+            i.PrewarmRequested: lambda e: self.wishes.append(e.function),
+            i.SettingsChanged: self.retune}  # fmt: skip
 
-    def retune(self, e: i.Retuned) -> None:
+    def retune(self, e: i.SettingsChanged) -> None:
         """What follows from the settings. What was learned stays, and open requests keep what they have."""
         self.s = s = e.settings
         self.unseen = 1 - 1 / s.front_ends  # share of the calls that others send
-        self.shortest_aim = s.shortest_aim()
+        self.shortest_aim = s.shortest_latency_target()
         self.sweep = max(s.tick, self.shortest_aim / 50)
         for n, t in enumerate(s.tenants):
             self.allowances.setdefault(n, Bucket()).rate = t.allowance_per_s / s.front_ends
@@ -103,7 +104,7 @@
             if n == 0 and age > 0.7 * keep and self.now - self.stalled - f.used < IDLE_WINDOW * keep:
                 if age < keep and (f.alone or self.rng.random() * ours < 1) and self.ensure_lease(w):
                     self.order(f, wid, 0.5)
-            elif n and self.s.idle_price and age > keep * ours / 6 and not f.mine.get(wid):
+            elif n and self.s.idle_copy_price and age > keep * ours / 6 and not f.mine.get(wid):
                 self.drop(f, wid)
         if f.copies:
             self.later(keep / 4, self.tend, f)
@@ -116,10 +117,10 @@
 
     def order(self, f: Function, wid: int, share: float) -> bool:
         """Orders a copy within the cap and this `share` of the ration, counted a tick to the safe side."""
-        past = self.now - self.s.ration_window
+        past = self.now - self.s.order_limit_window
         taken = count_since(self.arrivals, past + self.s.tick)
-        ration = (self.s.ration_floor + self.s.ration_share * taken) * share
-        spent = self.s.ration_window and count_since(self.ordered, past - self.s.tick) + 1 > ration
+        ration = (self.s.order_limit_floor + self.s.order_limit_share * taken) * share
+        spent = self.s.order_limit_window and count_since(self.ordered, past - self.s.tick) + 1 > ration
         if wid in f.pending or self.ordering >= self.order_cap or spent or not self.s.may_order:
             return False
         self.make_room(f, wid)
@@ -147,7 +148,7 @@
 
     def place(self, f: Function) -> int | None:
         """The first worker along the order that lacks the function and may be loaded."""
-        order = self.advised(f, next((r.event.bias for r in f.waiting if r.event.bias), None))
+        order = self.advised(f, next((r.event.cost_factors for r in f.waiting if r.event.cost_factors), None))
         free = (wid for wid in order if wid not in f.copies and wid not in f.pending)
         if f.copies and self.unseen:  # others may have put one there: a request tries the place first
             free = (wid for wid in free if f.missed.get(wid, NEVER) > self.now)
@@ -175,7 +176,7 @@
             self.believe(f, e.worker, e.copies)
         if sent is None or e.outcome is Outcome.NOT_SENT:
             return
-        stretch, change = e.took / f.load_time, 0.0
+        stretch, change = e.duration / f.load_time, 0.0
         if e.outcome is not Outcome.OK:
             f.avoid[e.worker], change = self.now + f.load_time, -1.0 if e.outcome is Outcome.ERROR else 0.0
         elif stretch > 0.3:  # it was a load, not a copy that stood
@@ -233,11 +234,11 @@
             if mine >= 3 * lanes or not self.has_room(w, r):
                 continue
             usual = self.usual_time(w)  # what would be given up at work feeds the jam of a jammed worker
-            if r.event.due - self.now < usual or not self.may_go(r, w):
+            if r.event.deadline - self.now < usual or not self.may_go(r, w):
                 continue
             queue = max(0.0, mine + copy.others + 1 - lanes) / lanes
             busy = 1 + len(w.flying) + self.unseen * (draw + self.held_at(w))
-            cost = busy * self.slowness(w, usual) * (1 + queue) * (r.event.bias or {}).get(wid, 1.0)
+            cost = busy * self.slowness(w, usual) * (1 + queue) * (r.event.cost_factors or {}).get(wid, 1.0)
             if not self.on_trial(w, f):
                 costs.append((self.doubted(w, f), cost, wid))
         ranked = (self.workers[wid] for *_, wid in sorted(costs))
@@ -249,7 +250,7 @@
         yield from self.believed(f)
         if r.attempts >= max(1, r.most - 1) or (f.copies and not self.unseen):
             return
-        places = (wid for wid in self.advised(f, r.event.bias) if self.open(wid, f))
+        places = (wid for wid in self.advised(f, r.event.cost_factors) if self.open(wid, f))
         for wid in islice(places, int(f.width)):
             if wid not in f.copies and wid not in f.pending and f.missed.get(wid, NEVER) <= self.now:
                 yield wid, self.workers[wid], Copy(1, self.now)
@@ -257,7 +258,7 @@
     def dispatch(self, f: Function) -> None:
         f.waiting, kept = [r for r in f.waiting if not r.done], []
         stuck: list[int | None] = []  # tenants whose requests, free to go, found no room just now
-        for r in sorted(f.waiting, key=lambda r: (-self.value(r, f), r.event.due)):
+        for r in sorted(f.waiting, key=lambda r: (-self.value(r, f), r.event.deadline)):
             idle = r.event.tenant in stuck and (f.copies or r.attempts)
             if not idle and (wid := self.choose(f, r)) is not None:
                 w = self.workers[wid]
@@ -281,16 +282,22 @@
         if e.request in self.requests:
             return
         kind = self.s.classes[min(e.class_index, len(self.s.classes) - 1)]
-        came = self.count_in(e.taken, self.s.ration_window + self.s.tick)
+        came = self.count_in(e.received_at, self.s.order_limit_window + self.s.tick)
         gap, self.last_arrival = self.now - self.last_arrival, self.now
         self.stalled += gap if gap > self.s.keep_alive / 8 else 0.0  # a stall must not read as no demand
         self.calls = 1 + self.calls * exp2(-gap / self.s.keep_alive / 0.69)
         if (f := self.functions.get(e.function)) is None:
             self.later(FORGET * self.s.keep_alive, self.fade, e.function)
-            f = Function(e.function, digest(e.function), e.class_index, e.load_time or kind.aim, kind.aim / 4)
+            f = Function(
+                e.function,
+                digest(e.function),
+                e.class_index,
+                e.load_time or kind.latency_target,
+                kind.latency_target / 4,
+            )
             self.functions[e.function] = f
-        f.memory, f.lanes, f.used = e.memory, max(1, e.lanes), self.now - self.stalled
-        aimed = came + min(kind.aim, e.wanted or kind.aim)
+        f.memory, f.lanes, f.used = e.memory, max(1, e.slots), self.now - self.stalled
+        aimed = came + min(kind.latency_target, e.latency_target or kind.latency_target)
         r = self.requests[e.request] = Request(e, kind, came, aimed, kind.worth, self.s.max_attempts)
         bucket = self.allowances.get(e.tenant)  # a second deep, at least one call
         if bucket and bucket.rate and not bucket.take(self.now, bucket.rate / 1000, max(1.0, bucket.rate)):
@@ -311,16 +318,16 @@
     def hold(self, f: Function, r: Request) -> None:
         f.waiting.append(r)
         self.touched[f.name] = f
-        half = r.arrived + HALF * (r.event.due - r.arrived)
+        half = r.arrived + HALF * (r.event.deadline - r.arrived)
         self.later(max(0.0, half - self.now), self.despair, (f, r))
-        self.later(r.event.due - 2 * self.sweep - self.now, self.end, r)
+        self.later(r.event.deadline - 2 * self.sweep - self.now, self.end, r)
 
     def despair(self, held: tuple[Function, Request]) -> None:
         """Gives up at once where nobody can answer in time, or half went by and no load is on its way."""
         f, r = held
         if r.done or r.flying:
             return
-        left = r.event.due - self.now
+        left = r.event.deadline - self.now
         in_time = any(self.usual_time(w) <= left for w in self.workers.values() if self.usable(w))
         if not in_time or not (r.attempts or f.pending):
             return self.end(r)
@@ -338,14 +345,14 @@
         if e.finished:
             self.close(e)
         elif r and not r.flying:
-            again = r.event.due - self.now > 2 * self.sweep and r.attempts < r.most
+            again = r.event.deadline - self.now > 2 * self.sweep and r.attempts < r.most
             again = again and any(self.may_go(r, v) for v in self.workers.values())
             self.hold(f, r) if again else self.end(r)
 
     def learn(self, e: i.AttemptEnded, w: Worker, f: Function, r: Request | None, sent: float) -> None:
-        wid, aim = w.entry.worker, r.kind.aim if r else self.shortest_aim
-        if e.report and e.report.held is not None:
-            w.held, w.told = e.report.held, self.now
+        wid, aim = w.entry.worker, r.kind.latency_target if r else self.shortest_aim
+        if e.report and e.report.in_progress is not None:
+            w.held, w.told = e.report.in_progress, self.now
             self.held += 0.05 * (w.held - self.held)
         if e.outcome is Outcome.NO_CONNECTION:
             self.take_out(w, dead=True)
@@ -374,26 +381,32 @@
             copy = self.believe(f, wid)
             w.doubts.pop(f.class_index, None)
             w.served[f.class_index] = self.now
-            crowd = max(0.0, (e.crowd or 0) - f.mine.get(wid, 0))
-            copy.others += 0.3 * (crowd - copy.others) if self.s.tells_crowd else 0.0
-            if e.found in (Found.BEGAN_LOAD, Found.WAITED) or not (e.found or sure):
+            crowd = max(0.0, (e.concurrent_requests or 0) - f.mine.get(wid, 0))
+            copy.others += 0.3 * (crowd - copy.others) if self.s.reports_concurrent_requests else 0.0
+            if e.copy_lookup in (CopyLookup.STARTED_LOAD, CopyLookup.WAITED_FOR_LOAD) or not (
+                e.copy_lookup or sure
+            ):
                 return  # its time tells of a load
-            share = crowd / f.lanes / copy.count if self.s.tells_crowd else e.took / aim / STRAINED
+            share = (
+                crowd / f.lanes / copy.count
+                if self.s.reports_concurrent_requests
+                else e.duration / aim / STRAINED
+            )
             widen(f, share, len(self.workers))
-            w.slow += 0.1 * (min(8.0, e.took / f.usual) - w.slow)
-            f.usual += 0.05 * (e.took - f.usual)
-        unanswered = e.outcome in (Outcome.TIMEOUT, Outcome.CANCELLED) and e.took > aim
+            w.slow += 0.1 * (min(8.0, e.duration / f.usual) - w.slow)
+            f.usual += 0.05 * (e.duration - f.usual)
+        unanswered = e.outcome in (Outcome.TIMEOUT, Outcome.CANCELLED) and e.duration > aim
         told = e.outcome is Outcome.OK or self.strain_at(w) > STRAINED / 2 or not self.doubted(w, f)
         if told and not (unanswered and self.hung(w, f, sent)) and (e.outcome is Outcome.OK or unanswered):
             # what never came back tells of a crowd too, else many front ends keep each other's queues full
-            took = min(3.0, e.took / aim)
+            took = min(3.0, e.duration / aim)
             self.strain += 0.1 * (took - self.strain)
             adapt_limit(w.load, took, len(w.flying), self.s.front_ends)
 
     def end(self, r: Request) -> None:
         """The final answer of what cannot be served: a refusal where that is lawful, else a failure."""
         if not r.done and not r.flying:
-            rid, away = r.event.request, self.s.max_retry_after if self.s.tells_retry_after else None
+            rid, away = r.event.request, self.s.max_retry_after if self.s.sends_retry_after else None
             self.say(i.Refuse(rid, away or None) if may_refuse(r.kind, r.ran) else i.Fail(rid))
             self.close(r.event)
 
--- a/harrieryoke/core/calls.py
+++ b/harrieryoke/core/calls.py
@@ -27,7 +27,7 @@
     def retune(self, settings: i.Settings) -> None:
         """From here calls are made under these settings. The service calls it once every part knows them."""
         self.settings = settings
-        self.classes, self.tenants = settings.live(), settings.live_tenants()
+        self.classes, self.tenants = settings.active_classes(), settings.active_tenants()
 
     def keyed(self, name: str) -> bool:
         return self.settings.classes[self.classes[name]].effect is i.Effect.KEYED
--- a/harrieryoke/core/module.py
+++ b/harrieryoke/core/module.py
@@ -41,7 +41,7 @@
 )
 from .table import Entry, RequestTable
 
-LOADED = (i.Found.BEGAN_LOAD, i.Found.WAITED)
+LOADED = (i.CopyLookup.STARTED_LOAD, i.CopyLookup.WAITED_FOR_LOAD)
 
 
 class ModuleActor(Actor):
@@ -94,7 +94,7 @@
             i.DropCopies: self.drop_copies,
             i.Probe: self.probe,
             i.SetTimer: self.set_timer,
-            i.Note: self.note,
+            i.LogLine: self.note,
         }
 
     # --- what fronts and hosts say ---
@@ -250,7 +250,9 @@
             self.table.revoke(task, i.Outcome.CANCELLED)
         self.seed += 1
         self.router, self.timers = Router(self.settings, self.seed), []
-        self.orders_from = now + self.settings.ration_window  # the fresh one does not know of earlier orders
+        self.orders_from = (
+            now + self.settings.order_limit_window
+        )  # the fresh one does not know of earlier orders
         known: list[i.Event] = [i.WorkersListed(i.ListScope.REMEMBERED, tuple(self.entries.values()))]
         known += [] if self.list_confirmed is None else [self.list_confirmed]
         for action in self.router.handle(now, known):
@@ -271,7 +273,7 @@
         self.ports.update(m.ports)
         self.names.update({worker: host.name for worker, host in m.names.items()})
         self.entries.update({e.worker: e for e in m.event.workers})
-        for gone in [worker for worker, e in self.entries.items() if e.drain is i.Drain.GONE]:
+        for gone in [worker for worker, e in self.entries.items() if e.status is i.WorkerStatus.GONE]:
             # guards the memory against hosts that are replaced under ever new ids
             self.ports.pop(gone, None)
             self.names.pop(gone, None)
@@ -285,7 +287,7 @@
         return m.event
 
     def wished(self, m: Wished, now: float) -> i.Event | None:
-        return i.WarmWished(m.function)
+        return i.PrewarmRequested(m.function)
 
     def visit(self, m: Visit, now: float) -> i.Event | None:
         self.visits.append(m.do)
@@ -298,7 +300,7 @@
     def retuned(self, m: Retuned, now: float) -> i.Event | None:
         """The table and the module follow in the same round: none knows a class that the other does not."""
         self.settings = self.table.settings = m.settings
-        return i.Retuned(m.settings)
+        return i.SettingsChanged(m.settings)
 
     def stopping(self, m: Stopping, now: float) -> i.Event | None:
         self.table.stop_by(m.by)
@@ -413,5 +415,5 @@
     def set_timer(self, a: i.SetTimer, now: float) -> None:
         heappush(self.timers, (a.at, a.name))
 
-    def note(self, a: i.Note, now: float) -> None:
+    def note(self, a: i.LogLine, now: float) -> None:
         self.log("module-note", a.text)
--- a/harrieryoke/core/records.py
+++ b/harrieryoke/core/records.py
@@ -7,7 +7,7 @@
 from typing import Any, Protocol
 
 from ..brain import Router
-from ..interface import Found, ListConfirmed, LoadReport, Outcome, Settings, WorkersListed
+from ..interface import CopyLookup, ListConfirmed, LoadReport, Outcome, Settings, WorkersListed
 
 
 @dataclass(slots=True, eq=False)
@@ -111,7 +111,7 @@
     task: Task
     outcome: Outcome
     body: bytes = b""
-    found: Found | None = None
+    found: CopyLookup | None = None
     load_failed: bool = False
     crowd: int | None = None
     copies: int = 0
--- a/harrieryoke/core/table.py
+++ b/harrieryoke/core/table.py
@@ -119,7 +119,7 @@
         """A refusal says that trying again is harmless; where that is not so, the answer is 'failed'."""
         kind = self.settings.classes[entry.call.class_index]
         harmless = kind.effect is i.Effect.SAFE or (
-            kind.effect is i.Effect.KEYED and kind.group is i.Group.ALL
+            kind.effect is i.Effect.KEYED and kind.deduplication_scope is i.DeduplicationScope.ALL
         )
         if not harmless and (entry.may_have_run or any(a.begun for a in entry.flying)):
             return self.fail(entry, "it may have run")
--- a/harrieryoke/door/actor.py
+++ b/harrieryoke/door/actor.py
@@ -149,7 +149,7 @@
         self.counts["came"] += 1
         tenant, client, kind = self.tenant(call), self.client(call), self.settings.classes[call.class_index]
         first = self.calendar.returns((tenant, client), now)
-        cost = self.costs.setdefault(call.class_index, kind.aim / 4)
+        cost = self.costs.setdefault(call.class_index, kind.latency_target / 4)
         item = Item(call, tenant, client, cost, kind.worth / cost, call.due, first)
         each = Waiting(call, front, item)
         # who was told to come later and comes now takes no place from those that wait
@@ -187,7 +187,7 @@
             return
         took, kind = now - was.since, self.settings.classes[call.class_index]
         # guards the limit against cold hosts and a slow store: a load's time is no sign of too many inside
-        self.limit.ended(now, took, kind.aim, how in ("served", "failed") and not call.cold)
+        self.limit.ended(now, took, kind.latency_target, how in ("served", "failed") and not call.cold)
         self.rate.ended(now, was.cost, bool(len(self.queue)))
         if how == "served" and not call.cold:
             self.costs[call.class_index] += 0.02 * (max(1.0, took) - self.costs[call.class_index])
@@ -215,7 +215,7 @@
         call, tenant = each.call, each.item.tenant
         self.counts["refused"] += 1
         hint = None
-        if self.settings.tells_retry_after:
+        if self.settings.sends_retry_after:
             weights = {n: t.weight for n, t in self.queue.tenants.items() if t.waiting or n == tenant}
             share = (
                 self.rate.per_ms * weights.get(tenant, self.queue.usual) / max(sum(weights.values()), 1e-9)
--- a/harrieryoke/interface.py
+++ b/harrieryoke/interface.py
@@ -1,7 +1,6 @@
-"""What goes into and comes out of the router: settings, events and actions.
+"""Interface of the router: its settings, the events it takes and the actions it returns.
 
-Times are milliseconds on the caller's own clock; worker and request ids are the caller's numbers.
-No logic lives here.
+Times are milliseconds on the caller's clock; worker and request ids are numbers that the caller assigns.
 """
 
 from __future__ import annotations
@@ -13,23 +12,23 @@
 
 
 class Effect(Enum):
-    """What a repeated request may do to the world."""
+    """Side effect of executing a request more than once."""
 
     SAFE = "safe"
     KEYED = "keyed"
     UNSAFE = "unsafe"
 
 
-class Group(Enum):
-    """The workers that drop each other's repeats of a keyed request."""
+class DeduplicationScope(Enum):
+    """Set of workers within which repeats of a keyed request are deduplicated."""
 
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
 
 
-class Drain(Enum):
-    """What the worker list says of a worker."""
+class WorkerStatus(Enum):
+    """State of a worker in the worker list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -37,7 +36,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt, an order or a probe ended."""
+    """Result of an attempt, an order or a probe."""
 
     OK = "ok"
     ERROR = "error"
@@ -50,16 +49,16 @@
     MISS = "miss"
 
 
-class Found(Enum):
-    """What a served request found at the worker."""
+class CopyLookup(Enum):
+    """Whether a served request found a loaded copy at the worker."""
 
-    COPY = "copy"
-    BEGAN_LOAD = "began load"
-    WAITED = "waited"
+    LOADED = "copy"
+    STARTED_LOAD = "began load"
+    WAITED_FOR_LOAD = "waited"
 
 
 class ListScope(Enum):
-    """How a worker list is to be read."""
+    """Kind of a worker list message."""
 
     CHANGES = "changes"
     WHOLE = "whole"
@@ -69,22 +68,22 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests: its times, its worth and what repeating it may do."""
+    """A class of requests: its latency target and deadline, its worth, and the rules for repeating it."""
 
     name: str
-    aim: float
+    latency_target: float
     deadline: float
     worth: float = 1.0
     late_worth: float = 0.0
     effect: Effect = Effect.UNSAFE
-    group: Group = Group.ALL
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     repeat_window: float = 0.0
-    aim_stretch: float = 0.0
+    latency_target_stretch: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant and the requests a second, over all front ends, that its share covers (0: not told)."""
+    """A tenant and its allowance in requests per second over all front ends (0: not configured)."""
 
     name: str
     allowance_per_s: float = 0.0
@@ -92,10 +91,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a front end is told at its start and anew by `Retuned`. Parts left out get harmless defaults.
+    """Settings of a front end, given at start and replaced by `SettingsChanged`.
 
-    An index of a class, tenant, zone or kind keeps its meaning for as long as the front end runs; what other
-    settings no longer name is `retired`: open requests may still have it.
+    The index of a class, tenant, zone or kind keeps its meaning while the front end runs. Entries that new
+    settings no longer name are `retired`: open requests may still refer to them.
     """
 
     classes: tuple[RequestClass, ...]
@@ -104,7 +103,7 @@
     kinds: tuple[str, ...] = ()
     retired: frozenset[int] = frozenset()
     retired_tenants: frozenset[int] = frozenset()
-    me: int = 0
+    own_index: int = 0
     front_ends: int = 1
     zone: int = 0
     tick: float = 1.0
@@ -115,56 +114,58 @@
     may_cancel: bool = False
     may_probe: bool = False
     may_order: bool = True
-    tells_retry_after: bool = False
+    sends_retry_after: bool = False
     max_retry_after: float = 0.0
     list_on_request: bool = False
     list_ask_within: float = 0.0
-    told_within: float = 7000.0  # what discovery tells counts as told after this, whether it came or not
+    discovery_delay: float = 7000.0  # longest time after which a change in discovery counts as known
     connect_timeout: float = 250.0
     answer_slack: float = 0.0
     cold_period: float = 0.0
     cold_share: float = 1.0
-    fall_multiple: float = 1.0
-    fall_time: float = 1000.0
+    overload_multiple: float = 1.0
+    overload_time: float = 1000.0
     keep_alive: float = 10000.0
     order_timeout: float = 10000.0
-    ration_window: float = 0.0
-    ration_floor: float = 0.0
-    ration_share: float = 0.0
-    idle_price: float = 0.0
+    order_limit_window: float = 0.0
+    order_limit_floor: float = 0.0
+    order_limit_share: float = 0.0
+    idle_copy_price: float = 0.0
     memory_by_kind: tuple[float, ...] = ()
-    tells_found: bool = False
-    tells_crowd: bool = False
+    reports_copy_lookup: bool = False
+    reports_concurrent_requests: bool = False
 
     def __post_init__(self) -> None:
-        """Names the first field that no front end could work with."""
+        """Raises ValueError that names the first invalid field."""
         if not self.classes:
             raise ValueError("classes: at least one is needed")
-        for c in self.classes:
-            if not 0 < c.aim <= c.deadline:
-                raise ValueError(f"classes: the aim of {c.name!r} must lie above 0 and within its deadline")
+        for request_class in self.classes:
+            if not 0 < request_class.latency_target <= request_class.deadline:
+                raise ValueError(
+                    f"classes: the aim of {request_class.name!r} must lie above 0 and within its deadline"
+                )
         for name in ("front_ends", "tick", "max_attempts", "keep_alive"):
             if getattr(self, name) <= 0:
                 raise ValueError(f"{name}: must be above 0")
 
-    def live(self) -> dict[str, int]:
-        """The classes that a request may name now, with their indexes."""
-        return {c.name: n for n, c in enumerate(self.classes) if n not in self.retired}
+    def active_classes(self) -> dict[str, int]:
+        """Indexes of the classes in use, by name."""
+        return {c.name: index for index, c in enumerate(self.classes) if index not in self.retired}
 
-    def live_tenants(self) -> dict[str, int]:
-        """The tenants that a request may name now, with their indexes."""
-        return {t.name: n for n, t in enumerate(self.tenants) if n not in self.retired_tenants}
+    def active_tenants(self) -> dict[str, int]:
+        """Indexes of the tenants in use, by name."""
+        return {t.name: index for index, t in enumerate(self.tenants) if index not in self.retired_tenants}
 
-    def shortest_aim(self) -> float:
-        """In milliseconds, of the classes that a request may name now."""
-        return min(c.aim for n, c in enumerate(self.classes) if n not in self.retired)
+    def shortest_latency_target(self) -> float:
+        """Shortest latency target of the classes in use, in milliseconds."""
+        return min(c.latency_target for index, c in enumerate(self.classes) if index not in self.retired)
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a worker says of its own load; None where it does not say."""
+    """Load that a worker reports; None for values it does not report."""
 
-    held: float | None = None
+    in_progress: float | None = None
     busy: float | None = None
     pinned_memory: float | None = None
     loads: float | None = None
@@ -172,22 +173,25 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerEntry:
-    """One line of the worker list. `started` is None where the start lies long past. `start_stamp` is the
-    list's own mark of that start: equal stamps mean the same start, whatever `started` says."""
+    """An entry of the worker list.
+
+    `started` is None where the worker started long ago. `start_stamp` identifies the start in the list: equal
+    stamps mean the same start, whatever `started` is.
+    """
 
     worker: int
     zone: int = 0
     kind: int = 0
     cell: int = 0
-    drain: Drain = Drain.UP
-    size: float = 1.0
+    status: WorkerStatus = WorkerStatus.UP
+    capacity: float = 1.0
     started: float | None = None
     start_stamp: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class WorkersListed:
-    """The worker list, or what changed in it."""
+    """The worker list, or a change to it."""
 
     scope: ListScope
     workers: tuple[WorkerEntry, ...] = ()
@@ -195,8 +199,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ListConfirmed:
-    """Discovery has shown that nothing it told before `at` is missing from the list. The last entries of the
-    `doubtful` workers could not be read."""
+    """The list contains every change that discovery published before `at`.
+
+    The most recent entries of the `doubtful` workers could not be read.
+    """
 
     at: float
     doubtful: frozenset[int] = frozenset()
@@ -204,26 +210,26 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client asks for one run of a function; exactly one final answer is owed before `due`."""
+    """A client requests one run of a function; it must get exactly one final answer before `deadline`."""
 
     request: int
     class_index: int
     function: str
-    due: float
+    deadline: float
     tenant: int | None = None
     work_hint: float | None = None
     memory: float = 0.0
-    lanes: int = 1
+    slots: int = 1
     load_time: float | None = None
     repeat: bool = False
-    bias: Mapping[int, float] | None = None  # advice: worker -> factor on its cost; above 1 avoids it
-    wanted: float | None = None  # advice: an aim shorter than the class's
-    taken: float | None = None  # when it came, where that was before this round
+    cost_factors: Mapping[int, float] | None = None  # advice: worker -> factor on its cost; above 1 avoids it
+    latency_target: float | None = None  # advice: a target shorter than the class's
+    received_at: float | None = None  # time of arrival, if before the current round of events
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerBegan:
-    """A streamed answer has begun; the attempt is the client's from here."""
+class AnswerStarted:
+    """A streamed answer has started; from here on the attempt serves the client."""
 
     request: int
     worker: int
@@ -232,45 +238,45 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt's one outcome; `finished` says that the request has its final answer."""
+    """Outcome of an attempt, sent once; `finished` means that the request has its final answer."""
 
     request: int
     worker: int
     attempt: int
     outcome: Outcome
-    took: float
+    duration: float
     finished: bool
-    found: Found | None = None
+    copy_lookup: CopyLookup | None = None
     load_failed: bool = False
-    crowd: int | None = None
+    concurrent_requests: int | None = None
     report: LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class RequestDropped:
-    """The client has left; nothing more is owed."""
+    """The client no longer waits; the request needs no answer."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class OrderEnded:
-    """An order's one answer, with the copies that stand loaded there."""
+    """Outcome of an order, sent once, with the number of copies loaded at the worker."""
 
     worker: int
     function: str
     outcome: Outcome
     copies: int
-    took: float
+    duration: float
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
-    """A probe's one answer."""
+    """Outcome of a probe, sent once."""
 
     worker: int
     outcome: Outcome
-    took: float
+    duration: float
     report: LoadReport | None = None
 
 
@@ -282,14 +288,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WarmWished:
-    """Advice: the function will be wanted soon. It is loaded only where own needs leave room for it."""
+class PrewarmRequested:
+    """Advice: the function will be requested soon. Loads for requests have precedence."""
 
     function: str
 
 
 @dataclass(frozen=True, slots=True)
-class PeerSaid:
+class PeerMessage:
     """A message from another front end."""
 
     peer: int
@@ -297,8 +303,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Retuned:
-    """Other settings are in force from here; open requests keep what they arrived under."""
+class SettingsChanged:
+    """New settings are in force; open requests keep those they arrived under."""
 
     settings: Settings
 
@@ -307,22 +313,24 @@
     WorkersListed
     | ListConfirmed
     | RequestArrived
-    | AnswerBegan
+    | AnswerStarted
     | AttemptEnded
     | RequestDropped
     | OrderEnded
     | ProbeEnded
     | TimerFired
-    | PeerSaid
-    | WarmWished
-    | Retuned
+    | PeerMessage
+    | PrewarmRequested
+    | SettingsChanged
 )
 
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Send the request to the worker; attempts are numbered from 0 in this order. What has not begun to be
-    written by `start_by` is not sent."""
+    """Send the request to the worker; a request's attempts are numbered from 0 in this order.
+
+    If writing has not started by `start_by`, the request is not sent.
+    """
 
     request: int
     worker: int
@@ -332,7 +340,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting on one attempt."""
+    """Stop waiting for an attempt."""
 
     request: int
     attempt: int
@@ -340,7 +348,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: not done, and harmless to ask again."""
+    """Final answer: not executed, and safe to retry."""
 
     request: int
     retry_after: float | None = None
@@ -348,14 +356,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, with nothing promised."""
+    """Final answer: failed; the request may have been executed."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class OrderCopies:
-    """Have the worker hold at least so many copies; 0 only asks. Not begun by `start_by`, it is not sent."""
+    """Have the worker hold at least `copies` copies; 0 only queries.
+
+    If sending has not started by `start_by`, the order is not sent.
+    """
 
     worker: int
     function: str
@@ -373,14 +384,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask the worker for a sign of life and its load."""
+    """Ask the worker whether it is alive and how loaded it is."""
 
     worker: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Have a `TimerFired` of that name sent at or after `at`."""
+    """Request a `TimerFired` with this name at or after `at`."""
 
     name: str
     at: float
@@ -388,11 +399,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FollowList:
-    """Ask for the worker list's changes from now on."""
+    """Subscribe to changes of the worker list."""
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class LogLine:
     """A line for the operators' log."""
 
     text: str
@@ -408,5 +419,5 @@
     | Probe
     | SetTimer
     | FollowList
-    | Note
+    | LogLine
 )
--- a/harrieryoke/lab/rounds.py
+++ b/harrieryoke/lab/rounds.py
@@ -20,25 +20,25 @@
 SETTINGS = i.Settings(
     (
         i.RequestClass("sample-read", 1000, 4000, 2, 0.2, i.Effect.SAFE),
-        i.RequestClass("sample-write", 750, 3000, 3, 0.2, i.Effect.KEYED, i.Group.CELL, 6000),
+        i.RequestClass("sample-write", 750, 3000, 3, 0.2, i.Effect.KEYED, i.DeduplicationScope.CELL, 6000),
     ),
     tick=2,
     max_attempts=5,
     may_cancel=True,
     cold_period=14000,
     cold_share=0.15,
-    fall_multiple=4,
-    fall_time=3000,
+    overload_multiple=4,
+    overload_time=3000,
     keep_alive=8100,
-    ration_window=5000,
-    ration_floor=6,
-    ration_share=0.3,
+    order_limit_window=5000,
+    order_limit_floor=6,
+    order_limit_share=0.3,
     answer_slack=8,
     max_retry_after=500,
-    tells_retry_after=True,
+    sends_retry_after=True,
     memory_by_kind=(16000.0,),
-    tells_found=True,
-    tells_crowd=True,
+    reports_copy_lookup=True,
+    reports_concurrent_requests=True,
 )
 START = 1_700_000_000_000.0
 
@@ -73,7 +73,7 @@
             ended = TaskEnded(task, i.Outcome.OK, copies=1)
             took = 400.0
         elif isinstance(task, Attempt) and task.call.function in self.copies:
-            ended = TaskEnded(task, i.Outcome.OK, b"x", i.Found.COPY, crowd=0)
+            ended = TaskEnded(task, i.Outcome.OK, b"x", i.CopyLookup.LOADED, crowd=0)
             took = world.rng.expovariate(1 / world.work)
         else:
             ended, took = TaskEnded(task, i.Outcome.MISS), 3.0
--- a/harrieryoke/net/answers.py
+++ b/harrieryoke/net/answers.py
@@ -15,7 +15,7 @@
     frames.HEALTHY: i.Outcome.OK,
     frames.SICK: i.Outcome.ERROR,
 }
-FOUND = {"w": i.Found.COPY, "c": i.Found.BEGAN_LOAD, "j": i.Found.WAITED}
+FOUND = {"w": i.CopyLookup.LOADED, "c": i.CopyLookup.STARTED_LOAD, "j": i.CopyLookup.WAITED_FOR_LOAD}
 
 
 def number(text: str | None) -> int | None:
--- a/harrieryoke/net/host.py
+++ b/harrieryoke/net/host.py
@@ -34,14 +34,14 @@
     """What the worker list says of a host. The list's actor alone writes it; the host reads it."""
 
     address: tuple[str, int]
-    drain: i.Drain = i.Drain.UP
+    drain: i.WorkerStatus = i.WorkerStatus.UP
     replaced: bool = False
 
     def takes(self, task: Task) -> bool:
         """A draining, gone or replaced host gets nothing new; one that drains may still be asked."""
-        if self.replaced or self.drain is i.Drain.GONE:
+        if self.replaced or self.drain is i.WorkerStatus.GONE:
             return False
-        return self.drain is i.Drain.UP or (isinstance(task, Order) and task.copies == 0)
+        return self.drain is i.WorkerStatus.UP or (isinstance(task, Order) and task.copies == 0)
 
 
 @dataclass(slots=True)
@@ -117,7 +117,7 @@
         """For whoever keeps the list, as with `Standing`."""
         self.classes = settings.classes
         # slow hosts still answer something in this time
-        self.silence = max(self.limits.silent_ms, 1.4 * settings.shortest_aim())
+        self.silence = max(self.limits.silent_ms, 1.4 * settings.shortest_latency_target())
 
     # --- the port that the module actor sees ---
 
@@ -192,7 +192,7 @@
         return self.standing.takes(task)
 
     def may_unload(self) -> bool:
-        return self.standing.drain is i.Drain.UP and not self.standing.replaced
+        return self.standing.drain is i.WorkerStatus.UP and not self.standing.replaced
 
     def send(self, task: Task) -> None:
         """Puts the task on a link. Much can change while a dial takes its time, or while the link takes
--- a/harrieryoke/net/hostlist.py
+++ b/harrieryoke/net/hostlist.py
@@ -83,7 +83,7 @@
         self.ports.pop(worker, None)
         self.names.pop(worker, None)
         self.entries.pop(worker, None)
-        self.entries[worker] = i.WorkerEntry(worker, drain=i.Drain.GONE)
+        self.entries[worker] = i.WorkerEntry(worker, status=i.WorkerStatus.GONE)
 
 
 class HostListActor(Actor):
@@ -229,13 +229,13 @@
         for server in in_order(servers):
             self.remember(server)
             entry = self.entry(server)
-            if entry.drain is i.Drain.GONE:
+            if entry.status is i.WorkerStatus.GONE:
                 self.starts.forget(server.id)
                 self.strike(server.id)
                 actor = None
             else:
                 self.replace(server, news)
-                actor = self.host(server, entry.drain)
+                actor = self.host(server, entry.status)
             news.say(entry, server, actor)
         self.figures.pool_size = len(self.hosts)
         self.figures.banned = len(self.banned & self.hosts.keys())
@@ -245,8 +245,8 @@
     def entry(self, server: Server) -> i.WorkerEntry:
         """One host as the module sees it."""
         drain = DRAINS[server.state]
-        if server.id in self.banned and drain is i.Drain.UP:
-            drain = i.Drain.DRAINING
+        if server.id in self.banned and drain is i.WorkerStatus.UP:
+            drain = i.WorkerStatus.DRAINING
         zones, kinds = self.settings.zones, self.settings.kinds
         zone = zones.index(server.zone) if server.zone in zones else 0
         kind = kinds.index(server.kind) if server.kind in kinds else 0
@@ -272,7 +272,7 @@
                 self.strike(id, now=True)
                 news.gone(worker_number(id))
 
-    def host(self, server: Server, drain: i.Drain) -> HostActor:
+    def host(self, server: Server, drain: i.WorkerStatus) -> HostActor:
         """The actor of a listed host; a new one where it has another address."""
         where = address(server.addr)
         if server.id in self.hosts:
@@ -292,7 +292,7 @@
     def strike(self, id: str, now: bool = False) -> None:
         if id in self.hosts:
             standing, actor = self.hosts.pop(id)
-            standing.drain = i.Drain.GONE
+            standing.drain = i.WorkerStatus.GONE
             if not actor.tell(Retire(now)):
                 # no waiting here for a host whose mailbox is full: the others need their news
                 spawn(self.log, f"retire {id}", lambda: actor.push(Retire(now)))
--- a/harrieryoke/net/hostlist_model.py
+++ b/harrieryoke/net/hostlist_model.py
@@ -12,7 +12,7 @@
 
 from .. import interface as i
 
-DRAINS = {"active": i.Drain.UP, "leaving": i.Drain.DRAINING, "left": i.Drain.GONE}
+DRAINS = {"active": i.WorkerStatus.UP, "leaving": i.WorkerStatus.DRAINING, "left": i.WorkerStatus.GONE}
 TAKEN_AS = ("leaving", "active", "left")  # the order of an event's entries, see `in_order`
 MOST_NUMBER = 2**53  # all JSON readers agree on whole numbers up to here
 ID_MOST = 256  # characters
--- a/harrieryoke/plugins/bench.py
+++ b/harrieryoke/plugins/bench.py
@@ -29,7 +29,7 @@
     ),
     tuple(i.Tenant(f"coop-{n}", 100.0) for n in ("sahel", "cap-bon", "kef", "jerba", "tozeur")),
     max_retry_after=500.0,
-    tells_retry_after=True,
+    sends_retry_after=True,
 )
 
 
--- a/harrieryoke/plugins/gate.py
+++ b/harrieryoke/plugins/gate.py
@@ -287,7 +287,7 @@
             "keyed": call.key is not None,
             "body_bytes": len(call.body),
             "left_ms": round(call.due - now),
-            "wanted_ms": kind.aim,
+            "wanted_ms": kind.latency_target,
             "memory_mb": call.memory,
             "lanes": call.lanes,
         }
--- a/harrieryoke/reload.py
+++ b/harrieryoke/reload.py
@@ -51,7 +51,7 @@
 
 def describe_changes(old: Settings, new: Settings) -> str:
     """Describe for the log what differs between two settings; empty if nothing does."""
-    before, after = old.live(), new.live()
+    before, after = old.active_classes(), new.active_classes()
     classes = {
         "added": [c for c in after if c not in before],
         "changed": [c for c in after if c in before and after[c] != before[c]],
--- a/harrieryoke/repeat_rules.py
+++ b/harrieryoke/repeat_rules.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from .interface import Effect, Group, RequestClass, WorkerEntry
+from .interface import DeduplicationScope, Effect, RequestClass, WorkerEntry
 
 
 def may_repeat(
@@ -22,20 +22,21 @@
     if kind.effect is not Effect.KEYED:
         return False
     return all(
-        now - sent < kind.repeat_window - tick and _in_group(kind.group, past, at) for past, sent in ran
+        now - sent < kind.repeat_window - tick and _in_group(kind.deduplication_scope, past, at)
+        for past, sent in ran
     )
 
 
-def _in_group(group: Group, past: WorkerEntry, at: WorkerEntry) -> bool:
+def _in_group(group: DeduplicationScope, past: WorkerEntry, at: WorkerEntry) -> bool:
     """Whether both workers know of each other's keys."""
-    if group is Group.ZONE:
+    if group is DeduplicationScope.ZONE:
         return past.zone == at.zone
-    if group is Group.CELL:
+    if group is DeduplicationScope.CELL:
         return past.cell == at.cell
     return True
 
 
 def may_refuse(kind: RequestClass, ran: Sequence[tuple[WorkerEntry, float]]) -> bool:
     """Whether a refusal, which promises that a repeat by the client is harmless, is lawful."""
-    keyed_everywhere = kind.effect is Effect.KEYED and kind.group is Group.ALL
+    keyed_everywhere = kind.effect is Effect.KEYED and kind.deduplication_scope is DeduplicationScope.ALL
     return not ran or kind.effect is Effect.SAFE or keyed_everywhere
--- a/harrieryoke/service.py
+++ b/harrieryoke/service.py
@@ -203,7 +203,7 @@
         """Whoever a call comes to knows its class by then: the hosts at once, the parts on its way through
         mailboxes that keep the order, and last the fronts, which name the new classes from here."""
         self.hosts.retune(settings)
-        self.core.figures.add_classes(settings.live())
+        self.core.figures.add_classes(settings.active_classes())
         for part in (self.core, self.gate, self.parts.door, self.parts.ledger):
             if part is not None:
                 part.push(Retuned(settings))
@@ -221,7 +221,7 @@
         began = now_ms()
         settings = self.config.settings
         # a class that a reload has dropped does not put off the end: the kill comes by the present settings
-        longest = min(3000.0, max(settings.classes[n].deadline for n in settings.live().values()))
+        longest = min(3000.0, max(settings.classes[n].deadline for n in settings.active_classes().values()))
         by = began + min(self.limits.stop_within_ms, longest + 500.0)
         self.log("stopping", f"all is answered within {by - began:.0f} ms")
         self.core.push(Stopping(by))
--- a/harrieryoke/settings.py
+++ b/harrieryoke/settings.py
@@ -16,7 +16,7 @@
 TOP = {
     "classes": "classes",
     "tenants": "realms",
-    "me": "me",
+    "own_index": "me",
     "front_ends": "siblings",
     "zone": "zone",
     "tick": "period",
@@ -27,7 +27,7 @@
     "second_attempts": "second-copies",
     "may_cancel": "cancel",
     "may_probe": "probes",
-    "tells_retry_after": "retry-after",
+    "sends_retry_after": "retry-after",
     "max_retry_after": "max-retry-after",
     "connect_timeout": "dial-timeout",
 }
@@ -36,31 +36,31 @@
     "answer_slack": "answer-slack",
     "cold_period": "cold",
     "cold_share": "cold-share",
-    "fall_multiple": "fall-multiple",
-    "fall_time": "overload-for",
+    "overload_multiple": "fall-multiple",
+    "overload_time": "overload-for",
 }
 EXTRA = {
     "may_order": "orders",
     "keep_alive": "stays-loaded",
     "order_timeout": "order-limit",
-    "ration_window": "load-window",
-    "ration_floor": "load-floor",
-    "ration_share": "load-share",
-    "idle_price": "price-of-idle",
+    "order_limit_window": "load-window",
+    "order_limit_floor": "load-floor",
+    "order_limit_share": "load-share",
+    "idle_copy_price": "price-of-idle",
     "memory_by_kind": "kind-memory-mb",
-    "tells_found": "warm-notes",
-    "tells_crowd": "says-company",
+    "reports_copy_lookup": "warm-notes",
+    "reports_concurrent_requests": "says-company",
 }
 CLASS = {
     "name": "name",
-    "aim": "goal-time",
+    "latency_target": "goal-time",
     "deadline": "hard-limit",
     "worth": "value",
     "late_worth": "late-worth",
     "effect": "repeat",
-    "group": "dedup-scope",
+    "deduplication_scope": "dedup-scope",
     "repeat_window": "repeat-window",
-    "aim_stretch": "aim-stretch",
+    "latency_target_stretch": "aim-stretch",
 }
 TENANT = {"name": "name", "allowance_per_s": "allowance-per-s"}
 CLASS_NEEDS = ("name", "goal-time", "hard-limit", "repeat")
@@ -68,7 +68,7 @@
 MOST = 1e12  # of any figure: thirty years in milliseconds
 TYPES: dict[type, dict[str, Any]] = {k: get_type_hints(k) for k in (i.Settings, i.RequestClass, i.Tenant)}
 # field of a load report -> where the settings' names have it
-REPORT_NAMES = {"concurrent": "held", "load_share": "busy", "x0": "pinned_memory", "x1": "loads"}
+REPORT_NAMES = {"concurrent": "in_progress", "load_share": "busy", "x0": "pinned_memory", "x1": "loads"}
 
 
 def check_figure(value: Any, above_0: bool = False) -> None:
--- a/harrieryoke/slow_start.py
+++ b/harrieryoke/slow_start.py
@@ -19,5 +19,5 @@
     """Take one call from a worker's budget, where it has one left. Against pushing over any slow start, at
     the cost of speed where it is quicker than told: half of the fatal multiple of what a warm worker gets
     from this front end, which is `calls_each` in a keep-alive; in fractions where many share it."""
-    rate = warmth * settings.fall_multiple / 2 * calls_each / settings.keep_alive
-    return budget.take(now, rate, max(1.0, rate * settings.fall_time / 2))
+    rate = warmth * settings.overload_multiple / 2 * calls_each / settings.keep_alive
+    return budget.take(now, rate, max(1.0, rate * settings.overload_time / 2))
--- a/harrieryoke/state.py
+++ b/harrieryoke/state.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from .hold_off import HoldOff
-from .interface import Action, Drain, RequestArrived, RequestClass, SetTimer, WorkerEntry
+from .interface import Action, RequestArrived, RequestClass, SetTimer, WorkerEntry, WorkerStatus
 from .work_lease import ListAge, WorkLease
 
 NEVER = -1e18
@@ -186,7 +186,7 @@
         listed = dict.fromkeys(named)
         for wid, w in self.workers.items():
             if wid not in listed:
-                w.entry, w.up = replace(w.entry, drain=Drain.GONE), False
+                w.entry, w.up = replace(w.entry, status=WorkerStatus.GONE), False
 
     def forget(self, w: Worker) -> None:
         """It starts anew: strikes its classes, its copies, and the orders that it had a place in."""
--- a/harrieryoke/state_transfer.py
+++ b/harrieryoke/state_transfer.py
@@ -220,7 +220,7 @@
 
     Workers that are not in its list are skipped; one that started since stays as cold as its list says.
     """
-    kinds = router.s.live()
+    kinds = router.s.active_classes()
     fresh = {
         w.worker
         for w in state.workers
--- a/harrieryoke/wirehost.py
+++ b/harrieryoke/wirehost.py
@@ -31,8 +31,8 @@
     "Persisted": i.ListScope.REMEMBERED,
     "Error": i.ListScope.FAILED,
 }
-DRAINS = {"on": i.Drain.UP, "fading": i.Drain.DRAINING, "off": i.Drain.GONE}
-FOUND = {1: i.Found.COPY, 2: i.Found.BEGAN_LOAD, 3: i.Found.WAITED}
+DRAINS = {"on": i.WorkerStatus.UP, "fading": i.WorkerStatus.DRAINING, "off": i.WorkerStatus.GONE}
+FOUND = {1: i.CopyLookup.LOADED, 2: i.CopyLookup.STARTED_LOAD, 3: i.CopyLookup.WAITED_FOR_LOAD}
 
 
 class WireError(Exception):
@@ -135,7 +135,7 @@
 def read_accepted(p: list[str], names: tuple[str, ...]) -> i.Event:
     """ACCEPTED, without its tag and instance."""
     request, worker, attempt, _ = p
-    return i.AnswerBegan(int(request), int(worker), int(attempt))
+    return i.AnswerStarted(int(request), int(worker), int(attempt))
 
 
 def read_dropped(p: list[str], names: tuple[str, ...]) -> i.Event:
@@ -153,7 +153,7 @@
 def read_message(p: list[str], names: tuple[str, ...]) -> i.Event:
     """MESSAGE, without its tag and instance."""
     peer, raw = p
-    return i.PeerSaid(int(peer), b"" if raw == "-" else base64.b64decode(raw, validate=True))
+    return i.PeerMessage(int(peer), b"" if raw == "-" else base64.b64decode(raw, validate=True))
 
 
 READERS: dict[str, Callable[[list[str], tuple[str, ...]], i.Event]] = {
@@ -189,7 +189,7 @@
             return f"AFTER {who} {name} {float(at)!r}"
         case i.FollowList():
             return f"LISTEN {who} 1"
-        case i.Note(text):
+        case i.LogLine(text):
             return f"REMARK {who} {text}"
 
 
--- a/harrieryoke/work_lease.py
+++ b/harrieryoke/work_lease.py
@@ -1,6 +1,6 @@
 """Until when a worker may get new work on the strength of what is known of it.
 
-A drain that discovery has to tell counts as told after `Settings.told_within` at the latest, also while
+A drain that discovery has to tell counts as told after `Settings.discovery_delay` at the latest, also while
 discovery is out of reach. So who is known to have taken new work at some moment may get more for that span;
 after it, discovery's confirmation or the worker's own answer has to renew the lease. Times are milliseconds
 of the module's clock.
@@ -59,7 +59,7 @@
 
     def expires(self, worker: int, lease: WorkLease, settings: Settings) -> float:
         """When the last new work may begin to be written to the worker."""
-        return self.known(worker, lease) + settings.told_within
+        return self.known(worker, lease) + settings.discovery_delay
 
     def is_current(self, now: float, settings: Settings) -> bool:
         """Whether no lease can have run out."""
@@ -78,4 +78,4 @@
 
 def _lasts(known: float, now: float, settings: Settings) -> bool:
     # what is sent now may wait for a connection before its first byte
-    return now + settings.connect_timeout < known + settings.told_within
+    return now + settings.connect_timeout < known + settings.discovery_delay
--- a/harrieryoke/worker_health.py
+++ b/harrieryoke/worker_health.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from . import interface as i
-from .interface import Drain, Effect, ListScope, Outcome
+from .interface import Effect, ListScope, Outcome, WorkerStatus
 from .load_limit import FIRST_LIMIT, LEAST_LIMIT, STRAINED
 from .slow_start import take_call, warmth_at
 from .state import NEVER, Bucket, Function, Load, Memory, PossibleRestart, Request, Worker, digest
@@ -38,11 +38,11 @@
                 self.back(w)
                 self.begin_cold(w, started)
                 w.slow, w.load, w.backoff = 1.0, first, 0.0
-            w.entry, w.up = e, e.drain is Drain.UP
+            w.entry, w.up = e, e.status is WorkerStatus.UP
             self.zones[e.zone] = 0  # news of a zone: it is worth a call again
         self.ups = max(self.ups, sum(w.up for w in self.workers.values()))
         for w in self.workers.values():
-            if w.entry.drain is Drain.GONE and not w.leaving:
+            if w.entry.status is WorkerStatus.GONE and not w.leaving:
                 w.leaving = True
                 self.later(self.s.keep_alive, self.part_with, w)
 
@@ -53,7 +53,7 @@
     def part_with(self, w: Worker) -> None:
         """Forgets a worker that has gone, once nothing is out there: hosts come back under ever new ids."""
         wid = w.entry.worker
-        w.leaving = w.entry.drain is Drain.GONE
+        w.leaving = w.entry.status is WorkerStatus.GONE
         if w.leaving and (w.flying or any(wid in f.pending for f in self.functions.values())):
             self.later(self.s.keep_alive, self.part_with, w)
         elif w.leaving:
@@ -88,7 +88,7 @@
         """Its last start as told, or one that it may have had and that counts as told by now."""
         if self.list_current or w.restart.by <= self.list_age.listed(w.entry.worker):
             return w.started
-        told = self.now >= w.restart.after + self.s.told_within
+        told = self.now >= w.restart.after + self.s.discovery_delay
         return max(w.started, w.restart.by) if told else w.started
 
     def has_room(self, w: Worker, r: Request) -> bool:
@@ -223,7 +223,7 @@
         if e.outcome is Outcome.NOT_SENT:
             w.hold_off.extend(self.now, self.s.connect_timeout)
         elif e.outcome is Outcome.OK:
-            w.lease.renew(self.now - e.took)
+            w.lease.renew(self.now - e.duration)
         else:
             w.lease.deny(self.now, self.s.connect_timeout * (0.5 + self.rng.random()))
         if e.outcome in (Outcome.OK, Outcome.ERROR):
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -8,7 +8,7 @@
 from harrieryoke.brain import Router
 
 SAFE = i.RequestClass("look", 500, 2000, 1.0, 0.2, i.Effect.SAFE)
-KEYED = i.RequestClass("price", 500, 2000, 2.0, 0.2, i.Effect.KEYED, i.Group.CELL, 1500)
+KEYED = i.RequestClass("price", 500, 2000, 2.0, 0.2, i.Effect.KEYED, i.DeduplicationScope.CELL, 1500)
 UNSAFE = i.RequestClass("pay", 500, 2000, 5.0, 0.2, i.Effect.UNSAFE)
 SETTINGS = i.Settings(
     classes=(SAFE, KEYED, UNSAFE),
@@ -17,8 +17,8 @@
     may_cancel=True,
     cold_period=8000,
     cold_share=0.2,
-    fall_multiple=4,
-    fall_time=1000,
+    overload_multiple=4,
+    overload_time=1000,
     keep_alive=10000,
     answer_slack=16,
     memory_by_kind=(4000.0,),
@@ -63,7 +63,7 @@
                 self.arrivals.pop(e.request, None)
             elif isinstance(e, i.WorkersListed):
                 for w in e.workers:
-                    if w.drain is i.Drain.UP:
+                    if w.status is i.WorkerStatus.UP:
                         self.closed.pop(w.worker, None)
                     else:
                         self.closed.setdefault(w.worker, self.now)
@@ -93,16 +93,16 @@
         elif isinstance(a, i.OrderCopies) and a.copies:
             assert a.worker not in self.closed, "order to a draining worker"
             self.orders.append(self.now)
-            if self.settings.ration_window:
-                since = self.now - self.settings.ration_window
+            if self.settings.order_limit_window:
+                since = self.now - self.settings.order_limit_window
                 taken = sum(t > since for t in self.arrivals.values())
-                ration = self.settings.ration_floor + self.settings.ration_share * taken
+                ration = self.settings.order_limit_floor + self.settings.order_limit_share * taken
                 assert sum(t > since for t in self.orders) <= ration, "loads not rationed"
         elif isinstance(a, i.Refuse | i.Fail):
             assert a.request not in self.ended, "two final answers"
             self.ended.add(a.request)
             r = self.requests[a.request]
-            assert self.now <= r.due + self.settings.answer_slack, "answered too late"
+            assert self.now <= r.deadline + self.settings.answer_slack, "answered too late"
             past = self.attempts.get(a.request, [])
             maybe = any(self.outcomes.get((a.request, n)) not in PROOF for n in range(len(past)))
             effect = self.settings.classes[r.class_index].effect
@@ -130,7 +130,7 @@
         until, seen = self.now + ms, len(self.log)
         while moments := [t for t in self.moments() if t <= until]:
             self.now = max(self.now, min(moments))
-            for rid in [rid for rid in self.open_attempts() if self.requests[rid].due <= self.now]:
+            for rid in [rid for rid in self.open_attempts() if self.requests[rid].deadline <= self.now]:
                 self.settle(rid, i.Outcome.TIMEOUT, 2000)
             for timer in [t for t in self.timers if t[0] <= self.now]:
                 self.timers.remove(timer)
@@ -144,7 +144,7 @@
 
     def moments(self) -> list[float]:
         """When something will happen by itself."""
-        return [at for at, _ in self.timers] + [self.requests[rid].due for rid in self.open_attempts()]
+        return [at for at, _ in self.timers] + [self.requests[rid].deadline for rid in self.open_attempts()]
 
 
 def sends(actions: list[i.Action]) -> list[tuple[int, int]]:
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -15,7 +15,7 @@
 from .rig import SETTINGS, Rig, loads, sends, workers
 
 O = i.Outcome  # noqa: E741
-RATIONED = replace(SETTINGS, ration_window=5000, ration_floor=6, ration_share=0.3)
+RATIONED = replace(SETTINGS, order_limit_window=5000, order_limit_floor=6, order_limit_share=0.3)
 
 
 def played(seed: int, **advice: Any) -> str:
@@ -53,16 +53,16 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_advice_that_tells_nothing_apart_changes_nothing(seed: int) -> None:
-    assert played(seed, bias=dict.fromkeys(range(1, 7), 1.0), wanted=1e9) == played(seed)
+    assert played(seed, cost_factors=dict.fromkeys(range(1, 7), 1.0), latency_target=1e9) == played(seed)
 
 
 def test_advice_changes_where_calls_go_and_breaks_no_rule() -> None:
     # the rig checks the five rules at each action; a plug-in that hates one worker moves the day elsewhere
-    assert played(1, bias={1: 8.0, 2: 0.5}, wanted=50.0) != played(1)
+    assert played(1, cost_factors={1: 8.0, 2: 0.5}, latency_target=50.0) != played(1)
 
 
 def ask(rig: Rig, n: int, bias: Mapping[int, float] | None) -> list[i.Action]:
-    return rig.give(i.RequestArrived(n, 0, "f", rig.now + 2000, None, None, 400, 2, 500, bias=bias))
+    return rig.give(i.RequestArrived(n, 0, "f", rig.now + 2000, None, None, 400, 2, 500, cost_factors=bias))
 
 
 def first_place(bias: Mapping[int, float] | None) -> int:
@@ -106,7 +106,8 @@
     before = len(rig.orders)
     for _ in range(10):
         rig.give(
-            *(i.WarmWished(f"w{n}") for n in range(12)), *(i.WarmWished(f"never{n}") for n in range(10_000))
+            *(i.PrewarmRequested(f"w{n}") for n in range(12)),
+            *(i.PrewarmRequested(f"never{n}") for n in range(10_000)),
         )
     assert 1 <= len(rig.orders) - before <= 3  # the floor is 6, and half of it is for wishes
     assert not any(isinstance(a, i.OrderCopies) and a.function.startswith("never") for _, a in rig.log)
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -63,9 +63,9 @@
         self.actor.keep = lambda id, on: self.kept.add(id) if on else self.kept.discard(id)
         self.offset = self.events = 0
 
-    def drain(self, id: str) -> i.Drain:
+    def drain(self, id: str) -> i.WorkerStatus:
         listed = DRAINS[self.words[id].state]
-        return i.Drain.DRAINING if id in self.banned and listed is i.Drain.UP else listed
+        return i.WorkerStatus.DRAINING if id in self.banned and listed is i.WorkerStatus.UP else listed
 
     def say(self, server: Server) -> None:
         for id, other in self.words.items():
@@ -117,8 +117,10 @@
             if listed.event.scope is not i.ListScope.CHANGES:
                 self.seen = {}
             self.seen |= {e.worker: e for e in listed.event.workers}
-        seen = {w: (e.drain, e.start_stamp) for w, e in self.seen.items() if e.drain is not i.Drain.GONE}
-        live = [id for id in self.words if self.drain(id) is not i.Drain.GONE]
+        seen = {
+            w: (e.status, e.start_stamp) for w, e in self.seen.items() if e.status is not i.WorkerStatus.GONE
+        }
+        live = [id for id in self.words if self.drain(id) is not i.WorkerStatus.GONE]
         assert seen == {number(id): (self.drain(id), self.words[id].started_ms or None) for id in live}
         figures = self.actor.figures
         assert (figures.pool_size, figures.banned) == (len(live), len(self.banned.intersection(live)))
@@ -127,7 +129,7 @@
     def the_hosts_take_what_the_model_says(self) -> None:
         assert {id for id, w in self.words.items() if w.state != "left"} == set(self.actor.hosts)
         for id, (standing, _) in self.actor.hosts.items():
-            up = self.drain(id) is i.Drain.UP
+            up = self.drain(id) is i.WorkerStatus.UP
             assert [standing.takes(task) for task in BINDING] == [up] * 3 and standing.takes(ASK)
 
     def teardown(self) -> None:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -23,7 +23,7 @@
 O = i.Outcome  # noqa: E741
 HOSTS, ZONES, FUNCTIONS = 6, 3, 61
 CALLS_A_SECOND = 240.0
-USUAL = CALLS_A_SECOND / HOSTS * RULES.fall_time / 1000  # calls that a warm host gets in a window
+USUAL = CALLS_A_SECOND / HOSTS * RULES.overload_time / 1000  # calls that a warm host gets in a window
 ROUND = 5.0  # milliseconds between two looks at the front ends' timers
 SIZES = (20, 30, 40, 200)
 BUSY_PART, BUSY_TIMES = 10, 5  # of unequal front ends one in ten has five times the others' traffic
@@ -94,7 +94,7 @@
         if worker in self.refusing:
             self.end_call(n, r.event, worker, r.attempts - 1, O.NO_CONNECTION, 1.0)
         elif worker in self.dumb:
-            self.end_call(n, r.event, worker, r.attempts - 1, O.TIMEOUT, r.event.due - self.now)
+            self.end_call(n, r.event, worker, r.attempts - 1, O.TIMEOUT, r.event.deadline - self.now)
         else:
             super().answer_call(n, request, worker)
 
@@ -147,7 +147,7 @@
         self.tell(i.WorkersListed(i.ListScope.CHANGES, tuple(self.entries[n] for n in hosts)))
 
     def drain(self, hosts: list[int]) -> None:
-        left = tuple(replace(self.entries.pop(n), drain=i.Drain.DRAINING) for n in hosts)
+        left = tuple(replace(self.entries.pop(n), status=i.WorkerStatus.DRAINING) for n in hosts)
         self.tell(i.WorkersListed(i.ListScope.CHANGES, left))
         self.closed.update(hosts)
 
@@ -158,7 +158,7 @@
 
 def bound(grown: float) -> float:
     """The most sends of a window when this part of the cold period has gone by."""
-    mean = RULES.fall_multiple * (RULES.cold_share + (1 - RULES.cold_share) * grown) * USUAL
+    mean = RULES.overload_multiple * (RULES.cold_share + (1 - RULES.cold_share) * grown) * USUAL
     return mean + 2 * sqrt(mean) + 2
 
 
@@ -166,7 +166,7 @@
     """The greatest ratio of a window's sends to the bound at the window's end."""
     ratios = [0.0]
     for n, at in enumerate(sends):
-        within = n + 1 - bisect_right(sends, at - RULES.fall_time, hi=n)
+        within = n + 1 - bisect_right(sends, at - RULES.overload_time, hi=n)
         ratios.append(within / bound((at - started) / RULES.cold_period))
     return max(ratios)
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -171,7 +171,7 @@
     b.take("b", kind=2)
     b.script.handle = lambda now, events: [][0]  # type: ignore[method-assign]
     assert b.take("c") == ["refused a", "refused b", "refused c", "revoked"]
-    b.actor.settings = replace(b.actor.settings, ration_window=5000.0)
+    b.actor.settings = replace(b.actor.settings, order_limit_window=5000.0)
     b.take("d", left=2000)
     sent = [t for t in b.peers.tasks if isinstance(t, Attempt) and t.call.rid == "d"]
     assert len(sent) == 1 and b.step(TaskEnded(sent[0], O.OK, b"x")) == ["served d x"]
@@ -186,7 +186,7 @@
     b.take()
     b.take("b", left=2000)
     (sent,) = (t for t in b.peers.tasks if isinstance(t, Attempt))
-    assert sent.start_by == event.at + b.actor.settings.told_within
+    assert sent.start_by == event.at + b.actor.settings.discovery_delay
 
 
 def test_an_attempt_and_an_order_begin_within_the_lease_they_were_given() -> None:
@@ -214,7 +214,7 @@
 def test_hosts_that_have_gone_are_forgotten() -> None:
     b = Bench()
     for n in range(2, 9):
-        here, gone = i.WorkerEntry(n), i.WorkerEntry(n - 1, drain=i.Drain.GONE)
+        here, gone = i.WorkerEntry(n), i.WorkerEntry(n - 1, status=i.WorkerStatus.GONE)
         b.step(Listed(i.WorkersListed(i.ListScope.CHANGES, (here, gone)), {n: b.peers}))
     assert list(b.actor.ports) == list(b.actor.entries) == [8]
 
--- a/tests/test_discovery_crossings.py
+++ b/tests/test_discovery_crossings.py
@@ -29,7 +29,7 @@
 from .rig import SETTINGS
 
 PATIENCE = 20.0  # seconds until a step that should come soon is held to have failed
-UP, DRAINING, GONE = i.Drain.UP, i.Drain.DRAINING, i.Drain.GONE
+UP, DRAINING, GONE = i.WorkerStatus.UP, i.WorkerStatus.DRAINING, i.WorkerStatus.GONE
 
 
 class Lines(Log):
@@ -413,7 +413,7 @@
             self.module, self.ports = {}, {}
         self.ports |= listed.ports
         self.module |= {e.worker: e for e in listed.event.workers}
-        self.module = {w: e for w, e in self.module.items() if e.drain is not GONE}
+        self.module = {w: e for w, e in self.module.items() if e.status is not GONE}
 
     def say(self, *servers: Any, full: bool = False) -> None:
         self.offset += 1
@@ -421,12 +421,12 @@
         assert isinstance(said, BusSaid)
         self.actor.receive(said)
 
-    def state(self) -> dict[str, tuple[i.Drain, int]]:
+    def state(self) -> dict[str, tuple[i.WorkerStatus, int]]:
         """Drain and port of each host; the module and the hosts' actors agree on them."""
         hosts = self.actor.hosts
         state = {id: (standing.drain, standing.address[1]) for id, (standing, _) in hosts.items()}
         assert {worker_number(id): drain for id, (drain, _) in state.items()} == {
-            worker: e.drain for worker, e in self.module.items()
+            worker: e.status for worker, e in self.module.items()
         }
         for id, (_, actor) in hosts.items():
             assert self.ports[worker_number(id)] is actor and not actor.over
@@ -534,7 +534,7 @@
     gevent.sleep(0)
 
 
-WHOLE: dict[str, tuple[list[Any], dict[str, tuple[i.Drain, int]]]] = {
+WHOLE: dict[str, tuple[list[Any], dict[str, tuple[i.WorkerStatus, int]]]] = {
     "lacks a host": ([entry("h2", 2)], {"h2": (UP, 2)}),
     "is empty": ([], {}),
     "can't be read in any entry": ([entry("h1", 1, "?"), entry("h2", 99999), 7], BOTH),
@@ -574,7 +574,7 @@
 
 
 # one event, in either order of its entries, to a list of h1 at 1 and h2 at 2
-TOGETHER: dict[str, tuple[list[Any], dict[str, tuple[i.Drain, int]]]] = {
+TOGETHER: dict[str, tuple[list[Any], dict[str, tuple[i.WorkerStatus, int]]]] = {
     "left, its address another's": ([entry("h1", 1, "left"), entry("n", 1)], {"n": (UP, 1), "h2": (UP, 2)}),
     "drains, its address another's": (
         [entry("h1", 1, "leaving"), entry("n", 1)],
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -238,7 +238,7 @@
 
 def test_what_waited_for_a_load_neither_cuts_the_limit_nor_raises_the_cost() -> None:
     rig = Clocked(DoorSettings(inside_first=40, inside_least=2, inside_most=400))
-    costs = {n: c.aim / 4 for n, c in enumerate(bench.SETTINGS.classes)}
+    costs = {n: c.latency_target / 4 for n, c in enumerate(bench.SETTINGS.classes)}
     for _ in range(200):
         call = rig.call()
         call.cold = True
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -20,7 +20,9 @@
     """Front ends in step; every worker holds every function and answers in a fixed time."""
 
     def __init__(self, front_ends: int, count: int) -> None:
-        settings = replace(SETTINGS, front_ends=front_ends, tells_crowd=True, tells_found=True)
+        settings = replace(
+            SETTINGS, front_ends=front_ends, reports_concurrent_requests=True, reports_copy_lookup=True
+        )
         self.routers = [Router(settings, seed) for seed in range(front_ends)]
         self.now, self.serial = 1000.0, 0
         self.open: list[tuple[float, int, i.AttemptEnded]] = []
@@ -38,7 +40,7 @@
             if isinstance(a, i.StartAttempt):
                 self.sends.append((self.now, n, a.worker))
                 if not self.silent.get((a.worker, self.kinds[a.request])):
-                    done = i.AttemptEnded(a.request, a.worker, 0, O.OK, ANSWER_MS, True, i.Found.COPY)
+                    done = i.AttemptEnded(a.request, a.worker, 0, O.OK, ANSWER_MS, True, i.CopyLookup.LOADED)
                     self.open.append((self.now + ANSWER_MS, n, done))
             elif isinstance(a, i.OrderCopies):
                 answer = i.OrderEnded(a.worker, a.function, O.OK, 1, 2.0)
@@ -61,7 +63,7 @@
             self.kinds[self.serial] = self.serial // 7 % class_of
             name = f"f{self.kinds[self.serial]}-{self.serial * 7 % functions}"
             kind, end = self.kinds[self.serial], self.now + 2000
-            ask = i.RequestArrived(self.serial, kind, name, end, lanes=4, load_time=500)
+            ask = i.RequestArrived(self.serial, kind, name, end, slots=4, load_time=500)
             self.give(self.serial % len(self.routers), ask)
 
 
@@ -71,8 +73,10 @@
     for at in sends:
         if started <= at < started + s.cold_period:
             grown = s.cold_share + (1 - s.cold_share) * (at - started) / s.cold_period
-            window = sum(at - s.fall_time < t <= at for t in sends if t >= started)
-            assert window <= s.fall_multiple * grown * usual, f"pushed over {at - started} ms after its start"
+            window = sum(at - s.overload_time < t <= at for t in sends if t >= started)
+            assert (
+                window <= s.overload_multiple * grown * usual
+            ), f"pushed over {at - started} ms after its start"
 
 
 @pytest.mark.parametrize("front_ends", [1, 3, 20, 60, 200])
@@ -83,7 +87,9 @@
     usual = len([at for at, _, _ in fleet.sends if at > fleet.now - 8000]) / 8 / 4
     started = fleet.now
     fleet.tell(i.WorkersListed(i.ListScope.CHANGES, (i.WorkerEntry(1, started=started),)))
-    gone = tuple(i.WorkerEntry(n, drain=i.Drain.DRAINING) for n in (2, 3, 4))  # all calls want to come
+    gone = tuple(
+        i.WorkerEntry(n, status=i.WorkerStatus.DRAINING) for n in (2, 3, 4)
+    )  # all calls want to come
     fleet.tell(i.WorkersListed(i.ListScope.CHANGES, gone))
     fleet.run(7000, gap=12.5 * front_ends)
     cold = [at for at, _, w in fleet.sends if w == 1 and at >= started]
@@ -101,10 +107,12 @@
     fleet = Fleet(40, 8)
     for n, router in enumerate(fleet.routers):
         fleet.kinds |= {-1 - n: 0, -100 - n: 0}
-        fleet.give(n, i.RequestArrived(-1 - n, 0, "hot", fleet.now + 2000, lanes=1))
+        fleet.give(n, i.RequestArrived(-1 - n, 0, "hot", fleet.now + 2000, slots=1))
         head = fleet.sends[-1][2]
-        fleet.give(n, i.AttemptEnded(-1 - n, head, 0, O.OK, 60, True, i.Found.COPY, crowd=6))
-        fleet.give(n, i.RequestArrived(-100 - n, 0, "hot", fleet.now + 2000, lanes=1))
+        fleet.give(
+            n, i.AttemptEnded(-1 - n, head, 0, O.OK, 60, True, i.CopyLookup.LOADED, concurrent_requests=6)
+        )
+        fleet.give(n, i.RequestArrived(-100 - n, 0, "hot", fleet.now + 2000, slots=1))
         order = router.order_for(router.functions["hot"])
         assert head == order[0] and int(router.functions["hot"].width) == 2
 
@@ -167,12 +175,12 @@
     """Seen on calm+mass, seed 3: 2978 of 4139 calls that were refused unsent had met an own limit of 2.4 to 6
     attempts at all 72 workers together, which stood idle otherwise: the workers' room divided by 180."""
     fleet = Fleet(1, 24)
-    settings = replace(SETTINGS, front_ends=200, tells_crowd=True, tells_found=True)
+    settings = replace(SETTINGS, front_ends=200, reports_concurrent_requests=True, reports_copy_lookup=True)
     router = fleet.routers[0] = Router(settings, 1)
     router.handle(fleet.now, [i.WorkersListed(i.ListScope.REMEMBERED, workers(24))])
     for n in range(16):
         fleet.kinds[n] = 0
-        fleet.give(0, i.RequestArrived(n, 0, f"f{n}", fleet.now + 2000, lanes=4))
+        fleet.give(0, i.RequestArrived(n, 0, f"f{n}", fleet.now + 2000, slots=4))
     assert len(fleet.sends) == 16
 
 
@@ -183,19 +191,26 @@
     for n, router in enumerate(fleet.routers):
         fleet.kinds |= dict.fromkeys((-1 - n, -100 - n, -200 - n), 0)
         for request, crowd in ((-1 - n, 12), (-100 - n, None), (-200 - n, None)):
-            fleet.give(n, i.RequestArrived(request, 0, "hot", fleet.now + 2000, lanes=1))
-            done = i.AttemptEnded(request, fleet.sends[-1][2], 0, O.OK, 60, True, i.Found.COPY, crowd=crowd)
+            fleet.give(n, i.RequestArrived(request, 0, "hot", fleet.now + 2000, slots=1))
+            done = i.AttemptEnded(
+                request, fleet.sends[-1][2], 0, O.OK, 60, True, i.CopyLookup.LOADED, concurrent_requests=crowd
+            )
             fleet.give(n, done)
         orders += list(router.ordered)
         assert len(router.functions["hot"].copies) >= 2
     assert not orders
     fleet.kinds[-300] = 0
-    fleet.give(0, i.RequestArrived(-300, 0, "hot", fleet.now + 2000, lanes=1))
+    fleet.give(0, i.RequestArrived(-300, 0, "hot", fleet.now + 2000, slots=1))
     function = fleet.routers[0].functions["hot"]
     place = next(wid for wid in fleet.routers[0].order_for(function) if wid not in function.copies)
     function.width = 1.0 + len(function.copies)
     function.missed[place] = fleet.now + 1000.0
-    fleet.give(0, i.AttemptEnded(-300, fleet.sends[-1][2], 0, O.OK, 60, True, i.Found.COPY, crowd=12))
+    fleet.give(
+        0,
+        i.AttemptEnded(
+            -300, fleet.sends[-1][2], 0, O.OK, 60, True, i.CopyLookup.LOADED, concurrent_requests=12
+        ),
+    )
     assert list(function.pending) == [place]
 
 
@@ -210,7 +225,7 @@
         fleet.silent[worker, 0] = True
         fleet.serial += 1
         fleet.kinds[fleet.serial] = 0
-        fleet.give(0, i.RequestArrived(fleet.serial, 0, "f0-0", fleet.now + 20000, lanes=4))
+        fleet.give(0, i.RequestArrived(fleet.serial, 0, "f0-0", fleet.now + 20000, slots=4))
         key = next(k for k in router.attempts if k[0] == fleet.serial)
         fleet.now += 3000.0
         router.now, router.out, router.heard = fleet.now, [], fleet.now
@@ -227,33 +242,35 @@
 
 def test_calls_leave_a_worker_that_tells_of_holding_more_than_the_others() -> None:
     """Seen on calm+mass, seed 3: hosts with 155 calls in five seconds beside hosts with 16."""
-    settings = replace(SETTINGS, front_ends=200, tells_crowd=True, tells_found=True)
+    settings = replace(SETTINGS, front_ends=200, reports_concurrent_requests=True, reports_copy_lookup=True)
     jammed = 0
     for seed in range(30):
         router = Router(settings, seed)
         router.handle(0.0, [i.WorkersListed(i.ListScope.REMEMBERED, workers(2))])
         for n, (worker, held) in enumerate(((1, 30.0), (2, 2.0))):
-            router.handle(10.0 + n, [i.RequestArrived(n, 0, "f", 2010.0, lanes=4)])
+            router.handle(10.0 + n, [i.RequestArrived(n, 0, "f", 2010.0, slots=4)])
             key, (w, f, _) = next(iter(router.attempts.items()))
             router.unbook(*key)
             w = router.workers[worker]
             router.book(router.requests[n], f, w)
-            done = i.AttemptEnded(n, worker, 1, O.OK, 60, True, i.Found.COPY, report=i.LoadReport(held=held))
+            done = i.AttemptEnded(
+                n, worker, 1, O.OK, 60, True, i.CopyLookup.LOADED, report=i.LoadReport(in_progress=held)
+            )
             router.handle(11.0 + n, [done])
-        sent = router.handle(20.0, [i.RequestArrived(9, 0, "f", 2020.0, lanes=4)])
+        sent = router.handle(20.0, [i.RequestArrived(9, 0, "f", 2020.0, slots=4)])
         jammed += [a.worker for a in sent if isinstance(a, i.StartAttempt)] == [1]
     assert jammed == 0
 
 
 def test_the_load_report_of_an_answer_is_read_under_the_names_of_the_settings() -> None:
     report = read_report("concurrent:10.5;depth:0;x1:1")
-    assert report == i.LoadReport(held=10.5, loads=1.0)
+    assert report == i.LoadReport(in_progress=10.5, loads=1.0)
 
 
 def dark_fleet(zones: int) -> tuple[Fleet, Router]:
     """A front end that has just found three of the four workers of zone 0 silent, one after the other."""
     fleet = Fleet(1, 1)
-    settings = replace(SETTINGS, front_ends=200, tells_crowd=True, tells_found=True)
+    settings = replace(SETTINGS, front_ends=200, reports_concurrent_requests=True, reports_copy_lookup=True)
     router = fleet.routers[0] = Router(settings, 1)
     listed = tuple(replace(w, zone=w.worker % zones) for w in workers(4 * zones))
     router.handle(fleet.now, [i.WorkersListed(i.ListScope.REMEMBERED, listed)])
@@ -271,7 +288,7 @@
     fleet, router = dark_fleet(zones=2)
     for n in range(20):
         fleet.kinds[n] = 0
-        fleet.give(0, i.RequestArrived(n, 0, f"f{n}", fleet.now + 2000, lanes=4))
+        fleet.give(0, i.RequestArrived(n, 0, f"f{n}", fleet.now + 2000, slots=4))
         fleet.now += 60.0
         fleet.open = [o for o in fleet.open if o[2].worker % 2]  # the lost zone answers no ask either
         fleet.deliver()
--- a/tests/test_host_crossings.py
+++ b/tests/test_host_crossings.py
@@ -153,7 +153,7 @@
 
 
 def drain(stage: Stage, task: Attempt) -> None:
-    stage.standing.drain = i.Drain.DRAINING
+    stage.standing.drain = i.WorkerStatus.DRAINING
 
 
 def replaced(stage: Stage, task: Attempt) -> None:
@@ -179,7 +179,7 @@
     stage.dialling = lambda: news(stage, task)
     stage.send(task)
     assert stage.ends == [(task, NOT_SENT)] and not task.begun and not stage.places
-    stage.standing.drain, stage.standing.replaced = i.Drain.UP, False
+    stage.standing.drain, stage.standing.replaced = i.WorkerStatus.UP, False
     stage.send(marker)
     stage.until(lambda: stage.peers[0].heard)
     assert stage.peers[0].heard == [(frames.HOLD, FIRST_OWN_ID + 1)] and stage.tries() == 0
@@ -197,7 +197,7 @@
     stage.reading.set()
     stage.until(lambda: stage.ends)
     assert stage.ends == [(task, NOT_SENT)] and not task.begun
-    stage.standing.drain, stage.standing.replaced = i.Drain.UP, False
+    stage.standing.drain, stage.standing.replaced = i.WorkerStatus.UP, False
     stage.send(later)
     stage.until(lambda: len(stage.peers[0].heard) == 2)
     assert stage.peers[0].heard == [request(0xA), request(2)] and stage.tries() == 2
@@ -263,10 +263,10 @@
     stage, later = stages(narrow=True), attempt(2)
     stage.blocked()
     stage.unload("f")
-    stage.standing.drain = i.Drain.DRAINING
+    stage.standing.drain = i.WorkerStatus.DRAINING
     stage.reading.set()
     stage.until(lambda: stage.peers[0].heard and not stage.links[0].waiting)
-    stage.standing.drain = i.Drain.UP
+    stage.standing.drain = i.WorkerStatus.UP
     stage.send(later)
     stage.until(lambda: len(stage.peers[0].heard) == 2)
     assert stage.peers[0].heard == [request(0xA), request(2)]
@@ -321,7 +321,9 @@
 def test_a_repeat_may_begin_while_the_first_that_may_have_run_is_known_by_its_key(
     effect: i.Effect, ends: list[i.Outcome | None], start_by: float
 ) -> None:
-    kind = i.RequestClass("read", 500, 2000, effect=effect, group=i.Group.ALL, repeat_window=300)
+    kind = i.RequestClass(
+        "read", 500, 2000, effect=effect, deduplication_scope=i.DeduplicationScope.ALL, repeat_window=300
+    )
     table, port = RequestTable(i.Settings((kind,), tick=2), Limits(), Metrics(), Log()), Port()
     table.take(Call("1", 0, "f", 9000.0), port, 1000.0)
     entry = table.entries[1]
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -17,7 +17,12 @@
 LOAD_MS = 400.0
 LANES = 4
 RULES = replace(
-    SETTINGS, tells_crowd=True, tells_found=True, ration_window=5000, ration_floor=6, ration_share=0.3
+    SETTINGS,
+    reports_concurrent_requests=True,
+    reports_copy_lookup=True,
+    order_limit_window=5000,
+    order_limit_floor=6,
+    order_limit_share=0.3,
 )
 
 
@@ -66,7 +71,7 @@
             self.open.append((self.now + 1.0, n, done))
         else:
             end = max(stands, self.now) + ANSWER_MS
-            found = i.Found.COPY if stands <= self.now else i.Found.WAITED
+            found = i.CopyLookup.LOADED if stands <= self.now else i.CopyLookup.WAITED_FOR_LOAD
             done = i.AttemptEnded(request, worker, number, O.OK, end - self.now, True, found)
             self.open.append((end, n, done))
 
@@ -134,7 +139,7 @@
     mesh = Mesh(front_ends, 6)
     mesh.play(3000, 100, 12)
     leaving = mesh.sends[-1][2]
-    mesh.tell(i.WorkersListed(i.ListScope.CHANGES, (i.WorkerEntry(leaving, drain=i.Drain.DRAINING),)))
+    mesh.tell(i.WorkersListed(i.ListScope.CHANGES, (i.WorkerEntry(leaving, status=i.WorkerStatus.DRAINING),)))
     mesh.closed.add(leaving)  # `give` holds each send and order against it
     before = len(mesh.sends)
     mesh.play(2000, 100, 12)
@@ -147,7 +152,7 @@
     new ones held one or none."""
     mesh = Mesh(front_ends, 10)
     mesh.play(4000, 100, 61)
-    left = tuple(i.WorkerEntry(n, drain=i.Drain.DRAINING) for n in range(1, 7))
+    left = tuple(i.WorkerEntry(n, status=i.WorkerStatus.DRAINING) for n in range(1, 7))
     new = tuple(i.WorkerEntry(n, started=mesh.now) for n in range(11, 17))
     mesh.tell(i.WorkersListed(i.ListScope.CHANGES, left + new))
     mesh.closed.update(range(1, 7))
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -410,9 +410,9 @@
     ((_, head),) = sends(rig.ask(1))
     router = rig.router
     stretch, copies = router.stretch, dict(router.functions["f"].copies)
-    quick = replace(RULES.classes[0], name="quick", aim=100)
+    quick = replace(RULES.classes[0], name="quick", latency_target=100)
     new = merge(RULES, replace(RULES, classes=(quick,), max_attempts=1, front_ends=4), 9)
-    rig.give(i.Retuned(new))
+    rig.give(i.SettingsChanged(new))
     assert sends(rig.settle(1, i.Outcome.RESET)), "three attempts were in force"
     rig.settle(1)
     rig.settings = new
@@ -427,10 +427,10 @@
     rig = Rig(one)
     ask = i.RequestArrived(1, 0, "f", rig.now + 2000, 0)
     for n in range(1, 4):
-        rig.give(replace(ask, request=n), i.Retuned(one))
+        rig.give(replace(ask, request=n), i.SettingsChanged(one))
     worths = [r.worth for r in rig.router.requests.values()]
     assert worths == [1.0, 1.0, 0.1]
-    rig.give(i.Retuned(merge(one, replace(one, tenants=(i.Tenant("b", 1.0), i.Tenant("a"))), 9)))
+    rig.give(i.SettingsChanged(merge(one, replace(one, tenants=(i.Tenant("b", 1.0), i.Tenant("a"))), 9)))
     rig.give(replace(ask, request=4), replace(ask, request=5, tenant=1), replace(ask, request=6, tenant=1))
     assert [rig.router.requests[n].worth for n in (4, 5, 6)] == [1.0, 1.0, 0.1]
 
@@ -459,12 +459,12 @@
         old, force = force, merge(force, new, 99)
         assert force.classes[: len(old.classes)] == old.classes
         assert len(dict.fromkeys(force.classes)) == len(force.classes)  # equal definitions share a place
-        assert {force.classes[n] for n in force.live().values()} == {*new.classes}
-        assert {force.tenants[n] for n in force.live_tenants().values()} == {*new.tenants}
+        assert {force.classes[n] for n in force.active_classes().values()} == {*new.classes}
+        assert {force.tenants[n] for n in force.active_tenants().values()} == {*new.tenants}
         assert [t.name for t in force.tenants][: len(old.tenants)] == [t.name for t in old.tenants]
         assert force.kinds[: len(old.kinds)] == old.kinds
         assert dict(zip(force.kinds, force.memory_by_kind, strict=True)) == {k: ord(k) for k in force.kinds}
-        assert force.shortest_aim() == new.shortest_aim()
+        assert force.shortest_latency_target() == new.shortest_latency_target()
         assert merge(force, new, len(force.classes)) == force and not describe_changes(
             force, merge(force, new, 99)
         )
@@ -503,7 +503,7 @@
         assert ":" in str(error)
     else:
         assert named is None or ":" in named
-        assert all(0 < c.aim <= c.deadline < 1e13 for c in config.settings.classes)
+        assert all(0 < c.latency_target <= c.deadline < 1e13 for c in config.settings.classes)
         merge(config.settings, config.settings, 9)
 
 
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -110,12 +110,12 @@
     rig.give(i.AttemptEnded(1, head, 1, O.OK, 5, True), i.RequestDropped(1), i.RequestDropped(99))
     rig.give(i.AttemptEnded(77, 3, 0, O.OK, 5, True), i.OrderEnded(99, "f", O.OK, 1, 5))
     rig.give(i.ProbeEnded(99, O.OK, 1))
-    rig.give(i.OrderEnded(head, "never heard of", O.OK, 1, 5), i.TimerFired("unknown"), i.PeerSaid(1, b""))
+    rig.give(i.OrderEnded(head, "never heard of", O.OK, 1, 5), i.TimerFired("unknown"), i.PeerMessage(1, b""))
     assert sends(rig.ask(2)) == [(2, head)]
 
 
 def test_no_workers_or_only_draining_ones_refuses_in_time() -> None:
-    for changes in ({}, {"drain": i.Drain.DRAINING}):
+    for changes in ({}, {"status": i.WorkerStatus.DRAINING}):
         rig = Rig(count=0)
         if changes:
             rig.give(i.WorkersListed(i.ListScope.WHOLE, workers(3, **changes)))
@@ -125,7 +125,7 @@
 
 def test_what_waits_for_nothing_is_refused_at_half_its_time_with_advice() -> None:
     """Seen on an overload day of the real bench: refusals were held back to just before the client left."""
-    rig = Rig(replace(SETTINGS, tells_retry_after=True, max_retry_after=500.0), count=0)
+    rig = Rig(replace(SETTINGS, sends_retry_after=True, max_retry_after=500.0), count=0)
     rig.ask(1)
     rig.wait(850)
     assert 1 not in rig.ended
@@ -144,7 +144,7 @@
 def test_a_draining_worker_gets_nothing_and_what_is_held_moves_on() -> None:
     rig = Rig()
     head = covered(rig)
-    rig.give(i.WorkersListed(i.ListScope.CHANGES, (i.WorkerEntry(head, drain=i.Drain.DRAINING),)))
+    rig.give(i.WorkersListed(i.ListScope.CHANGES, (i.WorkerEntry(head, status=i.WorkerStatus.DRAINING),)))
     rig.wait(9000)
     ((other, _),) = loads(rig.ask(2))
     assert other != head and sends(rig.loaded(other)) == [(2, other)]
@@ -183,7 +183,9 @@
 
 
 def test_rationed_orders_reach_the_limit_and_stop_there() -> None:
-    rig = Rig(replace(SETTINGS, ration_window=10000, ration_floor=3, ration_share=0.0), count=6)
+    rig = Rig(
+        replace(SETTINGS, order_limit_window=10000, order_limit_floor=3, order_limit_share=0.0), count=6
+    )
     for n in range(8):
         rig.ask(n, function=f"f{n}")
         rig.settle(n, O.MISS, 1)
@@ -193,7 +195,7 @@
 
 
 def test_the_rig_sees_a_breach_of_each_rule() -> None:
-    rig = Rig(replace(SETTINGS, ration_window=10000, ration_floor=1, ration_share=0.0))
+    rig = Rig(replace(SETTINGS, order_limit_window=10000, order_limit_floor=1, order_limit_share=0.0))
     rig.ask(1, 2)
     with pytest.raises(AssertionError, match="two attempts"):
         rig.check(i.StartAttempt(1, 2))
@@ -222,7 +224,7 @@
     """Seen in i3bd580: workers turned one tenant's calls away and served the other's all the while."""
     rig = Rig(replace(SETTINGS, tenants=(i.Tenant("a"), i.Tenant("b"))), count=1)
     covered(rig)
-    ask = i.RequestArrived(2, 0, "f", rig.now + 2000, 0, lanes=4)
+    ask = i.RequestArrived(2, 0, "f", rig.now + 2000, 0, slots=4)
     assert sends(rig.give(ask)) == [(2, 1)]
     assert sends(rig.settle(2, O.FULL, 2)) == []
     assert sends(rig.give(replace(ask, request=3))) == []
@@ -260,7 +262,7 @@
         rig.ask(n, function=f"once-{n}")
         rig.settle(n, O.RESET)
         rig.give(i.WorkersListed(i.ListScope.CHANGES, workers(n)[-1:]))
-        gone = workers(n - 1, drain=i.Drain.GONE)[-1:]
+        gone = workers(n - 1, status=i.WorkerStatus.GONE)[-1:]
         rig.give(i.WorkersListed(i.ListScope.CHANGES, gone))
         for k in range(18):  # others go on: a stall of everything would not read as disuse
             rig.ask(1000 * n + k)
@@ -365,7 +367,9 @@
 def test_calls_that_their_client_takes_back_buy_no_orders() -> None:
     """Seen on join+mass, seed 3: a client sent one call 200 times, each with its giveUp, and the invoker went
     on to 32 orders in five seconds in which 67 calls counted."""
-    rig = Rig(replace(SETTINGS, ration_window=5000, ration_floor=6, ration_share=0.3), count=12)
+    rig = Rig(
+        replace(SETTINGS, order_limit_window=5000, order_limit_floor=6, order_limit_share=0.3), count=12
+    )
     for n in range(200):
         rig.ask(1000 + n, function="taken-back")
         rig.give(i.RequestDropped(1000 + n))
@@ -389,7 +393,7 @@
     slower = rig.router.workers[other]  # not the first choice
     slower.slow, slower.heard = 8.0, rig.now
     rig.router.workers[first].budget.left = 1.0
-    asked = [i.RequestArrived(n, 0, "f", rig.now + 2000, lanes=4) for n in range(50, 55)]
+    asked = [i.RequestArrived(n, 0, "f", rig.now + 2000, slots=4) for n in range(50, 55)]
     went = [worker for e in asked for _, worker in sends(rig.give(e))]
     assert len(went) == 5 and first in went and went.count(other) >= 2
 
@@ -424,7 +428,7 @@
 
 
 def test_an_order_that_was_never_sent_counts_for_no_ration() -> None:
-    rig = Rig(replace(SETTINGS, ration_window=5000, ration_floor=1, ration_share=0), count=1)
+    rig = Rig(replace(SETTINGS, order_limit_window=5000, order_limit_floor=1, order_limit_share=0), count=1)
     rig.ask(1)
     head = rig.attempts[1][0][0]
     assert loads(rig.settle(1, O.MISS, 1)) == [(head, "f")]
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -125,9 +125,9 @@
     got, limits = config.settings, config.limits
     for c, r in zip(told["class"], got.classes, strict=True):
         wanted = (c["name"], c["aim_ms"], c["deadline_ms"], c["worth"], c["late_worth"], c["effect"])
-        assert (r.name, r.aim, r.deadline, r.worth, r.late_worth, r.effect.value) == wanted
+        assert (r.name, r.latency_target, r.deadline, r.worth, r.late_worth, r.effect.value) == wanted
         if r.effect is i.Effect.KEYED:
-            assert (r.group.value, r.repeat_window) == (c["group"], c["window_ms"])
+            assert (r.deduplication_scope.value, r.repeat_window) == (c["group"], c["window_ms"])
     assert [t.name for t in got.tenants] == [t["name"] for t in told["tenant"]]
     assert list(got.zones) == told["net"]["zones"]
     kinds = told["tier"][0]["kind"]
@@ -138,7 +138,7 @@
         (got.may_cancel, allow["cancel"]),
         (got.may_probe, allow["probes"]),
         (got.second_attempts, allow["second_copies"]),
-        (got.tells_retry_after, allow["retry_after"]),
+        (got.sends_retry_after, allow["retry_after"]),
         (got.max_attempts, allow["max_attempts"]),
         (got.max_retry_after, told["clients"]["max_retry_after_ms"]),
         (got.connect_timeout, conn["connect_timeout_ms"]),
@@ -147,16 +147,16 @@
         (limits.streams_per_link, conn["streams"]),
         (got.cold_period, max(k["cold_s"][1] for k in kinds) * 1000),
         (got.cold_share, min(k["cold_from"][0] for k in kinds)),
-        (got.fall_multiple, rules["fall_multiple"]),
-        (got.fall_time, rules["fall_ms"]),
+        (got.overload_multiple, rules["fall_multiple"]),
+        (got.overload_time, rules["fall_ms"]),
         (got.may_order, fam["orders"]),
         (got.keep_alive, fam["keep_s"][0] * 1000),
-        (got.ration_window, fam["load_window_ms"]),
-        (got.ration_floor, fam["load_free"]),
-        (got.ration_share, fam["load_share"]),
-        (got.idle_price, fam["memory_price"]),
-        (got.tells_found, fam["tells_warm"]),
-        (got.tells_crowd, fam["tells_crowd"]),
+        (got.order_limit_window, fam["load_window_ms"]),
+        (got.order_limit_floor, fam["load_free"]),
+        (got.order_limit_share, fam["load_share"]),
+        (got.idle_copy_price, fam["memory_price"]),
+        (got.reports_copy_lookup, fam["tells_warm"]),
+        (got.reports_concurrent_requests, fam["tells_crowd"]),
         (got.over_share_worth, told["load"]["over_share_worth"]),
         (got.worth_by_work, told["load"]["worth_by"] == "work"),
         (got.list_on_request, told["discovery"]["mode"] == "ask"),
@@ -261,8 +261,8 @@
 def test_after_sighup_every_setting_is_the_other_sites(site: str, tmp_path: Path) -> None:
     old, new = (read(wire_settings(SITES[name]), tmp_path).settings for name in (site, other(site)))
     merged = merge(old, new, Limits().class_slots)
-    assert [merged.classes[n] for n in merged.live().values()] == list(new.classes)
-    assert [merged.tenants[n] for n in merged.live_tenants().values()] == list(new.tenants)
+    assert [merged.classes[n] for n in merged.active_classes().values()] == list(new.classes)
+    assert [merged.tenants[n] for n in merged.active_tenants().values()] == list(new.tenants)
     memory = dict(zip(merged.kinds, merged.memory_by_kind, strict=True))
     assert [memory[kind] for kind in new.kinds] == list(new.memory_by_kind)
     assert set(new.zones) <= set(merged.zones)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -277,12 +277,16 @@
     rig = Rig(SETTINGS)
     rig.give(i.WorkersListed(i.ListScope.REMEMBERED, workers(3)))
     for n in range(6):
-        for a in rig.give(i.RequestArrived(n, 0, "f", rig.now + 2000, lanes=4)):
+        for a in rig.give(i.RequestArrived(n, 0, "f", rig.now + 2000, slots=4)):
             if isinstance(a, i.OrderCopies):
                 rig.give(i.OrderEnded(a.worker, "f", i.Outcome.OK, 1, 300.0))
         rig.now += 20
         for (request, attempt), (w, _, _) in list(rig.router.attempts.items()):
-            rig.give(i.AttemptEnded(request, w.entry.worker, attempt, i.Outcome.OK, 20.0, True, i.Found.COPY))
+            rig.give(
+                i.AttemptEnded(
+                    request, w.entry.worker, attempt, i.Outcome.OK, 20.0, True, i.CopyLookup.LOADED
+                )
+            )
     return rig
 
 
@@ -294,7 +298,7 @@
     fresh.now = rig.now
     fresh.give(i.WorkersListed(i.ListScope.REMEMBERED, workers(3)))
     restore(fresh.router, unpack(pack(rig.router, rig.now), rig.now, WALL))
-    said = fresh.give(i.RequestArrived(99, 0, "f", fresh.now + 2000, lanes=4))
+    said = fresh.give(i.RequestArrived(99, 0, "f", fresh.now + 2000, slots=4))
     assert next(a.worker for a in said if isinstance(a, i.StartAttempt)) in held
     assert not [a for a in said if isinstance(a, i.OrderCopies)]
     assert list(fresh.router.ordered) == list(rig.router.ordered)
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -60,7 +60,11 @@
 def test_reports_and_notes_are_read_by_name() -> None:
     e = wirehost.READERS["SETTLED"]("5 1 Ok 18.5 25 11 0 7,-,1".split(" "), ("concurrent", "x0", "unheard"))
     assert isinstance(e, i.AttemptEnded)
-    assert e.found is i.Found.COPY and e.crowd == 3 and e.report == i.LoadReport(held=7.0)
+    assert (
+        e.copy_lookup is i.CopyLookup.LOADED
+        and e.concurrent_requests == 3
+        and e.report == i.LoadReport(in_progress=7.0)
+    )
 
 
 def test_an_exception_in_a_router_is_told_on_the_wire(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_work_lease.py
+++ b/tests/test_work_lease.py
@@ -19,7 +19,7 @@
 
 O = i.Outcome  # noqa: E741
 PROBING = replace(RULES, may_probe=True)
-TOLD_WITHIN = PROBING.told_within
+TOLD_WITHIN = PROBING.discovery_delay
 HEARTBEAT = 1000.0
 HOSTS = 6
 
@@ -114,7 +114,7 @@
     lose_discovery(mesh, (3,))
     mesh.play(3000, 100, 12)
     mesh.in_reach, mesh.closed = True, {3}
-    mesh.tell(i.WorkersListed(i.ListScope.CHANGES, (i.WorkerEntry(3, drain=i.Drain.DRAINING),)))
+    mesh.tell(i.WorkersListed(i.ListScope.CHANGES, (i.WorkerEntry(3, status=i.WorkerStatus.DRAINING),)))
     mesh.play(100, 100, 12)
     asked, before = len(mesh.probes), mesh.serial
     mesh.play(10_000, 100, 12)
@@ -139,7 +139,7 @@
     rig.settle(1, O.MISS, 1)
     rig.loaded(head)
     rig.settle(1)
-    rig.wait(settings.told_within)
+    rig.wait(settings.discovery_delay)
     return rig, head
 
 
@@ -251,9 +251,9 @@
         age.take(i.ListConfirmed(confirmed, frozenset({1} if doubtful else ())))
     rests_on = [proven] + ([] if doubtful or confirmed is None else [confirmed])
     allowed = age.allows(1, lease, now, settings)
-    assert not allowed or confirmed is None or now < max(rests_on) + settings.told_within
+    assert not allowed or confirmed is None or now < max(rests_on) + settings.discovery_delay
     assert age.expires(1, lease, settings) == (
-        float("inf") if confirmed is None else max(rests_on) + settings.told_within
+        float("inf") if confirmed is None else max(rests_on) + settings.discovery_delay
     )
     assert not (allowed and age.refuses(1, lease, now, settings))
     assert allowed or not age.is_current(now, settings)
