--- a/harrieryoke/background/runner.py
+++ b/harrieryoke/background/runner.py
@@ -42,13 +42,13 @@
 
     def want(self, name: str) -> None:
         """Its next slice as soon as may be. Never waits; at the mailbox's bound it comes with its period."""
-        self.tell(Want(name))
+        self.try_send(Want(name))
 
     def run(self) -> None:
-        while not self.over:
+        while not self.finished:
             at = self.schedule.wake_at(now_ms(), self.busy())
-            self.wait(1000.0 if at is None else min(1000.0, at - now_ms()))
-            self.work()
+            self.wait_for_message(1000.0 if at is None else min(1000.0, at - now_ms()))
+            self.process_mailbox()
             name = self.schedule.pick(now_ms(), self.busy())
             if name is not None:
                 self.one(name)
--- a/harrieryoke/core/actor.py
+++ b/harrieryoke/core/actor.py
@@ -1,4 +1,4 @@
-"""Actors: each has a greenlet, a bounded mailbox, and sole ownership of its state."""
+"""Actors: each has a greenlet and a bounded mailbox, and owns its state exclusively."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def spawn(
     log: Log, name: str, run: Callable[[], object], ended: Callable[[], object] | None = None
 ) -> gevent.Greenlet:
-    """Start a greenlet that can't die silently: an escaping error is logged, then `ended` is called."""
+    """Start a greenlet. An uncaught exception is logged; `ended` is called in any case."""
 
     def guarded() -> None:
         try:
@@ -32,68 +32,70 @@
     return gevent.spawn(guarded)
 
 
-def waited(result: AsyncResult, timeout_ms: float) -> dict[str, Any]:
-    """Wait for an actor's answer to an operator; empty after the timeout."""
+def wait_for_reply(result: AsyncResult, timeout_ms: float) -> dict[str, Any]:
+    """Wait for an actor's reply to an operator; return an empty one after the timeout."""
     try:
-        answer: dict[str, Any] = result.get(timeout=timeout_ms / 1000)
+        reply: dict[str, Any] = result.get(timeout=timeout_ms / 1000)
     except gevent.Timeout:
         return {}
-    return answer
+    return reply
 
 
 class Actor:
-    """Base class of actors. `tell` never blocks and returns whether the message was accepted; `push` waits
-    for room in the mailbox, except for its `reserve`."""
+    """Base class of actors.
 
-    def __init__(self, name: str, bound: int, log: Log, reserve: int = 0) -> None:
-        self.name, self.bound, self.reserve, self.log = name, bound, reserve, log
-        self.box: deque[Any] = deque()
-        self.filled, self.emptied, self.over = Event(), Event(), False
+    The last `reserve` places of the mailbox are for `try_send` alone; `blocking_send` waits for other space.
+    """
+
+    def __init__(self, name: str, capacity: int, log: Log, reserve: int = 0) -> None:
+        self.name, self.capacity, self.reserve, self.log = name, capacity, reserve, log
+        self.mailbox: deque[Any] = deque()
+        self.message_arrived, self.space_available, self.finished = Event(), Event(), False
         self.greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
         """Start the actor's greenlet."""
         self.greenlet = spawn(self.log, self.name, self.run, self.finish)
 
-    def tell(self, message: Any) -> bool:
-        """Queue a message without waiting; return False if the mailbox is full or the actor has ended."""
-        if self.over or len(self.box) >= self.bound:
+    def try_send(self, message: Any) -> bool:
+        """Queue a message without blocking; return False if the mailbox is full or the actor has finished."""
+        if self.finished or len(self.mailbox) >= self.capacity:
             return False
-        self.box.append(message)
-        self.filled.set()
+        self.mailbox.append(message)
+        self.message_arrived.set()
         return True
 
-    def push(self, message: Any) -> bool:
-        """Queue a message with backpressure: wait while the mailbox is full up to its reserve."""
-        while not self.over and len(self.box) >= self.bound - self.reserve:
-            self.emptied.clear()
-            self.emptied.wait()
-        return self.tell(message)
-
-    def wait(self, timeout_ms: float | None = None) -> None:
-        """Wait for a message, or until the timeout."""
-        if not self.box:
-            self.filled.clear()
-            self.filled.wait(None if timeout_ms is None else max(0.0, timeout_ms) / 1000)
-
-    def work(self) -> None:
-        """Receive one message after the other; those not yet received stay in the mailbox."""
-        while self.box and not self.over:
-            message = self.box.popleft()
-            self.emptied.set()
+    def blocking_send(self, message: Any) -> bool:
+        """Queue a message, blocking while the mailbox is full up to its reserve."""
+        while not self.finished and len(self.mailbox) >= self.capacity - self.reserve:
+            self.space_available.clear()
+            self.space_available.wait()
+        return self.try_send(message)
+
+    def wait_for_message(self, timeout_ms: float | None = None) -> None:
+        """Wait until the mailbox has a message, or for the timeout."""
+        if not self.mailbox:
+            self.message_arrived.clear()
+            self.message_arrived.wait(None if timeout_ms is None else max(0.0, timeout_ms) / 1000)
+
+    def process_mailbox(self) -> None:
+        """Handle the messages in the mailbox one by one, until it is empty or the actor has finished."""
+        while self.mailbox and not self.finished:
+            message = self.mailbox.popleft()
+            self.space_available.set()
             self.receive(message)
 
     def run(self) -> None:
-        """Run the actor's loop until it has ended."""
-        while not self.over:
-            self.wait()
-            self.work()
+        """Handle messages until the actor has finished."""
+        while not self.finished:
+            self.wait_for_message()
+            self.process_mailbox()
 
     def receive(self, message: Any) -> None:
-        """Handle one message; each actor defines it."""
+        """Handle one message."""
         raise NotImplementedError
 
     def finish(self) -> None:
-        """Close the mailbox once the actor has ended, and release the senders that wait for room."""
-        self.over = True
-        self.emptied.set()
+        """Close the mailbox, and release the senders that wait for space in it."""
+        self.finished = True
+        self.space_available.set()
--- a/harrieryoke/core/module.py
+++ b/harrieryoke/core/module.py
@@ -17,27 +17,27 @@
 from .clock import WallClockWatch, now_ms
 from .metrics import Metrics
 from .records import (
-    Attempt,
+    ActiveChanged,
+    AttemptTask,
     Call,
-    Check,
-    Confirmed,
-    Counted,
+    CallReceived,
+    CallWithdrawn,
+    CountersRequested,
     Door,
     Front,
     Gate,
     HostPort,
-    Leading,
-    Listed,
-    Order,
+    OrderTask,
+    PrewarmRequested,
+    ProbeTask,
     Recorder,
-    Retuned,
+    RouterCommand,
+    SettingsChanged,
     Stopping,
-    Taken,
     Task,
     TaskEnded,
-    Visit,
-    Wished,
-    Withdrawn,
+    WorkerListConfirmed,
+    WorkersChanged,
 )
 from .table import Entry, RequestTable
 
@@ -73,17 +73,17 @@
         self.leading = True  # clients come to this process, not to one that has taken over
         self.orders_from = 0.0  # after a fault in the module: no load orders before this
         self.readers: dict[type, Callable[[Any, float], i.Event | None]] = {
-            Taken: self.taken,
-            Withdrawn: self.withdrawn,
+            CallReceived: self.taken,
+            CallWithdrawn: self.withdrawn,
             TaskEnded: self.task_ended,
-            Listed: self.listed,
-            Confirmed: self.confirmed,
+            WorkersChanged: self.listed,
+            WorkerListConfirmed: self.confirmed,
             Stopping: self.stopping,
-            Counted: self.counted,
-            Wished: self.wished,
-            Visit: self.visit,
-            Leading: self.lead,
-            Retuned: self.retuned,
+            CountersRequested: self.counted,
+            PrewarmRequested: self.wished,
+            RouterCommand: self.visit,
+            ActiveChanged: self.lead,
+            SettingsChanged: self.retuned,
         }
         self.doers: dict[type, Callable[[Any, float], None]] = {
             i.StartAttempt: self.start_attempt,
@@ -116,7 +116,7 @@
     def admit(self, call: Call, front: Front) -> bool:
         """Past the door, if there is one."""
         self.figures.waiting += 1
-        entered = self.push(Taken(call, front))
+        entered = self.blocking_send(CallReceived(call, front))
         if not entered:
             self.figures.waiting -= 1
         return entered
@@ -129,7 +129,7 @@
         return self.drop(call) if self.door is None else self.door.withdraw(call)
 
     def drop(self, call: Call) -> bool:
-        return self.push(Withdrawn(call))
+        return self.blocking_send(CallWithdrawn(call))
 
     def set_gate(self, gate: Gate) -> None:
         """Before anything starts."""
@@ -150,14 +150,14 @@
 
     def run(self) -> None:
         stepped = 0.0
-        while not self.over:
-            self.wait(self.next_time() - self.clock())
+        while not self.finished:
+            self.wait_for_message(self.next_time() - self.clock())
             pause = stepped + self.settings.tick - self.clock()
             if 0 < pause <= self.settings.tick:
                 gevent.sleep(pause / 1000)
-            stepped, messages = self.clock(), list(self.box)
-            self.box.clear()
-            self.emptied.set()
+            stepped, messages = self.clock(), list(self.mailbox)
+            self.mailbox.clear()
+            self.space_available.set()
             self.step(stepped, messages)
             self.log_state()
 
@@ -212,7 +212,7 @@
         for entry in self.table.overdue():
             # guards against a module that leaves a request unanswered at its time: the table answers
             self.table.counts["guarded"] += 1
-            self.log("guarded", f"{entry.call.rid} had no answer from the module at its time")
+            self.log("guarded", f"{entry.call.request_id} had no answer from the module at its time")
             self.table.give_up(entry)
             self.echoes.append(i.RequestDropped(entry.number))
 
@@ -258,14 +258,14 @@
 
     # --- messages into events ---
 
-    def taken(self, m: Taken, now: float) -> i.Event | None:
+    def taken(self, m: CallReceived, now: float) -> i.Event | None:
         self.figures.waiting -= 1
         return self.table.take(m.call, m.front, now)
 
-    def withdrawn(self, m: Withdrawn, now: float) -> i.Event | None:
+    def withdrawn(self, m: CallWithdrawn, now: float) -> i.Event | None:
         return self.table.withdraw(m.call)
 
-    def listed(self, m: Listed, now: float) -> i.Event | None:
+    def listed(self, m: WorkersChanged, now: float) -> i.Event | None:
         if m.event.scope is not i.ListScope.CHANGES:
             self.ports, self.entries, self.names = {}, {}, {}
         self.ports.update(m.ports)
@@ -277,25 +277,25 @@
             self.names.pop(gone, None)
             del self.entries[gone]
         if self.gate is not None:
-            self.gate.listed(m)
+            self.gate.workers_changed(m)
         return m.event
 
-    def confirmed(self, m: Confirmed, now: float) -> i.Event | None:
+    def confirmed(self, m: WorkerListConfirmed, now: float) -> i.Event | None:
         self.list_confirmed = m.event
         return m.event
 
-    def wished(self, m: Wished, now: float) -> i.Event | None:
+    def wished(self, m: PrewarmRequested, now: float) -> i.Event | None:
         return i.WarmWished(m.function)
 
-    def visit(self, m: Visit, now: float) -> i.Event | None:
-        self.visits.append(m.do)
+    def visit(self, m: RouterCommand, now: float) -> i.Event | None:
+        self.visits.append(m.run)
         return None
 
-    def lead(self, m: Leading, now: float) -> i.Event | None:
-        self.leading = m.on
+    def lead(self, m: ActiveChanged, now: float) -> i.Event | None:
+        self.leading = m.active
         return None
 
-    def retuned(self, m: Retuned, now: float) -> i.Event | None:
+    def retuned(self, m: SettingsChanged, now: float) -> i.Event | None:
         """The table and the module follow in the same round: none knows a class that the other does not."""
         self.settings = self.table.settings = m.settings
         return i.Retuned(m.settings)
@@ -304,8 +304,8 @@
         self.table.stop_by(m.by)
         return None
 
-    def counted(self, m: Counted, now: float) -> i.Event | None:
-        m.tell(self.table.counts | {"open": len(self.table.entries)})
+    def counted(self, m: CountersRequested, now: float) -> i.Event | None:
+        m.reply(self.table.counts | {"open": len(self.table.entries)})
         return None
 
     def task_ended(self, m: TaskEnded, now: float) -> i.Event | None:
@@ -315,17 +315,17 @@
     def event_of(self, m: TaskEnded, now: float) -> i.Event | None:
         """A task's end as the module hears it; the first OK is the request's answer."""
         task, took = m.task, max(0.0, now - m.task.sent)
-        if isinstance(task, Order):
+        if isinstance(task, OrderTask):
             if self.door is not None and task.copies:
                 self.table.waited_for(task.function)
             return i.OrderEnded(task.worker, task.function, m.outcome, m.copies, took)
-        if not isinstance(task, Attempt):
+        if not isinstance(task, AttemptTask):
             if m.outcome is not i.Outcome.OK:
                 self.log("probe", f"{self.host_name(task.worker)} takes no new work: {m.outcome.value}")
             return i.ProbeEnded(task.worker, m.outcome, took, m.report)
         entry = self.table.entries.get(task.request)
-        if entry is not None and (m.outcome is i.Outcome.MISS or m.found in LOADED):
-            entry.call.cold = True
+        if entry is not None and (m.outcome is i.Outcome.MISS or m.copy_lookup in LOADED):
+            entry.call.waited_for_load = True
         if entry is not None and m.outcome is i.Outcome.OK:
             self.table.serve(entry, m.body)
         return i.AttemptEnded(
@@ -335,9 +335,9 @@
             m.outcome,
             took,
             task.request not in self.table.entries,
-            m.found,
+            m.copy_lookup,
             m.load_failed,
-            m.crowd,
+            m.concurrent_requests,
             m.report,
         )
 
@@ -357,7 +357,8 @@
             attempt.start_by = min(attempt.start_by, a.start_by)
             if attempt.number:
                 self.log(
-                    "retry", f"{entry.call.rid} at {self.host_name(a.worker)}: {self.progress(entry, now)}"
+                    "retry",
+                    f"{entry.call.request_id} at {self.host_name(a.worker)}: {self.progress(entry, now)}",
                 )
             self.begin(attempt, now)
 
@@ -367,25 +368,25 @@
 
     def refuse(self, a: i.Refuse, now: float) -> None:
         if entry := self.table.entries.get(a.request):
-            self.log("refused", f"{entry.call.rid}: {self.progress(entry, now)}")
+            self.log("refused", f"{entry.call.request_id}: {self.progress(entry, now)}")
             self.table.refuse(entry, a.retry_after)
 
     def fail(self, a: i.Fail, now: float) -> None:
         if entry := self.table.entries.get(a.request):
-            self.log("failed", f"{entry.call.rid}: {self.progress(entry, now)}")
+            self.log("failed", f"{entry.call.request_id}: {self.progress(entry, now)}")
             self.table.fail(entry, "not served")
 
     def progress(self, entry: Entry, now: float) -> str:
         """Say for the log how far a request has come, and how the last attempt of it ended."""
         ran = f", may have run since {now - entry.ran_since:.0f} ms" if entry.may_have_run else ""
         last = f", the last one ended {entry.last_outcome.value}" if entry.last_outcome else ""
-        waited = now - entry.call.taken
+        waited = now - entry.call.received_at
         return (
             f"{entry.attempts} attempts{last}{ran}; taken {waited:.0f} ms ago, {entry.due - now:.0f} ms left"
         )
 
     def order_copies(self, a: i.OrderCopies, now: float) -> None:
-        order = Order(
+        order = OrderTask(
             a.worker,
             now + self.settings.order_timeout,
             now,
@@ -405,10 +406,10 @@
 
     def drop_copies(self, a: i.DropCopies, now: float) -> None:
         if self.leading and (port := self.ports.get(a.worker)):
-            port.drop(a.function)
+            port.drop_copies(a.function)
 
     def probe(self, a: i.Probe, now: float) -> None:
-        self.begin(Check(a.worker, now + self.settings.connect_timeout, now), now)
+        self.begin(ProbeTask(a.worker, now + self.settings.connect_timeout, now), now)
 
     def set_timer(self, a: i.SetTimer, now: float) -> None:
         heappush(self.timers, (a.at, a.name))
--- a/harrieryoke/core/records.py
+++ b/harrieryoke/core/records.py
@@ -1,4 +1,4 @@
-"""What the core deals in, and the two interfaces through which the world reaches it."""
+"""The records and messages of the core, and the protocols of what is attached to it."""
 
 from __future__ import annotations
 
@@ -12,32 +12,35 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One request as a front took it. `rid` is 16 hex digits; `due` is when its client stops waiting."""
+    """One request as a front accepted it.
 
-    rid: str
+    `request_id` has 16 hex digits; at `deadline` the client stops waiting.
+    """
+
+    request_id: str
     class_index: int
     function: str
-    due: float
+    deadline: float
     body: bytes = b""
     key: str | None = None
     tenant: int | None = None
     memory: float = 0.0
-    lanes: int = 1
+    slots: int = 1
     load_time: float | None = None
-    taken: float = 0.0
-    topic: str = ""  # set by a front of topics; only there may a plug-in name the function
-    bias: Mapping[int, float] | None = None  # advice, as in RequestArrived
-    wanted: float | None = None
+    received_at: float = 0.0
+    topic: str = ""  # of an MQTT message; only then may a plug-in choose the function
+    cost_factors: Mapping[int, float] | None = None  # by worker; advice, as in RequestArrived
+    latency_target: float | None = None
     label: str | None = None  # for accounting
-    seen: bool = False  # a plug-in's gate wants to hear of its end
-    handed: bool = False  # the door wants to hear of its end
-    cold: bool = False  # it waited for a load: its time tells nothing of what the hosts carry
-    client: str = ""  # who asks, as its front knows it
-    abandoned: bool = False  # its client has gone: its front sets it, senders read it
+    watched_by_gate: bool = False  # report its end to the plug-in gate
+    watched_by_door: bool = False  # report its end to the door
+    waited_for_load: bool = False  # its duration says nothing about the capacity of the hosts
+    client: str = ""  # identity of the client at its front
+    abandoned: bool = False  # the client has gone; set by the front, read by the senders
 
 
 class Front(Protocol):
-    """Where a request came from and its one final answer goes."""
+    """Accepts requests from clients and returns the one final answer of each."""
 
     def served(self, call: Call, body: bytes) -> None: ...
 
@@ -46,22 +49,23 @@
     def failed(self, call: Call, reason: str) -> None: ...
 
 
-class Watcher(Protocol):
-    """Hears of the end of each call, once; it never waits."""
+class CallObserver(Protocol):
+    """Is notified of the end of each call exactly once; must not block."""
 
-    def ended(self, call: Call, how: str) -> None: ...
+    def call_ended(self, call: Call, how: str) -> None: ...
 
 
-class Recorder(Watcher, Protocol):
-    """Keeps a record of each final answer, and may let an answer wait for it a little: then it stands in for
-    the call's front."""
+class Recorder(CallObserver, Protocol):
+    """Records each final answer. It may delay an answer until the record is stored, by wrapping the front."""
 
     def front_for(self, front: Front) -> Front: ...
 
 
-class Door(Watcher, Protocol):
-    """What stands between the fronts and the module. It passes each call on once, unless it has answered it
-    or its client has left."""
+class Door(CallObserver, Protocol):
+    """Admission stage between the fronts and the module.
+
+    It passes each call on once, unless it has answered the call or the client has left.
+    """
 
     def offer(self, call: Call, front: Front) -> bool: ...
 
@@ -69,83 +73,83 @@
 
 
 class Gate(Door, Protocol):
-    """A door that also hears of the list; that never waits either."""
+    """Door that is also notified of changes of the worker list, without blocking."""
 
-    def listed(self, listed: Listed) -> None: ...
+    def workers_changed(self, listed: WorkersChanged) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """What is on its way to a model host. The table alone clears `wanted`, the host alone sets `begun`."""
+    """Work sent to a model host. Only the table clears `wanted`; only the host sets `write_started`."""
 
     worker: int
     stop_at: float
     sent: float
     wanted: bool = True
-    begun: bool = False
-    start_by: float = float("inf")  # a send that begins no earlier than this could be taken for a new request
+    write_started: bool = False
+    start_by: float = float("inf")  # the host may treat a later send as a new request
 
 
 @dataclass(slots=True, eq=False)
-class Attempt(Task):
+class AttemptTask(Task):
     call: Call = field(kw_only=True)
     request: int = 0
     number: int = 0
 
 
 @dataclass(slots=True, eq=False)
-class Order(Task):
+class OrderTask(Task):
     function: str = ""
     copies: int = 1
 
 
 @dataclass(slots=True, eq=False)
-class Check(Task):
-    """A probe."""
+class ProbeTask(Task):
+    """A liveness and load question to a model host."""
 
 
 @dataclass(slots=True)
 class TaskEnded:
-    """The one end of a task, told by its model host."""
+    """The result of a task, reported once by its model host."""
 
     task: Task
     outcome: Outcome
     body: bytes = b""
-    found: Found | None = None
+    copy_lookup: Found | None = None
     load_failed: bool = False
-    crowd: int | None = None
+    concurrent_requests: int | None = None
     copies: int = 0
     report: LoadReport | None = None
 
 
 class HostPort(Protocol):
-    """A model host's mailbox. `begin` says whether it took the task."""
+    """Interface to the actor of one model host. `start_task` returns whether the task was accepted."""
 
-    def begin(self, task: Task) -> bool: ...
+    def start_task(self, task: Task) -> bool: ...
 
-    def revoke(self, task: Task) -> None: ...
+    def cancel_task(self, task: Task) -> None: ...
 
-    def drop(self, function: str) -> None: ...
+    def drop_copies(self, function: str) -> None: ...
 
 
 @dataclass(slots=True)
-class Taken:
-    """A front took a call."""
+class CallReceived:
+    """A front accepted a call."""
 
     call: Call
     front: Front
 
 
 @dataclass(slots=True)
-class Withdrawn:
-    """The client left: nothing may be written for the call any more."""
+class CallWithdrawn:
+    """The client has left; nothing may be written for the call any more."""
 
     call: Call
 
 
 @dataclass(slots=True)
-class Listed:
-    """The worker list changed; `ports` names the mailboxes of those it tells of."""
+class WorkersChanged:
+    """The worker list has changed. `ports` has the interfaces of the workers in `event`."""
 
     event: WorkersListed
     ports: Mapping[int, HostPort]
@@ -153,15 +157,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Confirmed:
-    """Discovery has confirmed the worker list as it was last told."""
+class WorkerListConfirmed:
+    """Discovery has confirmed that the last reported worker list is current."""
 
     event: ListConfirmed
 
 
 @dataclass(frozen=True, slots=True)
 class HostName:
-    """A model host in the operators' words."""
+    """How operators identify a model host."""
 
     name: str
     zone: str
@@ -170,57 +174,57 @@
 
 
 @dataclass(slots=True)
-class Wished:
-    """Advice: a function that will be wanted soon."""
+class PrewarmRequested:
+    """Advice that a function will be called soon."""
 
     function: str
 
 
 @dataclass(slots=True)
-class Visit:
-    """Something to do with the decision module between two of its rounds, in its actor."""
+class RouterCommand:
+    """Runs a function on the router in the module's actor, between two rounds."""
 
-    do: Callable[[Router], object]
+    run: Callable[[Router], object]
 
 
 @dataclass(slots=True)
-class Leading:
-    """Whether this process is the one that clients come to; the copies are its own then."""
+class ActiveChanged:
+    """Whether this process serves the clients. If so, it also manages the copies."""
 
-    on: bool
+    active: bool
 
 
 @dataclass(slots=True)
-class Counted:
-    """Somebody asks for an actor's counters; `tell` gets a copy."""
+class CountersRequested:
+    """Requests a copy of an actor's counters."""
 
-    tell: Callable[[dict[str, int]], object]
+    reply: Callable[[dict[str, int]], object]
 
 
 @dataclass(slots=True)
-class Ended:
-    """A call has its final answer, or its client has left."""
+class CallEnded:
+    """A call has got its final answer, or its client has left."""
 
     call: Call
-    how: str
+    result: str
 
 
 @dataclass(slots=True)
-class Asked:
-    """An operator asks a part for what it can tell; `tell` gets a copy."""
+class StatusRequested:
+    """Requests a copy of a part's status for an operator."""
 
-    tell: Callable[[dict[str, Any]], object]
+    reply: Callable[[dict[str, Any]], object]
 
 
 @dataclass(slots=True)
-class Retuned:
-    """Other settings are in force for the actor from here. It comes ahead of every call made under them."""
+class SettingsChanged:
+    """New settings apply to the actor from this message on. It precedes every call made under them."""
 
     settings: Settings
 
 
 @dataclass(slots=True)
 class Stopping:
-    """The invoker stops: all that was taken is answered before `by`."""
+    """The invoker stops; every accepted call is answered before `by`."""
 
     by: float
--- a/harrieryoke/core/table.py
+++ b/harrieryoke/core/table.py
@@ -8,7 +8,7 @@
 from ..limits import Limits
 from ..log import Log
 from .metrics import Metrics
-from .records import Attempt, Call, Front, HostPort, Task, TaskEnded, Watcher
+from .records import AttemptTask, Call, CallObserver, Front, HostPort, Task, TaskEnded
 from .timing_wheel import TimingWheel
 
 NEVER_RAN = (i.Outcome.FULL, i.Outcome.NO_CONNECTION, i.Outcome.NOT_SENT, i.Outcome.MISS)
@@ -25,7 +25,7 @@
     attempts: int = 0
     ran_since: float = float("inf")  # when the first attempt that may have run was sent
     last_outcome: i.Outcome | None = None  # of the attempt that ended last
-    flying: list[Attempt] = field(default_factory=list)
+    flying: list[AttemptTask] = field(default_factory=list)
 
     @property
     def may_have_run(self) -> bool:
@@ -37,12 +37,12 @@
 
     def __init__(self, settings: i.Settings, limits: Limits, figures: Metrics, log: Log) -> None:
         self.settings, self.limits, self.figures, self.log = settings, limits, figures, log
-        self.watchers: list[Watcher] = []  # hear of each end
+        self.watchers: list[CallObserver] = []  # hear of each end
         self.entries: dict[int, Entry] = {}
         self.numbers: dict[Call, int] = {}
         self.rids: dict[str, int] = {}
         self.tasks: dict[Task, HostPort | None] = {}
-        self.attempts: dict[tuple[int, int], Attempt] = {}  # those that are out, by request and number
+        self.attempts: dict[tuple[int, int], AttemptTask] = {}  # those that are out, by request and number
         self.times: TimingWheel[Task | Entry] = TimingWheel()  # when each task, and each answer, is due
         self.late: list[Entry] = []  # came to their time in this round
         self.serial = self.held = 0
@@ -52,16 +52,16 @@
 
     def take(self, call: Call, front: Front, now: float) -> i.RequestArrived | None:
         """Enters a call; None where it was answered on the spot."""
-        if call.rid in self.rids:
+        if call.request_id in self.rids:
             # guards against two open requests under one id: their answers could not be told apart
             self.tell_watchers(call, "failed")
             front.failed(call, "a request with this id is open")
             return None
-        due = min(call.due, self.latest) - self.limits.answer_margin_ms
+        due = min(call.deadline, self.latest) - self.limits.answer_margin_ms
         full = len(self.entries) >= self.limits.open_calls or self.held + len(call.body) > self.most
         if full or due <= now:
             reason = "the request table is full" if full else f"its time was over by {now - due:.0f} ms"
-            self.log("refused", f"{call.rid}: {reason} when it came")
+            self.log("refused", f"{call.request_id}: {reason} when it came")
             # guards the memory, which is hard: what is open may not hold more than its share of it. Nothing
             # was sent: a full table or a time already over is a plain refusal
             self.tell_watchers(call, "refused")
@@ -71,7 +71,7 @@
         self.counts["taken"] += 1
         self.held += len(call.body)
         entry = self.entries[self.serial] = Entry(self.serial, call, front, due)
-        self.numbers[call], self.rids[call.rid] = self.serial, self.serial
+        self.numbers[call], self.rids[call.request_id] = self.serial, self.serial
         self.times.schedule(entry, due)
         self.figures.open = len(self.entries)
         return i.RequestArrived(
@@ -82,12 +82,12 @@
             call.tenant,
             None,
             call.memory,
-            call.lanes,
+            call.slots,
             call.load_time,
             False,
-            call.bias,
-            call.wanted,
-            call.taken or None,
+            call.cost_factors,
+            call.latency_target,
+            call.received_at or None,
         )
 
     def withdraw(self, call: Call) -> i.RequestDropped | None:
@@ -103,13 +103,13 @@
         self.held -= len(entry.call.body)
         self.tell_watchers(entry.call, how)
         self.times.cancel(entry)
-        del self.entries[entry.number], self.numbers[entry.call], self.rids[entry.call.rid]
+        del self.entries[entry.number], self.numbers[entry.call], self.rids[entry.call.request_id]
         self.figures.open = len(self.entries)
 
     def tell_watchers(self, call: Call, how: str) -> None:
         self.figures.count_final_answer(self.settings.classes[call.class_index].name, how)
         for watcher in self.watchers:
-            watcher.ended(call, how)
+            watcher.call_ended(call, how)
 
     def serve(self, entry: Entry, body: bytes) -> None:
         self.close(entry, "served")
@@ -121,7 +121,7 @@
         harmless = kind.effect is i.Effect.SAFE or (
             kind.effect is i.Effect.KEYED and kind.group is i.Group.ALL
         )
-        if not harmless and (entry.may_have_run or any(a.begun for a in entry.flying)):
+        if not harmless and (entry.may_have_run or any(a.write_started for a in entry.flying)):
             return self.fail(entry, "it may have run")
         self.close(entry, "refused")
         entry.front.refused(entry.call, retry_after)
@@ -138,12 +138,12 @@
         """Sends a task on its way; what no mailbox takes has never run."""
         self.tasks[task] = port
         self.times.schedule(task, task.stop_at)
-        if port is None or not port.begin(task):
+        if port is None or not port.start_task(task):
             return self.settle(TaskEnded(task, i.Outcome.NOT_SENT))
         return None
 
-    def attempt(self, entry: Entry, worker: int, stop_at: float, now: float) -> Attempt:
-        made = Attempt(
+    def attempt(self, entry: Entry, worker: int, stop_at: float, now: float) -> AttemptTask:
+        made = AttemptTask(
             worker, min(stop_at, entry.due), now, call=entry.call, request=entry.number, number=entry.attempts
         )
         made.start_by = self.start_by(entry)
@@ -170,7 +170,7 @@
         del self.tasks[task]
         self.times.cancel(task)
         task.wanted = False
-        if isinstance(task, Attempt):
+        if isinstance(task, AttemptTask):
             del self.attempts[task.request, task.number]
             if entry := self.entries.get(task.request):
                 entry.flying.remove(task)
@@ -183,14 +183,14 @@
         """A load of it has ended: what is open and wants it has waited for that, not for a free host."""
         for entry in self.entries.values():
             if entry.call.function == function:
-                entry.call.cold = True
+                entry.call.waited_for_load = True
 
     def revoke(self, task: Task, outcome: i.Outcome) -> TaskEnded | None:
         """Ends a task from this side. One whose first byte was never written has never run."""
         port = self.tasks.get(task)
-        ended = self.settle(TaskEnded(task, outcome if task.begun else i.Outcome.NOT_SENT))
+        ended = self.settle(TaskEnded(task, outcome if task.write_started else i.Outcome.NOT_SENT))
         if ended is not None and port is not None:
-            port.revoke(task)
+            port.cancel_task(task)
         return ended
 
     def expired(self, now: float) -> list[TaskEnded]:
--- a/harrieryoke/council/actor.py
+++ b/harrieryoke/council/actor.py
@@ -100,7 +100,7 @@
 
     def acting(self, duty: str) -> int:
         """The token to act under now; 0 for not at all."""
-        if self.over or duty in self.barred or self.failing or self.ill:
+        if self.finished or duty in self.barred or self.failing or self.ill:
             return 0
         return self.holder.acting(duty, self.clock())
 
@@ -128,10 +128,10 @@
             return f"{len(command.body)} bytes are too many: {d.MOST_BODY} at the most"
         if self.agreement.leader is None:
             return "no leader is known"
-        return "" if self.tell(d.encode(command)) else "the council's mailbox is full, or it has ended"
+        return "" if self.try_send(d.encode(command)) else "the council's mailbox is full, or it has ended"
 
     def hear(self, sender: Seat, message: Message | Passed) -> None:
-        if not self.tell((sender, message)):
+        if not self.try_send((sender, message)):
             self.dropped += 1
 
     def disk_done(self, number: int) -> None:
@@ -152,17 +152,17 @@
         """Guards against a word that is lost at the mailbox's bound: one message more has always room."""
         if not self.stirring:
             self.stirring = True
-            self.box.append(None)
-            self.filled.set()
+            self.mailbox.append(None)
+            self.message_arrived.set()
 
     # --- the loop ---
 
     def run(self) -> None:
         try:
-            while not self.over:
-                self.wait(self.idle_ms())
+            while not self.finished:
+                self.wait_for_message(self.idle_ms())
                 self.turn()
-                if self.box:
+                if self.mailbox:
                     gevent.sleep(0)  # the calls that are served come first
         except ActsError as error:  # a state that this member can't take over: it may not go on without it
             self.log("council-ended", f"{error}; this member does no duty until a restart")
@@ -174,15 +174,15 @@
         most = self.told.lease_ms / WAKES if self.leave_by is None else LEAVING_MS
         return max(0.0, min(most, due - now, ends - now))
 
-    def work(self) -> None:
+    def process_mailbox(self) -> None:
         """Guards against a loop that is busy with what has come during a stall and answers no call."""
-        for _ in range(min(len(self.box), BATCH)):
-            message = self.box.popleft()
-            self.emptied.set()
+        for _ in range(min(len(self.mailbox), BATCH)):
+            message = self.mailbox.popleft()
+            self.space_available.set()
             self.receive(message)
 
     def turn(self) -> None:
-        self.work()
+        self.process_mailbox()
         now = self.clock()
         self.agreement.tick(now)
         if self.agreement.leads() and now - self.led_at >= self.told.heartbeat_ms:
@@ -362,7 +362,7 @@
                 return
         if self.has_duties():
             self.log("council-not-left", "what it held goes to others when its lease is over")
-        self.over = True
+        self.finished = True
 
     def finish(self) -> None:
         super().finish()
--- a/harrieryoke/council/part.py
+++ b/harrieryoke/council/part.py
@@ -78,7 +78,7 @@
     def reload(self, told: CouncilSettings) -> None:
         self.told = told
         self.links.renew(told.addresses())
-        self.actor.push(told)
+        self.actor.blocking_send(told)
 
     def push_stop(self) -> None:
         """Its duties go to others from here on, while the last calls are answered."""
@@ -88,7 +88,7 @@
         self.push_stop()
         self.turns.stop()
         self.actor.gone.wait(self.told.leave_ms / 1000 + SLACK_S)
-        self.actor.over = True
+        self.actor.finished = True
         self.links.stop()
         self.disk.stop(STOP_S)
 
--- a/harrieryoke/council/status.py
+++ b/harrieryoke/council/status.py
@@ -12,7 +12,7 @@
     return {
         "member": actor.me,
         "disk_number": a.seat.disk,
-        "role": "ended" if actor.over else a.role.value,
+        "role": "ended" if actor.finished else a.role.value,
         "term": a.term,
         "leader": None if a.leader is None else a.leader.name,
         "commit": a.commit,
@@ -40,6 +40,6 @@
         "lease_ms": round(max(0.0, holder.until - actor.clock())),
         "ailing": actor.ill or actor.failing,
         "void": dict(actor.acts.void),
-        "mailbox": {"waiting": len(actor.box), "dropped": actor.dropped},
+        "mailbox": {"waiting": len(actor.mailbox), "dropped": actor.dropped},
         "refused": {"count": actor.refused, "last": actor.refused_why},
     }
--- a/harrieryoke/council/turns.py
+++ b/harrieryoke/council/turns.py
@@ -78,16 +78,16 @@
         self.refused = ""  # why the council took the last proposal not
         self.missed = 0
         council.add_machine(DUTY, self.rounds)
-        council.watch(self.filled.set)
+        council.watch(self.message_arrived.set)
 
     # --- the actor ---
 
     def run(self) -> None:
-        while not self.over:
+        while not self.finished:
             due = [at for at in (self.conductor.due, self.own.due) if at is not None]
-            self.wait(min(due) - self.clock() if due else None)
-            self.filled.clear()
-            self.work()
+            self.wait_for_message(min(due) - self.clock() if due else None)
+            self.message_arrived.clear()
+            self.process_mailbox()
             self.step()
 
     def receive(self, message: Any) -> None:
@@ -115,13 +115,13 @@
             self.given()
 
     def send(self, message: Any) -> None:
-        if not self.tell(message) and not self.over:
+        if not self.try_send(message) and not self.finished:
             self.missed += 1
             self.log("reconcile-refused", "the mailbox of turns is full")
 
     def stop(self) -> None:
-        self.over = True
-        self.filled.set()
+        self.finished = True
+        self.message_arrived.set()
 
     # --- the ledger's side ---
 
--- a/harrieryoke/door/actor.py
+++ b/harrieryoke/door/actor.py
@@ -11,10 +11,19 @@
 from gevent.event import AsyncResult
 
 from .. import interface as i
-from ..core.actor import Actor, waited
+from ..core.actor import Actor, wait_for_reply
 from ..core.clock import now_ms
 from ..core.module import ModuleActor
-from ..core.records import Asked, Call, Ended, Front, Retuned, Stopping, Taken, Withdrawn
+from ..core.records import (
+    Call,
+    CallEnded,
+    CallReceived,
+    CallWithdrawn,
+    Front,
+    SettingsChanged,
+    StatusRequested,
+    Stopping,
+)
 from ..core.timing_wheel import TimingWheel
 from ..limits import Limits
 from ..log import Log
@@ -76,45 +85,45 @@
 
     def offer(self, call: Call, front: Front) -> bool:
         # guards the call against a door that has ended: it goes straight on
-        return self.push(Taken(call, front)) or self.core.admit(call, front)
+        return self.blocking_send(CallReceived(call, front)) or self.core.admit(call, front)
 
     def withdraw(self, call: Call) -> bool:
-        return self.push(Withdrawn(call)) or self.core.drop(call)
+        return self.blocking_send(CallWithdrawn(call)) or self.core.drop(call)
 
-    def ended(self, call: Call, how: str) -> None:
+    def call_ended(self, call: Call, how: str) -> None:
         """What was never handed on here is passed over."""
-        if call.handed and not self.tell(Ended(call, how)):
+        if call.watched_by_door and not self.try_send(CallEnded(call, how)):
             self.log("door-behind", "an end could not be told to the door")
 
     # --- the loop ---
 
     def run(self) -> None:
-        while not self.over:
-            self.wait(min(self.times.next_time() - self.clock(), 1000.0))
-            self.work()
+        while not self.finished:
+            self.wait_for_message(min(self.times.next_time() - self.clock(), 1000.0))
+            self.process_mailbox()
             self.expire(self.clock())
             self.pump(self.clock())
 
     def finish(self) -> None:
         """Guards what waits against a fault of this actor: it goes on to the module."""
-        waiting, self.over = list(self.waiting.values()), True
+        waiting, self.finished = list(self.waiting.values()), True
         super().finish()
         for each in waiting:
             self.core.admit(each.call, each.front)
-        for message in list(self.box):
-            if isinstance(message, Taken):
+        for message in list(self.mailbox):
+            if isinstance(message, CallReceived):
                 self.core.admit(message.call, message.front)
-            elif isinstance(message, Withdrawn):
+            elif isinstance(message, CallWithdrawn):
                 self.core.drop(message.call)
 
     def receive(self, message: Any) -> None:
         now = self.clock()
         match message:
-            case Taken(call, front):
+            case CallReceived(call, front):
                 self.enter(call, front, now)
-            case Ended(call, how):
+            case CallEnded(call, how):
                 self.out(call, how, now)
-            case Withdrawn(call):
+            case CallWithdrawn(call):
                 if self.remove(call) is None:
                     self.core.drop(call)
                 else:
@@ -124,13 +133,13 @@
                 self.stop_at = by - STOP_MS
                 for call in self.waiting:
                     self.times.schedule(call, self.leaves_at(call))
-            case Retuned(settings):
+            case SettingsChanged(settings):
                 self.settings, self.reserve = settings, self.limits.open_calls
-                self.bound = self.limits.module_mailbox + self.reserve
+                self.capacity = self.limits.module_mailbox + self.reserve
                 self.queue.reweigh({t.name: t.allowance_per_s or 1.0 for t in settings.tenants})
-            case Asked(tell):
+            case StatusRequested(tell):
                 tell(self.status())
-        if not self.box:
+        if not self.mailbox:
             self.pump(now)
 
     # --- in ---
@@ -143,14 +152,14 @@
 
     def leaves_at(self, call: Call) -> float:
         """When a call that still waits is refused: before half of its time, so that it can be asked again."""
-        return min(call.taken + self.told.wait_share * (call.due - call.taken), self.stop_at)
+        return min(call.received_at + self.told.wait_share * (call.deadline - call.received_at), self.stop_at)
 
     def enter(self, call: Call, front: Front, now: float) -> None:
         self.counts["came"] += 1
         tenant, client, kind = self.tenant(call), self.client(call), self.settings.classes[call.class_index]
         first = self.calendar.returns((tenant, client), now)
         cost = self.costs.setdefault(call.class_index, kind.aim / 4)
-        item = Item(call, tenant, client, cost, kind.worth / cost, call.due, first)
+        item = Item(call, tenant, client, cost, kind.worth / cost, call.deadline, first)
         each = Waiting(call, front, item)
         # who was told to come later and comes now takes no place from those that wait
         early = self.calendar.waits((tenant, client), now)
@@ -176,7 +185,7 @@
             self.times.cancel(each.call)
             self.limit.enter()
             self.counts["handed"] += 1
-            each.call.handed = True
+            each.call.watched_by_door = True
             self.inside[each.call] = Inside(now, item.cost)
             self.core.admit(each.call, each.front)
 
@@ -187,9 +196,9 @@
             return
         took, kind = now - was.since, self.settings.classes[call.class_index]
         # guards the limit against cold hosts and a slow store: a load's time is no sign of too many inside
-        self.limit.ended(now, took, kind.aim, how in ("served", "failed") and not call.cold)
+        self.limit.ended(now, took, kind.aim, how in ("served", "failed") and not call.waited_for_load)
         self.rate.ended(now, was.cost, bool(len(self.queue)))
-        if how == "served" and not call.cold:
+        if how == "served" and not call.waited_for_load:
             self.costs[call.class_index] += 0.02 * (max(1.0, took) - self.costs[call.class_index])
 
     def remove(self, call: Call) -> Waiting | None:
@@ -231,12 +240,12 @@
     # --- for the operators ---
 
     def push_stop(self, by: float) -> None:
-        self.push(Stopping(by))
+        self.blocking_send(Stopping(by))
 
     def ask_status(self, timeout_ms: float) -> dict[str, Any]:
         told: AsyncResult = AsyncResult()
-        self.push(Asked(told.set))
-        return waited(told, timeout_ms)
+        self.blocking_send(StatusRequested(told.set))
+        return wait_for_reply(told, timeout_ms)
 
     def status(self) -> dict[str, Any]:
         waiting = {name: t.waiting for name, t in self.queue.tenants.items() if name != NO_TENANT}
--- a/harrieryoke/lab/rounds.py
+++ b/harrieryoke/lab/rounds.py
@@ -13,7 +13,7 @@
 
 from .. import interface as i
 from ..core.module import ModuleActor
-from ..core.records import Attempt, Call, Listed, Order, Taken, Task, TaskEnded
+from ..core.records import AttemptTask, Call, CallReceived, OrderTask, Task, TaskEnded, WorkersChanged
 from ..limits import Limits
 from ..log import Log
 
@@ -65,15 +65,15 @@
     def __init__(self, world: Rounds) -> None:
         self.world, self.copies = world, set[str]()
 
-    def begin(self, task: Task) -> bool:
-        task.begun = True
+    def start_task(self, task: Task) -> bool:
+        task.write_started = True
         world = self.world
-        if isinstance(task, Order):
+        if isinstance(task, OrderTask):
             self.copies.add(task.function)
             ended = TaskEnded(task, i.Outcome.OK, copies=1)
             took = 400.0
-        elif isinstance(task, Attempt) and task.call.function in self.copies:
-            ended = TaskEnded(task, i.Outcome.OK, b"x", i.Found.COPY, crowd=0)
+        elif isinstance(task, AttemptTask) and task.call.function in self.copies:
+            ended = TaskEnded(task, i.Outcome.OK, b"x", i.Found.COPY, concurrent_requests=0)
             took = world.rng.expovariate(1 / world.work)
         else:
             ended, took = TaskEnded(task, i.Outcome.MISS), 3.0
@@ -81,10 +81,10 @@
         heappush(world.ends, (world.now + took, world.due, ended))
         return True
 
-    def revoke(self, task: Task) -> None:
+    def cancel_task(self, task: Task) -> None:
         pass
 
-    def drop(self, function: str) -> None:
+    def drop_copies(self, function: str) -> None:
         self.copies.discard(function)
 
 
@@ -97,15 +97,15 @@
         self.actor = ModuleActor(SETTINGS, seed, Limits(), Log(), lambda: self.now)
         entries = tuple(i.WorkerEntry(n, cell=n // 2) for n in range(hosts))
         ports: dict[int, Any] = {n: Port(self) for n in range(hosts)}
-        self.actor.step(self.now, [Listed(i.WorkersListed(i.ListScope.REMEMBERED, entries), ports)])
+        self.actor.step(self.now, [WorkersChanged(i.WorkersListed(i.ListScope.REMEMBERED, entries), ports)])
         self.front, self.calls, self.rounds, self.most_open = Silent(), 0, 0, 0
 
-    def call(self) -> Taken:
+    def call(self) -> CallReceived:
         self.calls += 1
         kind = int(self.rng.random() < 0.21)
         function = f"{min(int(self.rng.paretovariate(0.8)), 150):016x}"
         due = self.now + SETTINGS.classes[kind].deadline * self.rng.uniform(0.5, 1.0)
-        return Taken(
+        return CallReceived(
             Call(
                 f"{self.calls:016x}", kind, function, due, b"", f"k{self.calls}", None, 400, 4, 400, self.now
             ),
--- a/harrieryoke/ledger/actor.py
+++ b/harrieryoke/ledger/actor.py
@@ -15,9 +15,9 @@
 from .. import interface as i
 from ..background.decide.schedule import Job
 from ..background.runner import Runner, Slice
-from ..core.actor import Actor, waited
+from ..core.actor import Actor, wait_for_reply
 from ..core.clock import now_ms, wall_ms
-from ..core.records import Asked, Call, Ended, Front, Retuned
+from ..core.records import Call, CallEnded, Front, SettingsChanged, StatusRequested
 from ..log import Log
 from ..state import Bucket
 from ..store.actor import StoreKeeper
@@ -143,15 +143,15 @@
         return HeldFront(front, self) if self.holds else front
 
     def answered(self, call: Call, how: str, deliver: Callable[[], object]) -> None:
-        if not self.tell(Answered(call, how, deliver)):
+        if not self.try_send(Answered(call, how, deliver)):
             self.miss()
             deliver()
 
-    def ended(self, call: Call, how: str) -> None:
+    def call_ended(self, call: Call, how: str) -> None:
         """Where answers come by `answered`, only a call without one is new here."""
         if self.holds and how != "withdrawn":
             return
-        if not self.tell(Ended(call, how)):
+        if not self.try_send(CallEnded(call, how)):
             self.miss()
 
     def miss(self) -> None:
@@ -169,14 +169,14 @@
         super().start()
 
     def wake(self) -> None:
-        self.filled.set()
+        self.message_arrived.set()
         self.wanted()
 
     def run(self) -> None:
-        while not self.over:
+        while not self.finished:
             soonest = min((h.until for h in self.held), default=now_ms() + TICK_MS)
-            self.wait(min(TICK_MS, soonest - now_ms()))
-            self.work()
+            self.wait_for_message(min(TICK_MS, soonest - now_ms()))
+            self.process_mailbox()
             self.release()
             self.tick()
 
@@ -202,11 +202,11 @@
         super().finish()
         for each in self.held:
             each.deliver()
-        for message in list(self.box):
+        for message in list(self.mailbox):
             if isinstance(message, Answered):
                 message.deliver()
         self.held.clear()
-        self.box.clear()
+        self.mailbox.clear()
 
     def tick(self) -> None:
         """Periods are stretches of the wall clock, and so is what a gap tells of."""
@@ -237,18 +237,18 @@
                 if seq is None or seq <= self.durable():
                     deliver()
                 else:
-                    until = min(now_ms() + self.told.hold_ms, call.due - LAST_MS)
+                    until = min(now_ms() + self.told.hold_ms, call.deadline - LAST_MS)
                     self.held.append(Held(seq, until, deliver))
-            case Ended(call, how):
+            case CallEnded(call, how):
                 self.enter(call, how)
             case Do(what, told):
                 try:
                     told.set(what())
                 except Exception as error:
                     told.set_exception(error)
-            case Retuned(settings):
+            case SettingsChanged(settings):
                 self.settings = settings
-            case Asked(tell):
+            case StatusRequested(tell):
                 tell(self.status())
 
     def enter(self, call: Call, how: str) -> int | None:
@@ -264,7 +264,7 @@
             tenant, rate = known.name, known.allowance_per_s
             share = self.shares.setdefault(call.tenant, Bucket())
             over = rate > 0 and not share.take(now, rate / 1000, max(1.0, rate))
-        took = max(0, int(now - call.taken)) if call.taken else 0
+        took = max(0, int(now - call.received_at)) if call.received_at else 0
         use = Use(
             int(wall_ms()),
             tenant,
@@ -277,7 +277,7 @@
             call.function,
             call.label or "",
             call.key,
-            call.rid,
+            call.request_id,
         )
         self.counts[how] += 1
         return self.write(self.ledger.book.use(use))
@@ -318,7 +318,7 @@
     def ask(self, what: Callable[[], T], timeout_ms: float = 5000.0) -> T:
         """Runs it in the ledger's greenlet and waits. Raises what it raises, or gevent.Timeout."""
         told: AsyncResult = AsyncResult()
-        if not self.push(Do(what, told)):
+        if not self.blocking_send(Do(what, told)):
             raise BookError("the ledger has ended")
         return told.get(timeout=timeout_ms / 1000)  # type: ignore[no-any-return]
 
@@ -448,8 +448,8 @@
 
     def ask_status(self, timeout_ms: float) -> dict[str, Any]:
         told: AsyncResult = AsyncResult()
-        self.push(Asked(told.set))
-        return waited(told, timeout_ms)
+        self.blocking_send(StatusRequested(told.set))
+        return wait_for_reply(told, timeout_ms)
 
     def status(self) -> dict[str, Any]:
         ledger, export = self.ledger, self.ledger.export
@@ -490,10 +490,10 @@
     def stop(self, timeout_s: float) -> None:
         """What came is entered, and what is entered is brought to the disk."""
         with gevent.Timeout(timeout_s, False):
-            while self.box and not self.over:
+            while self.mailbox and not self.finished:
                 gevent.sleep(0.01)
-        self.over = True
-        self.filled.set()
+        self.finished = True
+        self.message_arrived.set()
         if self.keeper is not None:
             self.keeper.stop(timeout_s)
 
--- a/harrieryoke/ledger/part.py
+++ b/harrieryoke/ledger/part.py
@@ -52,14 +52,14 @@
             where = read_address("ledger.collector.address", told.collector.address)
             self.link = CollectorLink(told.collector, where, self.actor, self.runner, log, turns)
 
-    def ended(self, call: Call, how: str) -> None:
-        self.actor.ended(call, how)
+    def call_ended(self, call: Call, how: str) -> None:
+        self.actor.call_ended(call, how)
 
     def front_for(self, front: Front) -> Front:
         return self.actor.front_for(front)
 
-    def push(self, message: Any) -> bool:
-        return self.actor.push(message)
+    def blocking_send(self, message: Any) -> bool:
+        return self.actor.blocking_send(message)
 
     def start(self) -> None:
         self.actor.start()
@@ -75,8 +75,8 @@
         """After the last answer: what is left is exported for a while, and all is brought to the disk."""
         if self.link is not None:
             self.link.finish(timeout_s)
-        self.runner.over = True
-        self.runner.filled.set()
+        self.runner.finished = True
+        self.runner.message_arrived.set()
         self.actor.stop(timeout_s)
 
     def answer(self, method: str, path: str, query: Mapping[str, str], timeout_ms: float) -> tuple[int, Any]:
--- a/harrieryoke/limits.py
+++ b/harrieryoke/limits.py
@@ -1,4 +1,4 @@
-"""Every size, count and time that bounds the invoker, in one type filled at start and handed down."""
+"""Resource limits and timeouts of the invoker."""
 
 from __future__ import annotations
 
@@ -7,13 +7,15 @@
 
 @dataclass(slots=True)
 class Limits:
-    """Times are milliseconds. The platform's configuration and the operator's file fill this; the service
-    alone changes it, where SIGHUP brings other ceilings."""
+    """Limits from the platform's configuration and the operator's file.
+
+    Only the service changes them, when SIGHUP brings other ceilings. Times are milliseconds.
+    """
 
     sockets: int = 1024
     memory_mb: int = 192
-    body_bytes: int = 16 * 1024  # of a request
-    answer_bytes: int = 256 * 1024  # of a model host's answer, which may be longer than a request
+    body_bytes: int = 16 * 1024  # body of a request
+    answer_bytes: int = 256 * 1024  # a model host's answer, which may be longer than a request
     line_bytes: int = 64 * 1024
     header_bytes: int = 16 * 1024
     open_per_connection: int = 32
@@ -33,17 +35,16 @@
     client_ask_ms: float = 2000.0
     client_fresh_ms: float = 100.0
     sweep_ms: float = 250.0
-    start_ms: float = 20000.0  # a start waits this long for sockets that the machine has not at the moment
+    start_ms: float = 20000.0  # at startup, for local errors such as a lack of sockets to pass
     link_idle_ms: float = 30000.0
     timer_slack_ms: float = 5.0
     answer_margin_ms: float = 8.0
     bus_dial_ms: float = 500.0
-    bus_quiet_ms: float = 2000.0  # between whole lines; heartbeats come every second
-    bus_line_ms: float = 4000.0  # from the first byte of a line to its end, as lists may be large
-    bus_anew_ms: float = (
-        7000.0  # what the bus has to tell counts as told by then; a number still lower is a new count
-    )
-    bus_lag_ms: float = 2000.0  # heartbeats that may be older than this are not told from late ones any more
+    bus_quiet_ms: float = 2000.0  # between complete lines; heartbeats come every second
+    bus_line_ms: float = 4000.0  # from the first byte of a line to its last; lists may be large
+    # By then the bus has sent its backlog: a sequence number that is still lower belongs to a new sequence.
+    bus_anew_ms: float = 7000.0
+    bus_lag_ms: float = 2000.0  # a connection whose heartbeats may lag by more is replaced
     bus_backoff_ms: float = 50.0
     bus_backoff_most_ms: float = 250.0
     stop_accepting_ms: float = 650.0
@@ -52,14 +53,14 @@
     carry_ms: float = 400.0
     upgrade_links: int = 4
     handover_bytes: int = 8 * 1024 * 1024
-    body_share: float = 0.15  # of the memory, for the bodies of open requests
+    body_share: float = 0.15  # share of memory_mb for the bodies of open requests
     log_lines_per_s: int = 20
     keys: int = 50000
     management_callers: int = 32
     management_line_bytes: int = 1024
-    management_ms: float = 4500.0  # a caller's whole stay
-    ban_ms: float = 700.0  # a call waits this long for the worker list's actor
-    ids_remembered: int = 8192  # model hosts that were ever listed
-    figures_ms: float = 400.0  # figures that must be looked up are no older
-    recount_ms: float = 100.0  # and are looked up no more often
-    class_slots: int = 1024  # definitions of classes from the start on; each keeps its place
+    management_ms: float = 4500.0  # whole duration of a caller's connection
+    ban_ms: float = 700.0  # a management call waits this long for the worker list actor
+    ids_remembered: int = 8192  # model hosts whose last list entry is kept, including those that left
+    figures_ms: float = 400.0  # maximum age of gauges that are computed on demand
+    recount_ms: float = 100.0  # minimum time between two computations of them
+    class_slots: int = 1024  # class definitions since startup; each keeps its index
--- a/harrieryoke/mqtt/front.py
+++ b/harrieryoke/mqtt/front.py
@@ -23,7 +23,7 @@
 from ..core.calls import CallMaker
 from ..core.clock import now_ms
 from ..core.module import ModuleActor
-from ..core.records import Call, Counted
+from ..core.records import Call, CountersRequested
 from ..limits import Limits
 from ..log import Log
 from .memory import Final, KeyMemory
@@ -140,13 +140,13 @@
     # --- the core's side ---
 
     def served(self, call: Call, body: bytes) -> None:
-        self.tell(Answered(call, Final("served", body)))
+        self.try_send(Answered(call, Final("served", body)))
 
     def refused(self, call: Call, retry_after: float | None) -> None:
-        self.tell(Answered(call, Final("refused", retry_after=retry_after)))
+        self.try_send(Answered(call, Final("refused", retry_after=retry_after)))
 
     def failed(self, call: Call, reason: str) -> None:
-        self.tell(Answered(call, Final("failed", reason=reason)))
+        self.try_send(Answered(call, Final("failed", reason=reason)))
 
     # --- the connection: paho's greenlet ---
 
@@ -157,16 +157,16 @@
     def follow(self) -> None:
         """Connects over and over, with growing pauses, until the actor stops."""
         pause = self.limits.bus_backoff_ms
-        while not self.over:
+        while not self.finished:
             self.lives += 1
             try:
                 self.connect()
-                while self.client.loop(0.2) == paho.MQTT_ERR_SUCCESS and not self.over:
+                while self.client.loop(0.2) == paho.MQTT_ERR_SUCCESS and not self.finished:
                     pause = self.limits.bus_backoff_ms
                 reason = "lost"
             except Exception as error:  # paho raises of many kinds on what a broker should not send
                 reason = f"{type(error).__name__}: {error}"
-            if not self.over:
+            if not self.finished:
                 self.log("broker-lost", f"{self.where[0]}:{self.where[1]}: {reason}")
                 gevent.sleep(pause / 1000)
                 pause = min(2 * pause, 5 * self.limits.bus_backoff_most_ms)
@@ -186,7 +186,7 @@
     def on_connect(self, client: paho.Client, data: Any, flags: Any, code: Any, properties: Any) -> None:
         if code.is_failure:
             return self.log("broker-refused", str(code))
-        self.push(Connected(self.lives, bool(flags.session_present)))
+        self.blocking_send(Connected(self.lives, bool(flags.session_present)))
         if self.told.version == "5":
             options = SubscribeOptions(qos=1, retainHandling=SubscribeOptions.RETAIN_DO_NOT_SEND)
             client.subscribe([(f, options) for f in self.reader.filters()])
@@ -194,7 +194,7 @@
             client.subscribe([(f, 1) for f in self.reader.filters()])
 
     def on_publish(self, client: paho.Client, data: Any, mid: int, code: Any, properties: Any) -> None:
-        self.push(Received(mid))
+        self.blocking_send(Received(mid))
 
     def on_message(self, client: paho.Client, data: Any, m: paho.MQTTMessage) -> None:
         """Waits for a credit: while the table is full nothing more is read, and the broker keeps it."""
@@ -214,7 +214,7 @@
             named,
             now_ms(),
         )
-        self.push(Delivered(message, self.lives))
+        self.blocking_send(Delivered(message, self.lives))
 
     # --- the actor ---
 
@@ -228,12 +228,12 @@
                 self.answered(call, final)
             case Received(number):
                 self.sent.discard(number)
-            case Counted(tell):
+            case CountersRequested(tell):
                 tell(self.counts | {"open": len(self.calls)})
             case Stop():
                 self.stopping = True
         # guards against a reset that takes the last outcomes with it: a close with receipts unread is one
-        if self.stopping and not self.calls and not self.sent and not self.box:
+        if self.stopping and not self.calls and not self.sent and not self.mailbox:
             self.leave()
 
     def connected(self, life: int, session: bool) -> None:
@@ -354,12 +354,12 @@
 
     def push_stop(self) -> None:
         """Takes nothing more, answers what was taken, and leaves the broker in order; `gone` tells."""
-        self.push(Stop())
+        self.blocking_send(Stop())
 
     def leave(self) -> None:
         """Lets what paho still holds go out before the connection ends."""
         until = now_ms() + self.limits.write_ms
         while self.client.want_write() and now_ms() < until:
             gevent.sleep(0.01)
-        self.over = True
+        self.finished = True
         self.client.disconnect()
--- a/harrieryoke/net/bus_follower.py
+++ b/harrieryoke/net/bus_follower.py
@@ -121,7 +121,7 @@
 
     def move(self, where: tuple[str, int]) -> bool:
         """Follows the bus at another address, once the actor comes to it."""
-        return self.push(Moved(where))
+        return self.blocking_send(Moved(where))
 
     def run(self) -> None:
         """The actor's greenlet."""
@@ -143,7 +143,7 @@
             self.log,
             "event bus reader",
             lambda: self.read(number, where, last, pause),
-            lambda: self.push(Ended(number, "its reader ended")),
+            lambda: self.blocking_send(Ended(number, "its reader ended")),
         )
 
     def read(self, number: int, where: tuple[str, int], last: int, pause: float) -> None:
@@ -157,7 +157,7 @@
             reason = "closed by the bus"
         except (OSError, ValueError) as error:
             reason = str(error)
-        self.push(Ended(number, reason))
+        self.blocking_send(Ended(number, reason))
 
     def read_lines(self, number: int, sock: socket.socket) -> None:
         """Until the bus closes. Raises TimeoutError when it keeps quiet for longer than its second, and
@@ -170,7 +170,7 @@
                 return
             lines = buffer.feed(data, now_ms())
             for line in lines:
-                self.push(Told(number, line))
+                self.blocking_send(Told(number, line))
             if lines:
                 buffer.resume(now_ms())
 
--- a/harrieryoke/net/client.py
+++ b/harrieryoke/net/client.py
@@ -123,28 +123,28 @@
         usual_bytes = limits.open_per_connection * (limits.body_bytes * 4 // 3 + ANSWER_HEAD_BYTES)
         most_bytes = usual_bytes + LONG_ANSWERS * limits.answer_bytes * 4 // 3
         self.outgoing = Outgoing(
-            sock, self.name, UNSENT_MESSAGES, most_bytes, log, lambda: self.tell(AllSent()), self.lost
+            sock, self.name, UNSENT_MESSAGES, most_bytes, log, lambda: self.try_send(AllSent()), self.lost
         )
 
     # --- the core's side ---
 
     def served(self, call: Call, body: bytes) -> None:
-        self.tell(Answer(call, {"result": {"blob": body}}))
+        self.try_send(Answer(call, {"result": {"blob": body}}))
 
     def refused(self, call: Call, retry_after: float | None) -> None:
         error: dict[str, Any] = {"code": REFUSED, "message": "refused: trying again is harmless"}
         if retry_after:
             error["data"] = {"backoff": round(retry_after)}
-        self.tell(Answer(call, {"error": error}))
+        self.try_send(Answer(call, {"error": error}))
 
     def failed(self, call: Call, reason: str) -> None:
-        self.tell(Answer(call, {"error": {"code": FAILED, "message": f"failed: {reason}"}}))
+        self.try_send(Answer(call, {"error": {"code": FAILED, "message": f"failed: {reason}"}}))
 
     # --- the connection ---
 
     def quiet(self, now: float) -> float | None:
         """For how long nothing has come that is whole; None while something is open. The front reads this."""
-        return None if self.open or self.box or self.unposted or self.outgoing.unsent else now - self.used
+        return None if self.open or self.mailbox or self.unposted or self.outgoing.unsent else now - self.used
 
     def stale(self, now: float, resumed: float) -> bool:
         """Whether the client never asks, has stopped within a line, or never closes: its descriptor is wanted
@@ -156,7 +156,7 @@
 
     def close_stale(self) -> bool:
         """Has the connection closed, unless the client goes on before its actor comes to it."""
-        return self.tell(CloseIfIdle(self.used if self.partial else None))
+        return self.try_send(CloseIfIdle(self.used if self.partial else None))
 
     def unread(self) -> bool:
         """Whether something has come that the reader has not taken yet."""
@@ -208,25 +208,25 @@
         """Posts the whole lines; False where the connection has ended. Backpressure on the client: waits
         while the mailbox is full up to its reserve, unless the client goes. The end of the stream lies
         behind what was not read, so `recv` would show it too late."""
-        while self.unposted and not self.over:
-            if len(self.box) < self.bound - self.reserve:
-                self.tell(Line(self.unposted.pop(), self.came))
+        while self.unposted and not self.finished:
+            if len(self.mailbox) < self.capacity - self.reserve:
+                self.try_send(Line(self.unposted.pop(), self.came))
             elif has_hung_up(self.sock):
                 return False
             else:
-                self.emptied.clear()
-                self.emptied.wait(HANG_UP_CHECK_MS / 1000)
-        return not self.over
+                self.space_available.clear()
+                self.space_available.wait(HANG_UP_CHECK_MS / 1000)
+        return not self.finished
 
     def end(self) -> None:
         """The connection is over, at once and ahead of what is in the mailbox: lines not yet handled are
         dropped, nothing is written, and no attempt may begin for what is open."""
-        self.over = True
+        self.finished = True
         self.outgoing.close()
         for call in self.ids:
             call.abandoned = True
-        self.filled.set()
-        self.emptied.set()
+        self.message_arrived.set()
+        self.space_available.set()
 
     def lost(self, reason: str) -> None:
         """Nothing more can be written to the client."""
@@ -246,7 +246,7 @@
                 self.going = message
             case AllSent():
                 pass  # whoever waits for this goes on below
-        if not (self.over or self.open or self.box or self.unposted or self.outgoing.unsent):
+        if not (self.finished or self.open or self.mailbox or self.unposted or self.outgoing.unsent):
             self.leave_if_asked()
 
     def leave_if_asked(self) -> None:
@@ -256,17 +256,17 @@
         if self.going is not None and not self.partial:
             self.hand_over(self.going)
         elif self.stopping and not self.unread():
-            self.over = True
+            self.finished = True
 
     def hand_over(self, going: PassOn) -> None:
         """The socket is another's from here: nothing is read or written on it. What the reader took off it
         as it was ended keeps the connection here for now."""
         self.reader.kill()
-        if self.over:
+        if self.finished:
             return
-        if self.box or self.unposted or self.partial:
+        if self.mailbox or self.unposted or self.partial:
             return self.start_reading()
-        self.over, handed = True, self.sock
+        self.finished, handed = True, self.sock
         self.sock = socket.socket()
         going.to(handed, self.client)
 
@@ -320,7 +320,7 @@
             raise BadRequestError(BAD_PARAMS, str(error)) from None
         id = p.id if p.id is not None else m.id
         if p.rid is not None:
-            id = next((n for n, call in self.open.items() if call.rid == p.rid), None)
+            id = next((n for n, call in self.open.items() if call.request_id == p.rid), None)
         if id is not None and (call := self.open.pop(id, None)) is not None:
             del self.ids[call]
             call.abandoned = True
--- a/harrieryoke/net/host.py
+++ b/harrieryoke/net/host.py
@@ -14,7 +14,7 @@
 from ..core.clock import now_ms
 from ..core.local_errors import is_broken_off, is_local
 from ..core.metrics import Metrics
-from ..core.records import Attempt, Order, Task, TaskEnded
+from ..core.records import AttemptTask, OrderTask, Task, TaskEnded
 from ..limits import Limits
 from ..log import Log
 from . import frames
@@ -41,7 +41,7 @@
         """A draining, gone or replaced host gets nothing new; one that drains may still be asked."""
         if self.replaced or self.drain is i.Drain.GONE:
             return False
-        return self.drain is i.Drain.UP or (isinstance(task, Order) and task.copies == 0)
+        return self.drain is i.Drain.UP or (isinstance(task, OrderTask) and task.copies == 0)
 
 
 @dataclass(slots=True)
@@ -88,7 +88,7 @@
 
 def soon(task: Task) -> bool:
     """A load may take its time; all else is answered within its usual time, or the host is silent."""
-    return not isinstance(task, Order) or task.copies == 0
+    return not isinstance(task, OrderTask) or task.copies == 0
 
 
 class HostActor(Actor):
@@ -121,35 +121,35 @@
 
     # --- the port that the module actor sees ---
 
-    def begin(self, task: Task) -> bool:
-        return self.tell(Begin(task))
+    def start_task(self, task: Task) -> bool:
+        return self.try_send(Begin(task))
 
-    def revoke(self, task: Task) -> None:
-        self.tell(Revoke(task))
+    def cancel_task(self, task: Task) -> None:
+        self.try_send(Revoke(task))
 
-    def drop(self, function: str) -> None:
-        self.tell(Drop(function))
+    def drop_copies(self, function: str) -> None:
+        self.try_send(Drop(function))
 
     # --- the loop ---
 
     def run(self) -> None:
-        while not self.over:
+        while not self.finished:
             owed = any(link.part_since is not None or link.asked is not None for link in self.links)
-            self.wait(self.limits.frame_ms / 2 if owed else self.limits.link_idle_ms / 4)
-            self.work()
+            self.wait_for_message(self.limits.frame_ms / 2 if owed else self.limits.link_idle_ms / 4)
+            self.process_mailbox()
             self.tidy()
-            if self.retiring and not self.places and not self.box:
+            if self.retiring and not self.places and not self.mailbox:
                 return
 
     def finish(self) -> None:
         """Whatever ended the actor: nothing that was out or queued stays without its end."""
-        self.over = True
+        self.finished = True
         for link in list(self.links):
             self.close(link, "the host's actor ended")
-        for message in list(self.box):
+        for message in list(self.mailbox):
             if isinstance(message, Begin):
                 self.end(message.task, i.Outcome.NOT_SENT)
-        self.box.clear()
+        self.mailbox.clear()
         super().finish()
 
     def receive(self, message: Any) -> None:
@@ -175,7 +175,7 @@
                 else:
                     self.flush(link)
             case Retire(now):
-                self.retiring, self.over = True, self.over or now
+                self.retiring, self.finished = True, self.finished or now
 
     def end(self, task: Task, outcome: i.Outcome, **told: Any) -> None:
         self.report(TaskEnded(task, outcome, **told))
@@ -187,7 +187,7 @@
         now = now_ms()
         if not task.wanted or task.stop_at <= now or task.start_by <= now:
             return False
-        if isinstance(task, Attempt) and task.call.abandoned:
+        if isinstance(task, AttemptTask) and task.call.abandoned:
             return False
         return self.standing.takes(task)
 
@@ -235,7 +235,7 @@
                 return
             link.backlog.popleft()
             link.used = now_ms()
-            if isinstance(frame.task, Attempt):
+            if isinstance(frame.task, AttemptTask):
                 self.figures.for_class(self.classes[frame.task.call.class_index].name).tries += 1
 
     def prepare(self, link: Link, frame: Unsent) -> bool:
@@ -266,18 +266,18 @@
             link.sock.wait_writable(self.limits.write_ms)
         except OSError as failed:
             error = f"write: {failed}"
-        self.push(Writable(link, error))
+        self.blocking_send(Writable(link, error))
 
     def frame_for(self, task: Task, link: Link) -> Unsent:
-        if isinstance(task, Attempt):
-            return Unsent(frames.REQUEST, int(task.call.rid, 16), task)
+        if isinstance(task, AttemptTask):
+            return Unsent(frames.REQUEST, int(task.call.request_id, 16), task)
         self.serial += 1
         while self.serial in link.open:
             self.serial += 1
-        return Unsent(frames.HOLD if isinstance(task, Order) else frames.PROBE_LOAD, self.serial, task)
+        return Unsent(frames.HOLD if isinstance(task, OrderTask) else frames.PROBE_LOAD, self.serial, task)
 
     def encode(self, frame: Unsent, task: Task) -> bytes:
-        if isinstance(task, Attempt):
+        if isinstance(task, AttemptTask):
             call = task.call
             fields = {
                 "sort": self.classes[call.class_index].name,
@@ -287,7 +287,7 @@
             if call.key is not None:
                 fields["op"] = call.key
             return frames.encode(frame.code, frame.id, fields, call.body)
-        if isinstance(task, Order):
+        if isinstance(task, OrderTask):
             held = {"asset": task.function, "pods": str(task.copies)}
             return frames.encode(frame.code, frame.id, held)
         return frames.encode(frame.code, frame.id)
@@ -304,7 +304,7 @@
         del link.open[id]
         if not link.open and not self.silent(link):
             link.asked = None  # what was given up early tells nothing of the host
-        if isinstance(task, Attempt):
+        if isinstance(task, AttemptTask):
             self.post(link, Unsent(frames.GIVE_UP, id, data=frames.encode(frames.GIVE_UP, id)))
 
     def unload(self, function: str) -> None:
@@ -322,8 +322,8 @@
         """The newest link with room, rather one that takes bytes; a further one only when all are full, or
         silent. An ask whether the host lives goes by none that owes an answer for longer than a dial would
         take. None where the host can't be reached. Raises NoRoomForLinkError."""
-        ask = isinstance(task, Order) and task.copies == 0
-        id = int(task.call.rid, 16) if isinstance(task, Attempt) else None
+        ask = isinstance(task, OrderTask) and task.copies == 0
+        id = int(task.call.request_id, 16) if isinstance(task, AttemptTask) else None
         blocked: Link | None = None
         for link in reversed(self.links):
             quiet = now_ms() - link.asked if ask and link.asked is not None else 0.0
@@ -386,9 +386,9 @@
 
     def fail_queued(self) -> None:
         """What waited behind a failed dial fails with it: nobody waits for one dial after the other."""
-        queued = [m for m in self.box if isinstance(m, Begin)]
+        queued = [m for m in self.mailbox if isinstance(m, Begin)]
         for message in queued:
-            self.box.remove(message)
+            self.mailbox.remove(message)
             fits = self.may_begin(message.task)
             self.end(message.task, i.Outcome.NO_CONNECTION if fits else i.Outcome.NOT_SENT)
 
@@ -415,14 +415,14 @@
                     began, partial = link.part_since, bool(link.decoder.rest)
                     link.part_since = now_ms() if partial else None
                     if heard or (began is None and partial):
-                        self.push(Heard(link, heard))
+                        self.blocking_send(Heard(link, heard))
         except frames.FrameError as error:
             reason = f"bad frame: {error}"
             self.log("bad-frame", f"{self.name}: {error}")
         except OSError as error:
             reason = f"read: {error}"
         link.ended = True  # nothing more is to begin here, also while the message waits in the mailbox
-        self.push(Lost(link, reason))
+        self.blocking_send(Lost(link, reason))
 
     def close(self, link: Link, reason: str) -> None:
         """What was out on a link that ends may have run; the host has given it up. What was never written
@@ -464,22 +464,22 @@
         if task is None:
             return  # it was given up while the answer was on its way
         probed = frame.code >= frames.HEALTHY
-        if frame.code not in ENDS or probed == isinstance(task, Attempt | Order):
+        if frame.code not in ENDS or probed == isinstance(task, AttemptTask | OrderTask):
             self.log("bad-frame", f"{self.name}: code {frame.code} for {type(task).__name__}")
             return self.close(link, f"code {frame.code}")
         del link.open[frame.id], self.places[task]
         link.used = now_ms()
         note = frame.fields.get("n", "")
         outcome = ENDS[frame.code]
-        if isinstance(task, Order):
+        if isinstance(task, OrderTask):
             return self.end(task, outcome, copies=number(frame.fields.get("pods")) or 0)
         report, crowd = read_report(frame.fields.get("l")), number(frame.fields.get("depth"))
         self.end(
             task,
             outcome,
             body=frame.body,
-            found=FOUND.get(note),
+            copy_lookup=FOUND.get(note),
             load_failed=note == "f",
-            crowd=crowd,
+            concurrent_requests=crowd,
             report=report,
         )
--- a/harrieryoke/net/hostlist.py
+++ b/harrieryoke/net/hostlist.py
@@ -10,7 +10,7 @@
 from .. import interface as i
 from ..core.actor import Actor, spawn
 from ..core.metrics import Metrics
-from ..core.records import Confirmed, HostName, HostPort, Listed, TaskEnded
+from ..core.records import HostName, HostPort, TaskEnded, WorkerListConfirmed, WorkersChanged
 from ..limits import Limits
 from ..log import Log
 from .bus_follower import BusFollower
@@ -95,7 +95,7 @@
         settings: i.Settings,
         limits: Limits,
         log: Log,
-        tell_module: Callable[[Listed | Confirmed], object],
+        tell_module: Callable[[WorkersChanged | WorkerListConfirmed], object],
         report: Callable[[TaskEnded], object],
         figures: Metrics,
     ) -> None:
@@ -170,7 +170,7 @@
         """The module hears how old the list is, and where its word is not discovery's last."""
         doubtful = frozenset(worker_number(id) for id in self.doubtful & self.hosts.keys())
         if not self.unnamed:
-            self.tell_module(Confirmed(i.ListConfirmed(at, doubtful)))
+            self.tell_module(WorkerListConfirmed(i.ListConfirmed(at, doubtful)))
 
     def report_bad(self, update: ListUpdate) -> None:
         """One line of the log for all that is spoilt in an event."""
@@ -240,7 +240,7 @@
         self.figures.pool_size = len(self.hosts)
         self.figures.banned = len(self.banned & self.hosts.keys())
         event = i.WorkersListed(scope, tuple(news.entries.values()))
-        self.tell_module(Listed(event, news.ports, news.names))
+        self.tell_module(WorkersChanged(event, news.ports, news.names))
 
     def entry(self, server: Server) -> i.WorkerEntry:
         """One host as the module sees it."""
@@ -277,7 +277,7 @@
         where = address(server.addr)
         if server.id in self.hosts:
             standing, actor = self.hosts[server.id]
-            if standing.address == where and not actor.over:
+            if standing.address == where and not actor.finished:
                 standing.drain = drain
                 return actor
             self.strike(server.id)
@@ -293,6 +293,6 @@
         if id in self.hosts:
             standing, actor = self.hosts.pop(id)
             standing.drain = i.Drain.GONE
-            if not actor.tell(Retire(now)):
+            if not actor.try_send(Retire(now)):
                 # no waiting here for a host whose mailbox is full: the others need their news
-                spawn(self.log, f"retire {id}", lambda: actor.push(Retire(now)))
+                spawn(self.log, f"retire {id}", lambda: actor.blocking_send(Retire(now)))
--- a/harrieryoke/net/link.py
+++ b/harrieryoke/net/link.py
@@ -79,14 +79,14 @@
         OSError."""
         task = frame.task
         if task is not None:
-            task.begun = True
+            task.write_started = True
         try:
             self.sock.sendall(frame.data)
         except BlockingIOError as blocked:
             frame.begun = frame.begun or blocked.characters_written > 0
             frame.data = frame.data[blocked.characters_written :]
             if task is not None:
-                task.begun = frame.begun
+                task.write_started = frame.begun
             return False
         frame.begun = True
         return True
--- a/harrieryoke/net/platform.py
+++ b/harrieryoke/net/platform.py
@@ -107,12 +107,14 @@
         assert self.listening is not None, "open comes after start"
         self.entry = entry = retry_local("listen", self.listening.dup, self.limits.start_ms, self.log)
         self.listeners += 1
-        spawn(self.log, "listener", lambda: self.accept(entry), lambda: self.push(ListenerEnded(entry)))
+        spawn(
+            self.log, "listener", lambda: self.accept(entry), lambda: self.blocking_send(ListenerEnded(entry))
+        )
 
     def accept(self, entry: socket.socket) -> None:
         """The listener's greenlet, until its descriptor is closed."""
         pauses = Pauses()
-        while not self.over:
+        while not self.finished:
             self.wait_for_room(entry)
             try:
                 sock, peer = entry.accept()
@@ -125,19 +127,19 @@
                 continue
             pauses.reset()
             if (accepted := set_up(sock, peer, self.log)) is not None:
-                self.push(accepted)
+                self.blocking_send(accepted)
 
     def wait_for_room(self, entry: socket.socket) -> None:
         """Newcomers wait in the backlog while clients hold all that they may and some of them are about to
         leave. Where all are busy nobody waits: a newcomer is turned away at once, as it may try elsewhere."""
         while entry.fileno() >= 0 and self.is_full() and self.may_leave():
             self.room.clear()
-            self.tell(MakeRoom())
+            self.try_send(MakeRoom())
             self.room.wait(self.limits.client_fresh_ms / 1000)
 
     def is_full(self) -> bool:
         """With those on their way through the mailbox."""
-        return len(self.clients) + sum(isinstance(m, Accepted) for m in self.box) >= self.most
+        return len(self.clients) + sum(isinstance(m, Accepted) for m in self.mailbox) >= self.most
 
     def may_leave(self) -> bool:
         """Whether some client has nothing open and is not within a line."""
@@ -146,9 +148,9 @@
 
     def run(self) -> None:
         swept = now_ms()
-        while not self.over:
-            self.wait(self.limits.sweep_ms)
-            self.work()
+        while not self.finished:
+            self.wait_for_message(self.limits.sweep_ms)
+            self.process_mailbox()
             now = now_ms()
             self.pauses.wake(now)
             if now - swept >= self.limits.sweep_ms:
@@ -164,12 +166,12 @@
         """To the process that has taken over, if one has: whoever is here and was not told so yet."""
         if self.yielded is not None:
             for client in [c for c, leaves in self.clients.items() if not leaves]:
-                self.clients[client] = client.tell(self.yielded)
+                self.clients[client] = client.try_send(self.yielded)
 
     def dismiss(self, client: ClientActor, reason: str) -> None:
         """Have the connection closed once nothing is open on it."""
         self.log("client-closed", f"{client.client}: {reason}")
-        self.clients[client] = client.tell(CloseIfIdle())
+        self.clients[client] = client.try_send(CloseIfIdle())
 
     def receive(self, message: Any) -> None:
         match message:
@@ -190,10 +192,10 @@
             case ListenerEnded(entry):
                 self.listeners -= 1
                 # a front that accepts nobody, and was not told so, ends: the service sees that
-                self.over = entry.fileno() >= 0
+                self.finished = entry.fileno() >= 0
             case StopListening():
                 self.stop_listening()
-        if self.stopping and not (self.clients or self.box or self.listeners):
+        if self.stopping and not (self.clients or self.mailbox or self.listeners):
             self.empty.set()
 
     def stop_listening(self) -> None:
@@ -243,7 +245,7 @@
             self.core,
             self.limits,
             self.log,
-            lambda c: self.push(Gone(c)),
+            lambda c: self.blocking_send(Gone(c)),
             self.pauses,
         )
         self.clients[client], client.asked = False, asked
--- a/harrieryoke/operator_file.py
+++ b/harrieryoke/operator_file.py
@@ -117,7 +117,7 @@
                     limits,
                     log,
                     secrets.randbits(62),
-                    lambda: len(core.box) > BUSY,
+                    lambda: len(core.mailbox) > BUSY,
                     turns,
                 )
             except (LedgerError, StoreError) as error:
--- a/harrieryoke/parts.py
+++ b/harrieryoke/parts.py
@@ -23,7 +23,7 @@
 class TunedPart(Part, Protocol):
     """Takes `Retuned` into its mailbox: calls name classes and tenants by their indexes in the settings."""
 
-    def push(self, message: Any) -> bool: ...
+    def blocking_send(self, message: Any) -> bool: ...
 
 
 class BrokerPart(Part, Protocol):
@@ -33,7 +33,7 @@
 
     def push_stop(self) -> None: ...
 
-    def push(self, message: Any) -> bool: ...
+    def blocking_send(self, message: Any) -> bool: ...
 
 
 class DoorPart(TunedPart, Door, Protocol):
--- a/harrieryoke/plugins/bench.py
+++ b/harrieryoke/plugins/bench.py
@@ -13,7 +13,7 @@
 from .. import interface as i
 from ..core.clock import now_ms
 from ..core.module import ModuleActor
-from ..core.records import Call, Front, HostName, Listed
+from ..core.records import Call, Front, HostName, WorkersChanged
 from ..limits import Limits
 from ..log import Log
 from .decide.manifest import granted, within
@@ -47,10 +47,10 @@
     def enter(self, call: Call, front: Front) -> bool:
         front.served(call, b"")
         if self.gate is not None:
-            self.gate.ended(call, "served")
+            self.gate.call_ended(call, "served")
         return True
 
-    def push(self, message: Any) -> bool:
+    def blocking_send(self, message: Any) -> bool:
         return True
 
 
@@ -142,7 +142,7 @@
         }
     gate.start()
     hosts = {n: HostName(f"mh{n}.zone-a", f"zone-{'ab'[n % 2]}", "kind-b", "active") for n in range(8)}
-    gate.listed(Listed(i.WorkersListed(i.ListScope.WHOLE), {}, hosts))
+    gate.workers_changed(WorkersChanged(i.WorkersListed(i.ListScope.WHOLE), {}, hosts))
 
     def one() -> None:
         nonlocal answered, slowest
--- a/harrieryoke/plugins/gate.py
+++ b/harrieryoke/plugins/gate.py
@@ -10,10 +10,21 @@
 from gevent.event import AsyncResult
 
 from .. import interface as i
-from ..core.actor import Actor, spawn, waited
+from ..core.actor import Actor, spawn, wait_for_reply
 from ..core.clock import now_ms
 from ..core.module import ModuleActor
-from ..core.records import Asked, Call, Ended, Front, Listed, Retuned, Stopping, Taken, Wished, Withdrawn
+from ..core.records import (
+    Call,
+    CallEnded,
+    CallReceived,
+    CallWithdrawn,
+    Front,
+    PrewarmRequested,
+    SettingsChanged,
+    StatusRequested,
+    Stopping,
+    WorkersChanged,
+)
 from ..limits import Limits
 from ..log import Log
 from .decide import abi, versions
@@ -134,7 +145,7 @@
             within(m.budgets, self.told.budgets),
             self.told.breaker(),
             self.log,
-            self.push,
+            self.blocking_send,
         )
 
     def load_all(self) -> None:
@@ -161,7 +172,7 @@
                 instance.begin(now_ms())
             except (PluginError, OSError) as error:
                 reason = str(error)
-            self.push(Loaded(plugin, number, instance, reason))
+            self.blocking_send(Loaded(plugin, number, instance, reason))
 
         spawn(self.log, f"{package.text()} load", run)
 
@@ -177,62 +188,62 @@
     def offer(self, call: Call, front: Front) -> bool:
         if any(self.sees(plugin, call) for plugin in self.plugins):
             # guards the call against a gate that has ended: it goes on without advice
-            return self.push(Taken(call, front)) or self.core.enter(call, front)
+            return self.blocking_send(CallReceived(call, front)) or self.core.enter(call, front)
         return self.core.enter(call, front)
 
     def withdraw(self, call: Call) -> bool:
-        return self.push(Withdrawn(call)) or self.core.leave(call)
+        return self.blocking_send(CallWithdrawn(call)) or self.core.leave(call)
 
-    def ended(self, call: Call, how: str) -> None:
-        if call.seen and not self.tell(Ended(call, how)):
+    def call_ended(self, call: Call, how: str) -> None:
+        if call.watched_by_gate and not self.try_send(CallEnded(call, how)):
             self.log("plugin-behind", "an outcome could not be told to plug-ins")
 
-    def listed(self, listed: Listed) -> None:
-        if not self.tell(listed):
+    def workers_changed(self, listed: WorkersChanged) -> None:
+        if not self.try_send(listed):
             self.log("plugin-behind", "a change of the list could not be told to plug-ins")
 
     # --- the loop ---
 
     def run(self) -> None:
-        while not self.over:
-            self.wait(TICK_MS)
-            self.work()
+        while not self.finished:
+            self.wait_for_message(TICK_MS)
+            self.process_mailbox()
             self.tick(self.clock())
 
-    def work(self) -> None:
+    def process_mailbox(self) -> None:
         """As any actor's, with a tick in between where the mailbox does not run empty."""
-        while self.box and not self.over:
-            message = self.box.popleft()
-            self.emptied.set()
+        while self.mailbox and not self.finished:
+            message = self.mailbox.popleft()
+            self.space_available.set()
             self.receive(message)
             self.tick(self.clock())
 
     def finish(self) -> None:
         """Guards the calls that are here against a fault of this actor: they go on without advice."""
-        waiting, self.over = list(self.walking.values()), True
+        waiting, self.finished = list(self.walking.values()), True
         super().finish()
         for passing in waiting:
             self.core.enter(passing.call, passing.front)
-        for message in list(self.box):
-            if isinstance(message, Taken):
+        for message in list(self.mailbox):
+            if isinstance(message, CallReceived):
                 self.core.enter(message.call, message.front)
-            elif isinstance(message, Withdrawn):
+            elif isinstance(message, CallWithdrawn):
                 self.core.leave(message.call)
         for plugin in self.plugins:
             for instance in plugin.instances.values():
-                instance.tell(End())
+                instance.try_send(End())
 
     def receive(self, message: Any) -> None:
         match message:
-            case Taken(call, front):
+            case CallReceived(call, front):
                 self.offered(call, front)
             case Heard():
                 self.heard(message)
-            case Ended(call, how):
+            case CallEnded(call, how):
                 self.outcome(call, how)
-            case Withdrawn(call):
+            case CallWithdrawn(call):
                 self.left(call)
-            case Listed():
+            case WorkersChanged():
                 self.list_changed(message)
             case Swap(name, tell):
                 self.swap(name, tell)
@@ -244,9 +255,9 @@
                 self.gave(instance, values, number)
             case Carried(instance, fault):
                 self.carried(instance, fault)
-            case Retuned(settings):
+            case SettingsChanged(settings):
                 self.settings = settings
-            case Asked(tell):
+            case StatusRequested(tell):
                 tell(self.status())
             case Stopping():
                 for plugin in self.plugins:
@@ -267,10 +278,10 @@
         if now >= self.swept + SWEEP_MS or now < self.swept:
             self.swept = now
             # guards the memory against outcomes that the mailbox had no room for
-            for passing in [p for p in self.passed.values() if now > p.call.due + SWEEP_MS]:
+            for passing in [p for p in self.passed.values() if now > p.call.deadline + SWEEP_MS]:
                 self.outcome(passing.call, "unknown")
         for function in self.wishes.due(now):
-            self.core.push(Wished(function))
+            self.core.blocking_send(PrewarmRequested(function))
 
     # --- calls ---
 
@@ -278,7 +289,7 @@
         """What plug-ins see of a call: a copy of figures and names. The body is added where it is granted."""
         kind = self.settings.classes[call.class_index]
         return {
-            "id": call.rid,
+            "id": call.request_id,
             "class": kind.name,
             "function": call.function,
             "tenant": None if call.tenant is None else self.settings.tenants[call.tenant].name,
@@ -286,10 +297,10 @@
             "topic": call.topic,
             "keyed": call.key is not None,
             "body_bytes": len(call.body),
-            "left_ms": round(call.due - now),
+            "left_ms": round(call.deadline - now),
             "wanted_ms": kind.aim,
             "memory_mb": call.memory,
-            "lanes": call.lanes,
+            "lanes": call.slots,
         }
 
     def offered(self, call: Call, front: Front) -> None:
@@ -299,7 +310,7 @@
             Stop(p.slot.plugin, p.slot.begin(), p.use.on_failure) for p in self.plugins if self.sees(p, call)
         ]
         passing = Passing(call, front, Walk(stops, self.settings.max_retry_after), self.view(call, now), now)
-        call.seen = True
+        call.watched_by_gate = True
         self.walking[call] = passing
         if len(self.walking) > self.told.open_calls:
             # at the bound nobody is asked: the stated defaults hold at once
@@ -326,7 +337,11 @@
                 passing.walk.heard(stop, ADMIT)
                 continue
             by, _ = time_for(
-                now, passing.call.taken, passing.call.due, instance.budgets.call_ms, self.told.all_ms
+                now,
+                passing.call.received_at,
+                passing.call.deadline,
+                instance.budgets.call_ms,
+                self.told.all_ms,
             )
             view = {"request": self.body_for(instance, passing)}
             if by <= now:
@@ -406,9 +421,9 @@
         if merged.function is not None:
             call.function = merged.function
         if merged.prefer or merged.avoid:
-            call.bias = settle(merged, self.fleet, self.dropped) or None
-            self.counts["advised"] += call.bias is not None
-        call.wanted = merged.wanted
+            call.cost_factors = settle(merged, self.fleet, self.dropped) or None
+            self.counts["advised"] += call.cost_factors is not None
+        call.latency_target = merged.wanted
         for name, function in merged.warm:
             self.wish(name, function, self.warm_bound(name), now)
         self.core.enter(call, passing.front)
@@ -444,7 +459,7 @@
                 instance.tell_ask(Ask("on_outcome", view, by))
             plugin.slot.end(stop.version)
 
-    def list_changed(self, m: Listed) -> None:
+    def list_changed(self, m: WorkersChanged) -> None:
         hosts = [Host(worker, n.name, n.zone, n.kind, n.state) for worker, n in m.names.items()]
         self.fleet.apply(m.event.scope is not i.ListScope.CHANGES, hosts)
         view = {
@@ -469,9 +484,9 @@
     def read_again(self, plugin: Plugin) -> None:
         """In a greenlet of its own."""
         try:
-            self.push(Read(plugin, self.read(plugin)))
+            self.blocking_send(Read(plugin, self.read(plugin)))
         except PluginError as error:
-            self.push(Read(plugin, None, str(error)))
+            self.blocking_send(Read(plugin, None, str(error)))
 
     def was_read(self, plugin: Plugin, package: Package | None, reason: str) -> None:
         slot = plugin.slot
@@ -495,9 +510,9 @@
                 self.log("plugin-swap-failed", plugin.slot.last)
         elif plugin.slot.loaded(number, self.clock()):
             plugin.instances[number] = instance
-            plugin.instances[plugin.slot.current].tell(Give(number))
+            plugin.instances[plugin.slot.current].try_send(Give(number))
         else:
-            instance.tell(End())
+            instance.try_send(End())
 
     def gave(self, instance: Instance, values: dict[str, str], number: int) -> None:
         """The state of the version in service goes to the candidate: a first time for its trial, and again as
@@ -505,7 +520,7 @@
         plugin = self.find(instance)
         candidate = None if plugin is None else plugin.instances.get(number)
         if candidate is not None:
-            candidate.tell(Carry(values, instance.package.manifest.state_layout))
+            candidate.try_send(Carry(values, instance.package.manifest.state_layout))
 
     def carried(self, instance: Instance, fault: str | None) -> None:
         plugin = self.find(instance)
@@ -523,7 +538,7 @@
     def take_step(self, plugin: Plugin, step: versions.Step) -> None:
         match step:
             case versions.Promote(number):
-                if not plugin.instances[plugin.slot.current].tell(Give(number)):
+                if not plugin.instances[plugin.slot.current].try_send(Give(number)):
                     plugin.slot.promoting = False  # its mailbox is full: again at the next tick
             case versions.Reject():
                 self.log("plugin-swap-failed", plugin.slot.last)
@@ -532,24 +547,24 @@
                 self.log("plugin-rolled-back", plugin.slot.last)
             case versions.Retire(number):
                 if (instance := plugin.instances.pop(number, None)) is not None:
-                    instance.tell(End())
+                    instance.try_send(End())
 
     # --- for the operators ---
 
     def push_stop(self, by: float) -> None:
-        self.push(Stopping(by))
+        self.blocking_send(Stopping(by))
 
     def ask_swap(self, name: str | None, timeout_ms: float) -> dict[str, str]:
         """What was begun, by plug-in; nothing where there is no such plug-in, or no answer in time."""
         told: AsyncResult = AsyncResult()
-        self.push(Swap(name, told.set))
-        begun: dict[str, str] = waited(told, timeout_ms)
+        self.blocking_send(Swap(name, told.set))
+        begun: dict[str, str] = wait_for_reply(told, timeout_ms)
         return begun
 
     def ask_status(self, timeout_ms: float) -> dict[str, Any]:
         told: AsyncResult = AsyncResult()
-        self.push(Asked(told.set))
-        return waited(told, timeout_ms)
+        self.blocking_send(StatusRequested(told.set))
+        return wait_for_reply(told, timeout_ms)
 
     def status(self) -> dict[str, Any]:
         plugins = []
--- a/harrieryoke/plugins/instance.py
+++ b/harrieryoke/plugins/instance.py
@@ -191,7 +191,7 @@
 
     def restart(self, now: float) -> None:
         """In a greenlet of its own: no call waits for the start of a process."""
-        if self.starting or self.over or now < self.start_at:
+        if self.starting or self.finished or now < self.start_at:
             return
         self.starting = True
 
@@ -200,7 +200,7 @@
                 ready = Ready(self.load(now_ms() + self.budgets.load_ms))
             except (Fault, OSError) as error:
                 ready = Ready(None, str(error))
-            if not self.push(ready) and ready.worker is not None:
+            if not self.blocking_send(ready) and ready.worker is not None:
                 ready.worker.kill()
 
         spawn(self.log, f"{self.name} start", run)
@@ -216,42 +216,42 @@
     # --- the loop ---
 
     def run(self) -> None:
-        while not self.over:
+        while not self.finished:
             wake = min(self.timer_at, now_ms() + 1000.0)
             if self.worker is None and not self.starting:
                 wake = min(wake, self.start_at)
-            self.wait(max(1.0, wake - now_ms()))
-            self.work()
+            self.wait_for_message(max(1.0, wake - now_ms()))
+            self.process_mailbox()
             now = now_ms()
             if self.worker is None:
                 self.restart(now)
-            if now >= self.timer_at and not self.over:
+            if now >= self.timer_at and not self.finished:
                 self.timer_at = now + self.package.manifest.timer_ms
                 self.receive(Ask("on_timer", {}, now + self.budgets.call_ms))
 
     def finish(self) -> None:
         """Whatever ended it: each Ask that is left gets its Heard, and the process ends."""
-        self.over = True
+        self.finished = True
         if self.worker is not None:
             self.figures.peak_kb = max(self.figures.peak_kb, self.worker.peak_kb)
             self.worker.kill()
-        for message in list(self.box):
+        for message in list(self.mailbox):
             if isinstance(message, Ask):
                 self.report(Heard(self, message, why="ended"))
             elif isinstance(message, Ready) and message.worker is not None:
                 message.worker.kill()
             elif isinstance(message, Carry):
                 self.report(Carried(self, "it ended"))
-        self.box.clear()
+        self.mailbox.clear()
         super().finish()
 
     def tell_ask(self, ask: Ask) -> bool:
         """Watching hooks leave half of the queue to the calls that wait for an answer."""
         watching = ask.hook != "on_request"
-        if len(self.box) >= self.budgets.queue // (2 if watching else 1):
+        if len(self.mailbox) >= self.budgets.queue // (2 if watching else 1):
             self.figures.declined["queue-full"] += 1
             return False
-        return self.tell(ask)
+        return self.try_send(ask)
 
     def receive(self, message: Any) -> None:
         now = now_ms()
@@ -270,7 +270,7 @@
             case Carry(values, layout):
                 self.report(Carried(self, self.carry(values, layout, now)))
             case End():
-                self.over = True
+                self.finished = True
 
     def declined(self, ask: Ask, now: float) -> str | None:
         """Why this ask is not even made."""
--- a/harrieryoke/service.py
+++ b/harrieryoke/service.py
@@ -19,7 +19,7 @@
 from .core.calls import CallMaker
 from .core.clock import now_ms
 from .core.module import ModuleActor
-from .core.records import Counted, Retuned, Stopping
+from .core.records import CountersRequested, SettingsChanged, Stopping
 from .log import Log
 from .net.bus_follower import BusFollower
 from .net.hostlist import HostListActor
@@ -42,9 +42,9 @@
         settings = config.settings
         self.core = ModuleActor(settings, config.seed, self.limits, log)
         self.hosts = HostListActor(
-            settings, self.limits, log, self.core.push, self.core.push, self.core.figures
+            settings, self.limits, log, self.core.blocking_send, self.core.blocking_send, self.core.figures
         )
-        self.bus = BusFollower(config.bus, config.known.offset, self.limits, log, self.hosts.push)
+        self.bus = BusFollower(config.bus, config.known.offset, self.limits, log, self.hosts.blocking_send)
         self.maker = CallMaker(settings, self.limits)
         self.front = PlatformFront(config.listen, self.maker, self.core, self.limits, log)
         self.parts = (
@@ -113,7 +113,12 @@
 
         try:
             AdminServer(
-                self.config.management, self.core.figures, self.serves, self.hosts.tell, self.limits, self.log
+                self.config.management,
+                self.core.figures,
+                self.serves,
+                self.hosts.try_send,
+                self.limits,
+                self.log,
             ).start()
         except OSError as error:
             raise ConfigError(f"RELAY_MANAGEMENT: {error}") from None
@@ -206,7 +211,7 @@
         self.core.figures.add_classes(settings.live())
         for part in (self.core, self.gate, self.parts.door, self.parts.ledger):
             if part is not None:
-                part.push(Retuned(settings))
+                part.blocking_send(SettingsChanged(settings))
         self.maker.retune(settings)
 
     def part_ended(self, greenlet: gevent.Greenlet) -> None:
@@ -224,7 +229,7 @@
         longest = min(3000.0, max(settings.classes[n].deadline for n in settings.live().values()))
         by = began + min(self.limits.stop_within_ms, longest + 500.0)
         self.log("stopping", f"all is answered within {by - began:.0f} ms")
-        self.core.push(Stopping(by))
+        self.core.blocking_send(Stopping(by))
         if self.upgrade is not None:
             self.upgrade.stop()
         for before in (self.gate, self.parts.door):
@@ -236,7 +241,7 @@
             self.broker.push_stop()
         if self.front.yielded is None:
             gevent.sleep(self.limits.stop_accepting_ms / 1000)
-        self.front.push(StopListening())
+        self.front.blocking_send(StopListening())
         self.front.empty.wait((by + 100.0 - now_ms()) / 1000)
         if self.broker is not None:
             self.broker.gone.wait(max(0.0, by + 100.0 - now_ms()) / 1000)
@@ -252,7 +257,7 @@
     def counts(self, actor: Any) -> dict[str, int]:
         """An actor's counters, from itself."""
         told: AsyncResult = AsyncResult()
-        actor.push(Counted(told.set))
+        actor.blocking_send(CountersRequested(told.set))
         try:
             counts: dict[str, int] = told.get(timeout=self.limits.write_ms / 1000)
         except gevent.Timeout:
@@ -261,7 +266,7 @@
 
     def answer(self, method: str, path: str, query: Mapping[str, str]) -> tuple[int, Any]:
         if path == "/healthz":
-            healthy = not self.stop.is_set() and not self.core.over
+            healthy = not self.stop.is_set() and not self.core.finished
             return 200 if healthy else 503, {"healthy": healthy}
         if path.startswith("/plugins"):
             if self.gate is None:
--- a/harrieryoke/upgrade/link.py
+++ b/harrieryoke/upgrade/link.py
@@ -25,7 +25,7 @@
 from ..core.actor import Actor, spawn
 from ..core.clock import now_ms, wall_ms
 from ..core.module import ModuleActor
-from ..core.records import Leading, Visit
+from ..core.records import ActiveChanged, RouterCommand
 from ..limits import Limits
 from ..log import Log
 from ..net.hostlist import Ban, HostListActor
@@ -153,7 +153,7 @@
         except OSError as error:
             # on a full disk the ban still holds, and a successor receives it over the link
             self.log("bans-not-kept", f"{self.file.path}: {error}")
-        self.tell(LocalBanChange(id, on))
+        self.try_send(LocalBanChange(id, on))
 
     def restore_state(self) -> None:
         """Give the predecessor's learned state to the router, before this process serves."""
@@ -167,7 +167,7 @@
             self.log("takeover-forgot", f"starting without what was learned: {error}")
             return
         if state is not None:
-            self.core.push(Visit(lambda router: restore(router, state)))
+            self.core.blocking_send(RouterCommand(lambda router: restore(router, state)))
         size, bans = len(self.predecessor.state), len(self.predecessor.bans)
         self.log("takeover", f"{size} bytes and {bans} bans were handed over")
 
@@ -202,7 +202,7 @@
 
     def accept_links(self, listening: socket.socket) -> None:
         """Run the listener's greenlet, until its descriptor is closed."""
-        while not self.over:
+        while not self.finished:
             try:
                 sock, _ = listening.accept()
             except OSError:
@@ -217,7 +217,7 @@
         """Read the link's lines in a greenlet of its own."""
         self.reading.add(link)
         link.sock.settimeout(self.limits.handover_ms / 1000)
-        spawn(self.log, "upgrade link", lambda: self.read(link), lambda: self.push(LinkLost(link)))
+        spawn(self.log, "upgrade link", lambda: self.read(link), lambda: self.blocking_send(LinkLost(link)))
 
     def read(self, link: Link) -> None:
         """Run a link's reader: its lines in order, until it ends."""
@@ -245,7 +245,7 @@
         message = PEER_MESSAGE_DECODER.decode(line)
         has_descriptor = isinstance(message, ClientTransfer) and link.descriptors
         descriptor = link.descriptors.popleft() if has_descriptor else None
-        self.push(PeerMessageReceived(link, message, descriptor))
+        self.blocking_send(PeerMessageReceived(link, message, descriptor))
 
     def send(self, link: Link, message: msgspec.Struct) -> None:
         """Send one line; a broken link is only logged, as its reader ends it."""
@@ -261,15 +261,17 @@
             case PeerMessageReceived(link, Serving()) if not self.stopping and link in self.links:
                 self.log("taken-over", "another process serves; what was taken here is answered here")
                 self.successor = link
-                self.front.push(Yield(lambda sock, name: self.push(ClientReleased(sock, name))))
-                self.core.push(Leading(False))
+                self.front.blocking_send(
+                    Yield(lambda sock, name: self.blocking_send(ClientReleased(sock, name)))
+                )
+                self.core.blocking_send(ActiveChanged(False))
             case PeerMessageReceived(_, ClientTransfer(name), int(descriptor)):
                 sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, fileno=descriptor)
-                self.front.push(Accepted(sock, name, asked=True))
+                self.front.blocking_send(Accepted(sock, name, asked=True))
             case ClientReleased(sock, name):
                 self.transfer_client(sock, name)
             case PeerMessageReceived(_, BanChange(id, on)):
-                self.hosts.push(Ban(id, on, AsyncResult(), known=True))
+                self.hosts.blocking_send(Ban(id, on, AsyncResult(), known=True))
             case LocalBanChange(id, on):
                 for link in self.links:
                     self.send(link, BanChange(id, on))
@@ -285,7 +287,7 @@
         packed: AsyncResult = AsyncResult()
         state = b""
         # a router too busy to answer must not hold up the handover: the new process then starts without state
-        if self.core.tell(Visit(lambda router: packed.set(pack(router, now_ms())))):
+        if self.core.try_send(RouterCommand(lambda router: packed.set(pack(router, now_ms())))):
             try:
                 state = packed.get(timeout=self.limits.carry_ms / 1000)
             except gevent.Timeout:
@@ -308,7 +310,7 @@
                 return
         except OSError as error:
             self.log("upgrade-link", str(error))
-        self.front.push(Accepted(sock, name, asked=True))
+        self.front.blocking_send(Accepted(sock, name, asked=True))
 
     def close(self, link: Link) -> None:
         """Close the link and the descriptors that no line has claimed."""
@@ -328,8 +330,8 @@
             self.successor = None
             # the path may hold its stale socket: the next process would find nobody, and bind anew
             self.listen()
-            self.front.push(Resume())
-            self.core.push(Leading(True))
+            self.front.blocking_send(Resume())
+            self.core.blocking_send(ActiveChanged(True))
 
     def stop(self) -> None:
         """SIGTERM came: from here on this process does not serve again."""
--- a/tests/clients.py
+++ b/tests/clients.py
@@ -51,14 +51,14 @@
         self.withdrawn: list[int] = []
 
     def offer(self, call: Call, front: CallFront) -> bool:
-        self.offered[int(call.rid, 16)] = call
+        self.offered[int(call.request_id, 16)] = call
         self.gate.wait()
         if self.answers:
             front.served(call, b"")
         return True
 
     def withdraw(self, call: Call) -> bool:
-        self.withdrawn.append(int(call.rid, 16))
+        self.withdrawn.append(int(call.request_id, 16))
         return True
 
 
@@ -121,7 +121,9 @@
     def block(self, id: int) -> None:
         """Answers the call with more than the client, who does not read, has room for."""
         self.answer(id)
-        until(lambda: not self.actor.box and self.actor.outgoing.unsent, "an answer that can't be written")
+        until(
+            lambda: not self.actor.mailbox and self.actor.outgoing.unsent, "an answer that can't be written"
+        )
 
     def read(self, count: int) -> list[tuple[int, int]]:
         return read(self.sock, count)
--- a/tests/interleave.py
+++ b/tests/interleave.py
@@ -251,7 +251,7 @@
     """An actor's own `run`, `work`, `receive` and `finish`: one message a step, with the points that the code
     it calls may add. It can go on when its mailbox is not empty or when the time it waits for has come. The
     module takes all that has come in one step, as it does in its rounds."""
-    box = Box(actor.box)
+    box = Box(actor.mailbox)
 
     def wait(timeout_ms: float | None = None) -> None:
         if not box:
@@ -264,6 +264,6 @@
         actor.run()
         actor.finish()
 
-    actor.box = box
-    actor.wait = wait  # type: ignore[method-assign]
+    actor.mailbox = box
+    actor.wait_for_message = wait  # type: ignore[method-assign]
     return fiber(live)
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -14,7 +14,15 @@
 from harrieryoke import interface as i
 from harrieryoke.admin.server import AdminServer
 from harrieryoke.core.metrics import Metrics
-from harrieryoke.core.records import Attempt, Call, Check, Confirmed, Listed, Order, Task
+from harrieryoke.core.records import (
+    AttemptTask,
+    Call,
+    OrderTask,
+    ProbeTask,
+    Task,
+    WorkerListConfirmed,
+    WorkersChanged,
+)
 from harrieryoke.errors import Busy
 from harrieryoke.limits import Limits
 from harrieryoke.log import Log
@@ -24,8 +32,8 @@
 from .rig import SETTINGS
 
 CALL = Call("0" * 16, 0, "f", 1e18)
-BINDING: list[Task] = [Attempt(1, 1e18, 0.0, call=CALL), Check(1, 1e18, 0.0), Order(1, 1e18, 0.0)]
-ASK = Order(1, 1e18, 0.0, copies=0)
+BINDING: list[Task] = [AttemptTask(1, 1e18, 0.0, call=CALL), ProbeTask(1, 1e18, 0.0), OrderTask(1, 1e18, 0.0)]
+ASK = OrderTask(1, 1e18, 0.0, copies=0)
 IDS = st.sampled_from("abcd")
 
 
@@ -33,9 +41,9 @@
     def put(self, now: float, kind: str, text: str, fields: dict[str, object] | None = None) -> None: ...
 
 
-def opened(heard: list[Listed], limits: Limits | None = None) -> HostListActor:
-    def tell(told: Listed | Confirmed) -> None:
-        assert isinstance(told, Listed), "nobody confirms the list here"
+def opened(heard: list[WorkersChanged], limits: Limits | None = None) -> HostListActor:
+    def tell(told: WorkersChanged | WorkerListConfirmed) -> None:
+        assert isinstance(told, WorkersChanged), "nobody confirms the list here"
         heard.append(told)
 
     return HostListActor(SETTINGS, limits or Limits(), Quiet(), tell, lambda e: None, Metrics())
@@ -56,7 +64,7 @@
         super().__init__()
         self.words: dict[str, Server] = {}
         self.banned: set[str] = set()
-        self.heard: list[Listed] = []
+        self.heard: list[WorkersChanged] = []
         self.seen: dict[int, i.WorkerEntry] = {}  # what the module knows
         self.kept: set[str] = set()  # what the next process would know
         self.actor = opened(self.heard)
@@ -154,7 +162,7 @@
 def test_a_list_that_has_no_time_is_said_to_be_busy_within_a_second() -> None:
     stuck, full = opened([]), opened([], replace(Limits(), list_mailbox=0))
     for actor in (stuck, full):
-        admin = AdminServer(("", 0), Metrics(), bool, actor.tell, Limits(), Quiet())
+        admin = AdminServer(("", 0), Metrics(), bool, actor.try_send, Limits(), Quiet())
         with gevent.Timeout(0.95), pytest.raises(Busy):
             admin.disable("a")
-    assert [len(actor.box) for actor in (stuck, full)] == [1, 0]
+    assert [len(actor.mailbox) for actor in (stuck, full)] == [1, 0]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -12,15 +12,15 @@
 from harrieryoke import interface as i
 from harrieryoke.core.module import ModuleActor
 from harrieryoke.core.records import (
-    Attempt,
+    AttemptTask,
     Call,
-    Confirmed,
-    Listed,
+    CallReceived,
+    CallWithdrawn,
     Stopping,
-    Taken,
     Task,
     TaskEnded,
-    Withdrawn,
+    WorkerListConfirmed,
+    WorkersChanged,
 )
 from harrieryoke.limits import Limits
 from harrieryoke.log import Log
@@ -40,23 +40,23 @@
         self.takes = True
 
     def served(self, call: Call, body: bytes) -> None:
-        self.finals.append(f"served {call.rid} {body.decode()}")
+        self.finals.append(f"served {call.request_id} {body.decode()}")
 
     def refused(self, call: Call, retry_after: float | None) -> None:
-        self.finals.append(f"refused {call.rid}")
+        self.finals.append(f"refused {call.request_id}")
 
     def failed(self, call: Call, reason: str) -> None:
-        self.finals.append(f"failed {call.rid}")
+        self.finals.append(f"failed {call.request_id}")
 
-    def begin(self, task: Task) -> bool:
+    def start_task(self, task: Task) -> bool:
         self.tasks.append(task)
-        task.begun = self.takes
+        task.write_started = self.takes
         return self.takes
 
-    def revoke(self, task: Task) -> None:
+    def cancel_task(self, task: Task) -> None:
         self.finals.append("revoked")
 
-    def drop(self, function: str) -> None: ...
+    def drop_copies(self, function: str) -> None: ...
 
 
 class Script:
@@ -80,7 +80,9 @@
         self.now, self.peers, self.script = 1000.0, Peers(), Script([], *rounds)
         self.actor = ModuleActor(replace(SETTINGS, order_timeout=500), 7, Limits(), Log(), lambda: self.now)
         self.actor.router = self.script  # type: ignore[assignment]
-        self.step(Listed(i.WorkersListed(i.ListScope.REMEMBERED, (i.WorkerEntry(1),)), {1: self.peers}))
+        self.step(
+            WorkersChanged(i.WorkersListed(i.ListScope.REMEMBERED, (i.WorkerEntry(1),)), {1: self.peers})
+        )
 
     def step(self, *messages: Any, after: float = 0.0) -> list[str]:
         """One round; what the front and the host were told in it."""
@@ -90,7 +92,7 @@
         return self.peers.finals[seen:]
 
     def take(self, rid: str = "a", kind: int = 0, left: float = 100.0) -> list[str]:
-        return self.step(Taken(Call(rid, kind, "f", self.now + left), self.peers))
+        return self.step(CallReceived(Call(rid, kind, "f", self.now + left), self.peers))
 
 
 SEND, AGAIN = i.StartAttempt(1, 1), i.StartAttempt(1, 1)
@@ -109,7 +111,7 @@
     b = Bench([SEND], [], [i.Refuse(1), i.Refuse(1), i.Fail(1)])
     b.take(kind=kind)
     b.step(TaskEnded(b.peers.tasks[0], O.RESET))
-    assert b.step(TaskEnded(b.peers.tasks[0], O.OK), Withdrawn(Call("x", 0, "f", 0.0))) == []
+    assert b.step(TaskEnded(b.peers.tasks[0], O.OK), CallWithdrawn(Call("x", 0, "f", 0.0))) == []
     b.script.rounds = [[i.Refuse(1), i.Refuse(1), i.Fail(1)]]
     assert b.take("b") == [final]
 
@@ -133,7 +135,7 @@
 def test_what_was_revoked_before_its_first_byte_has_never_run(begun: bool, outcome: O) -> None:
     b = Bench([SEND], [i.CancelAttempt(1, 0)])
     b.take()
-    b.peers.tasks[0].begun = begun
+    b.peers.tasks[0].write_started = begun
     b.step(Stopping(1e9))
     b.script.rounds = [[i.CancelAttempt(1, 0)]]
     b.take("b")
@@ -160,8 +162,8 @@
 def test_a_withdrawn_request_gets_nothing_more() -> None:
     b = Bench([SEND], [i.Refuse(1), i.Fail(1), AGAIN])
     call = Call("a", 0, "f", 2000.0)
-    b.step(Taken(call, b.peers))
-    assert b.step(Withdrawn(call), Withdrawn(call)) == []
+    b.step(CallReceived(call, b.peers))
+    assert b.step(CallWithdrawn(call), CallWithdrawn(call)) == []
     assert b.step(TaskEnded(b.peers.tasks[0], O.OK, b"x"), after=2000) == [] and len(b.peers.tasks) == 1
 
 
@@ -173,19 +175,19 @@
     assert b.take("c") == ["refused a", "refused b", "refused c", "revoked"]
     b.actor.settings = replace(b.actor.settings, ration_window=5000.0)
     b.take("d", left=2000)
-    sent = [t for t in b.peers.tasks if isinstance(t, Attempt) and t.call.rid == "d"]
+    sent = [t for t in b.peers.tasks if isinstance(t, AttemptTask) and t.call.request_id == "d"]
     assert len(sent) == 1 and b.step(TaskEnded(sent[0], O.OK, b"x")) == ["served d x"]
 
 
 def test_a_fresh_module_knows_how_old_the_list_is() -> None:
     b = Bench()
     event = i.ListConfirmed(b.now - 3000)
-    b.step(Confirmed(event))
+    b.step(WorkerListConfirmed(event))
     assert b.script.heard[-1] == event
     b.script.handle = lambda now, events: [][0]  # type: ignore[method-assign]
     b.take()
     b.take("b", left=2000)
-    (sent,) = (t for t in b.peers.tasks if isinstance(t, Attempt))
+    (sent,) = (t for t in b.peers.tasks if isinstance(t, AttemptTask))
     assert sent.start_by == event.at + b.actor.settings.told_within
 
 
@@ -207,15 +209,15 @@
     b = Bench()
     b.actor.table.most = 10
     calls = [Call(rid, 0, "f", b.now + 100, b"123456") for rid in "abc"]
-    assert b.step(Taken(calls[0], b.peers), Taken(calls[1], b.peers)) == ["refused b"]
-    assert b.step(Withdrawn(calls[0]), Taken(calls[2], b.peers)) == [] and b.actor.table.held == 6
+    assert b.step(CallReceived(calls[0], b.peers), CallReceived(calls[1], b.peers)) == ["refused b"]
+    assert b.step(CallWithdrawn(calls[0]), CallReceived(calls[2], b.peers)) == [] and b.actor.table.held == 6
 
 
 def test_hosts_that_have_gone_are_forgotten() -> None:
     b = Bench()
     for n in range(2, 9):
         here, gone = i.WorkerEntry(n), i.WorkerEntry(n - 1, drain=i.Drain.GONE)
-        b.step(Listed(i.WorkersListed(i.ListScope.CHANGES, (here, gone)), {n: b.peers}))
+        b.step(WorkersChanged(i.WorkersListed(i.ListScope.CHANGES, (here, gone)), {n: b.peers}))
     assert list(b.actor.ports) == list(b.actor.entries) == [8]
 
 
--- a/tests/test_council_part.py
+++ b/tests/test_council_part.py
@@ -105,7 +105,9 @@
 
     def leader(self) -> CouncilActor:
         """Where two think they lead, the later; where none does, the first."""
-        return max(self.actors.values(), key=lambda a: (a.agreement.leads(), a.agreement.term, not a.over))
+        return max(
+            self.actors.values(), key=lambda a: (a.agreement.leads(), a.agreement.term, not a.finished)
+        )
 
 
 class Paths:
@@ -128,8 +130,8 @@
     until(lambda: made.all_held() and len(made.leader().agreement.members.voters) == 3)
     yield made
     for actor in made.actors.values():
-        actor.over = True
-        actor.filled.set()
+        actor.finished = True
+        actor.message_arrived.set()
 
 
 def settled(town: Town) -> dict[str, str]:
@@ -202,14 +204,14 @@
     town = Town("a", "a")
     until(town.all_held)
     actor = town.actors["a"]
-    actor.push(settings("a", "a", weight=0.0))
+    actor.blocking_send(settings("a", "a", weight=0.0))
     until(lambda: actor.duties.sessions["a"].weight == 0)
     assert town.all_held()
-    actor.over = True
+    actor.finished = True
     quiet = Town("a", "a", weight=0.0)
     until(lambda: quiet.actors["a"].duties.duties)
     assert quiet.actors["a"].holder.number == 0
-    quiet.actors["a"].over = True
+    quiet.actors["a"].finished = True
 
 
 def test_the_mailbox_is_bounded_and_the_disk_is_heard_all_the_same() -> None:
@@ -220,9 +222,9 @@
     assert actor.dropped == 6 and "full" in actor.propose("reconcile", 1, b"x")
     actor.disk_failed("no space left")
     actor.disk_failed("no space left")
-    assert len(actor.box) == 65
-    while actor.box:
-        actor.work()
+    assert len(actor.mailbox) == 65
+    while actor.mailbox:
+        actor.process_mailbox()
     assert actor.agreement.ailing == "no space left" and not actor.propose("reconcile", 1, b"x")
     assert "too many" in actor.propose("reconcile", 1, b"x" * (MOST_BODY + 1))
 
--- a/tests/test_discovery_crossings.py
+++ b/tests/test_discovery_crossings.py
@@ -17,7 +17,7 @@
 
 from harrieryoke import interface as i
 from harrieryoke.core.metrics import Metrics
-from harrieryoke.core.records import Confirmed, Listed
+from harrieryoke.core.records import WorkerListConfirmed, WorkersChanged
 from harrieryoke.limits import Limits
 from harrieryoke.log import Log
 from harrieryoke.net import bus_follower
@@ -227,10 +227,10 @@
     assert w.bus.asked() == "from 1"
     w.gate.clear()
     w.bus.conn.sendall(event(2) + event(3))
-    w.until(lambda: w.told and len(w.follower.box) == 1)  # 2 is in hand, 3 is queued
+    w.until(lambda: w.told and len(w.follower.mailbox) == 1)  # 2 is in hand, 3 is queued
     w.follower.move(other.listening.getsockname()[:2])
     w.bus.conn.sendall(event(4))
-    w.until(lambda: len(w.follower.box) == 3)
+    w.until(lambda: len(w.follower.mailbox) == 3)
     w.gate.set()
     assert other.asked() == "from 3"
     other.conn.sendall(event(5))
@@ -404,8 +404,8 @@
         self.actor = HostListActor(SETTINGS, Limits(), self.log, told, lambda ended: None, Metrics())
         self.offset = 0
 
-    def tell(self, listed: Listed | Confirmed) -> None:
-        if isinstance(listed, Confirmed):
+    def tell(self, listed: WorkersChanged | WorkerListConfirmed) -> None:
+        if isinstance(listed, WorkerListConfirmed):
             return self.confirmed.append(listed.event)
         workers = [e.worker for e in listed.event.workers]
         assert len(workers) == len(set(workers)), "two words on one host"
@@ -429,7 +429,7 @@
             worker: e.drain for worker, e in self.module.items()
         }
         for id, (_, actor) in hosts.items():
-            assert self.ports[worker_number(id)] is actor and not actor.over
+            assert self.ports[worker_number(id)] is actor and not actor.finished
         return state
 
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -12,7 +12,7 @@
 
 from harrieryoke.checks import ConfigError
 from harrieryoke.core.clock import now_ms
-from harrieryoke.core.records import Call, Ended, Front, Taken, Withdrawn
+from harrieryoke.core.records import Call, CallEnded, CallReceived, CallWithdrawn, Front
 from harrieryoke.door.actor import DoorActor
 from harrieryoke.door.settings import DoorSettings
 from harrieryoke.lab.rounds import Rounds
@@ -153,7 +153,9 @@
         tenant = 2 if n % 20 else 1  # the one floods, the other asks now and then
         caller = bench.Caller()
         now = now_ms()
-        call = Call(f"{n:016x}", 0, "0" * 16, now + 60_000, taken=now, tenant=tenant, client=f"c{tenant}")
+        call = Call(
+            f"{n:016x}", 0, "0" * 16, now + 60_000, received_at=now, tenant=tenant, client=f"c{tenant}"
+        )
         made.offer(call, caller)
         callers.append((tenant, caller))
     gevent.sleep(0.2)
@@ -161,8 +163,8 @@
     assert 10 <= waiting <= 20 and len(made.inside) == 1
     refused = [tenant for tenant, caller in callers if caller.answers]
     assert refused and set(refused) == {2} and len(refused) == 199 - waiting
-    made.over = True
-    made.filled.set()
+    made.finished = True
+    made.message_arrived.set()
     gevent.sleep(0.05)
     assert len(core.held) == 1 + waiting  # a door that ends hands on what waits
 
@@ -179,15 +181,15 @@
 
     def call(self, client: str = "c", tenant: int = 0, budget: float = 4000.0) -> Call:
         rid, due = f"{len(self.callers):016x}", self.now + budget
-        made = Call(rid, 0, "0" * 16, due, taken=self.now, tenant=tenant, client=client)
+        made = Call(rid, 0, "0" * 16, due, received_at=self.now, tenant=tenant, client=client)
         self.callers[made] = bench.Caller()
-        self.door.receive(Taken(made, self.callers[made]))
+        self.door.receive(CallReceived(made, self.callers[made]))
         return made
 
     def end(self, call: Call, how: str = "served") -> None:
         self.core.held.remove(call)
         self.callers[call].answers += 1
-        self.door.receive(Ended(call, how))
+        self.door.receive(CallEnded(call, how))
 
     def passes(self, ms: float) -> None:
         self.now += ms
@@ -241,7 +243,7 @@
     costs = {n: c.aim / 4 for n, c in enumerate(bench.SETTINGS.classes)}
     for _ in range(200):
         call = rig.call()
-        call.cold = True
+        call.waited_for_load = True
         rig.passes(20.0)
         if len(rig.core.held) > 150:
             rig.end(rig.core.held[0])  # 3 s late
@@ -260,8 +262,8 @@
     def withdraw(self, call: Call) -> bool:
         return True
 
-    def ended(self, call: Call, how: str) -> None:
-        self.ends.append((call.function, how, call.cold))
+    def call_ended(self, call: Call, how: str) -> None:
+        self.ends.append((call.function, how, call.waited_for_load))
 
 
 def test_the_door_is_told_which_calls_waited_for_a_load() -> None:
@@ -280,8 +282,8 @@
     first, second = rig.call(), rig.call()
     dropped: list[Call] = []
     rig.core.drop = lambda call: bool(dropped.append(call)) or True  # type: ignore[method-assign, func-returns-value]
-    rig.door.receive(Withdrawn(first))
-    rig.door.receive(Withdrawn(second))
+    rig.door.receive(CallWithdrawn(first))
+    rig.door.receive(CallWithdrawn(second))
     assert dropped == [first] and list(rig.door.inside) == [first] and not rig.door.waiting
     rig.end(first, "withdrawn")
     assert not rig.door.inside and rig.callers[second].answers == 0
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -35,7 +35,7 @@
 class Box(list[Any]):
     """A mailbox of a part that is not played."""
 
-    def push(self, message: Any) -> bool:
+    def blocking_send(self, message: Any) -> bool:
         self.append(message)
         return True
 
@@ -70,7 +70,9 @@
         }
 
     def deliver(self, message: Any) -> tuple[str, Callable[[], object]]:
-        return f"say-{type(getattr(message, 'message', message)).__name__}", lambda: self.old.tell(message)
+        return f"say-{type(getattr(message, 'message', message)).__name__}", lambda: self.old.try_send(
+            message
+        )
 
     def living(self, steps: list[tuple[str, Callable[[], object]]]) -> Iterator[str]:
         for label, step in steps:
@@ -84,12 +86,12 @@
     def kill(self) -> None:
         """SIGKILL of the new process: the kernel ends its link."""
         self.new_lives = self.new_accepts = False
-        self.old.tell(LinkLost(self.link))
+        self.old.try_send(LinkLost(self.link))
 
     def upgrade(self) -> Iterator[Wait]:
         while True:
-            yield Wait(lambda: self.old_lives and self.old.box, "message", idle=True)
-            self.old.receive(self.old.box.popleft())
+            yield Wait(lambda: self.old_lives and self.old.mailbox, "message", idle=True)
+            self.old.receive(self.old.mailbox.popleft())
 
     def fronting(self) -> Iterator[Wait]:
         while True:
@@ -114,7 +116,7 @@
         self.old_lives = False
 
     def key(self) -> Hashable:
-        said = tuple(type(m).__name__ for m in self.old.box), tuple(type(m).__name__ for m in self.front)
+        said = tuple(type(m).__name__ for m in self.old.mailbox), tuple(type(m).__name__ for m in self.front)
         return (
             tuple(self.queue),
             tuple(self.accepted),
@@ -149,7 +151,7 @@
 
     def receive(self, message: Any) -> None:
         if isinstance(message, Accepting):
-            self.front.push(Yield(lambda sock, name: None))
+            self.front.blocking_send(Yield(lambda sock, name: None))
         super().receive(message)
 
 
--- a/tests/test_host_crossings.py
+++ b/tests/test_host_crossings.py
@@ -16,7 +16,7 @@
 
 from harrieryoke import interface as i
 from harrieryoke.core.metrics import Metrics
-from harrieryoke.core.records import Attempt, Call, Order, Task, TaskEnded
+from harrieryoke.core.records import AttemptTask, Call, OrderTask, Task, TaskEnded
 from harrieryoke.core.table import RequestTable
 from harrieryoke.limits import Limits
 from harrieryoke.log import Log
@@ -50,8 +50,8 @@
         except OSError:
             pass
 
-    def answer(self, code: int, task: Attempt) -> None:
-        self.sock.sendall(frames.encode(code, int(task.call.rid, 16), mark=frames.FROM_HOST))
+    def answer(self, code: int, task: AttemptTask) -> None:
+        self.sock.sendall(frames.encode(code, int(task.call.request_id, 16), mark=frames.FROM_HOST))
 
     def reset(self) -> None:
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
@@ -98,16 +98,16 @@
         while not condition():
             assert time.monotonic() < late, (self.ends, [p.heard for p in self.peers])
             if step:
-                self.work()
+                self.process_mailbox()
             gevent.sleep(0.001)
 
-    def blocked(self, body: bytes = LARGE) -> tuple[Attempt, Link]:
+    def blocked(self, body: bytes = LARGE) -> tuple[AttemptTask, Link]:
         """A request of which a part is written, on a link whose host does not read."""
         self.reading.clear()
         large = attempt(0xA, body=body)
         self.send(large)
         link = self.links[-1]
-        assert link.waiting and link.backlog[0].begun and large.begun
+        assert link.waiting and link.backlog[0].begun and large.write_started
         return large, link
 
     def tries(self) -> int:
@@ -133,8 +133,8 @@
 Make = Callable[..., Stage]
 
 
-def attempt(id: int, body: bytes = b"", number: int = 0) -> Attempt:
-    return Attempt(1, 1e15, 0.0, call=Call(f"{id:016x}", 0, "f", 1e15, body), number=number)
+def attempt(id: int, body: bytes = b"", number: int = 0) -> AttemptTask:
+    return AttemptTask(1, 1e15, 0.0, call=Call(f"{id:016x}", 0, "f", 1e15, body), number=number)
 
 
 def request(id: int) -> tuple[int, int]:
@@ -144,27 +144,27 @@
 # --- between the check and the first byte ---
 
 
-def abandon(stage: Stage, task: Attempt) -> None:
+def abandon(stage: Stage, task: AttemptTask) -> None:
     task.call.abandoned = True
 
 
-def unwant(stage: Stage, task: Attempt) -> None:
+def unwant(stage: Stage, task: AttemptTask) -> None:
     task.wanted = False
 
 
-def drain(stage: Stage, task: Attempt) -> None:
+def drain(stage: Stage, task: AttemptTask) -> None:
     stage.standing.drain = i.Drain.DRAINING
 
 
-def replaced(stage: Stage, task: Attempt) -> None:
+def replaced(stage: Stage, task: AttemptTask) -> None:
     stage.standing.replaced = True
 
 
-def time_over(stage: Stage, task: Attempt) -> None:
+def time_over(stage: Stage, task: AttemptTask) -> None:
     task.stop_at = 1.0
 
 
-def window_over(stage: Stage, task: Attempt) -> None:
+def window_over(stage: Stage, task: AttemptTask) -> None:
     task.start_by = 1.0
 
 
@@ -173,12 +173,12 @@
 
 @pytest.mark.parametrize("news", NEWS)
 def test_what_is_no_longer_wanted_when_its_dial_comes_up_does_not_begin(
-    stages: Make, news: Callable[[Stage, Attempt], None]
+    stages: Make, news: Callable[[Stage, AttemptTask], None]
 ) -> None:
-    stage, task, marker = stages(), attempt(1), Order(1, 1e15, 0.0, function="f", copies=0)
+    stage, task, marker = stages(), attempt(1), OrderTask(1, 1e15, 0.0, function="f", copies=0)
     stage.dialling = lambda: news(stage, task)
     stage.send(task)
-    assert stage.ends == [(task, NOT_SENT)] and not task.begun and not stage.places
+    assert stage.ends == [(task, NOT_SENT)] and not task.write_started and not stage.places
     stage.standing.drain, stage.standing.replaced = i.Drain.UP, False
     stage.send(marker)
     stage.until(lambda: stage.peers[0].heard)
@@ -187,16 +187,16 @@
 
 @pytest.mark.parametrize("news", NEWS)
 def test_what_is_no_longer_wanted_when_the_host_reads_on_does_not_begin(
-    stages: Make, news: Callable[[Stage, Attempt], None]
+    stages: Make, news: Callable[[Stage, AttemptTask], None]
 ) -> None:
     stage, task, later = stages(narrow=True), attempt(1), attempt(2)
     stage.blocked()
     stage.send(task)
-    assert not task.begun
+    assert not task.write_started
     news(stage, task)
     stage.reading.set()
     stage.until(lambda: stage.ends)
-    assert stage.ends == [(task, NOT_SENT)] and not task.begun
+    assert stage.ends == [(task, NOT_SENT)] and not task.write_started
     stage.standing.drain, stage.standing.replaced = i.Drain.UP, False
     stage.send(later)
     stage.until(lambda: len(stage.peers[0].heard) == 2)
@@ -215,7 +215,7 @@
     stage.give_up(given_up)
     stage.peers[0].answer(frames.OK, early)
     stage.until(lambda: stage.ends)
-    assert stage.ends == [(early, OK)] and link.waiting and not given_up.begun
+    assert stage.ends == [(early, OK)] and link.waiting and not given_up.write_started
     stage.give_up(large)
     stage.reading.set()
     stage.until(lambda: len(stage.peers[0].heard) == 3)
@@ -256,7 +256,7 @@
     stage.blocked()
     stage.give_up(tasks[0])
     stage.send(tasks[3])
-    assert tasks[3].begun and stage.places[tasks[3]][0] is stage.links[0]
+    assert tasks[3].write_started and stage.places[tasks[3]][0] is stage.links[0]
 
 
 def test_an_unload_that_has_not_begun_does_not_go_to_a_host_that_drains(stages: Make) -> None:
@@ -280,7 +280,7 @@
     task = attempt(1)
     frame = Unsent(frames.REQUEST, 1, task, b"data")
     assert not Link(Unready(), frames.Decoder(0)).write(frame) and frame.data == b"data"
-    assert not task.begun and not frame.begun
+    assert not task.write_started and not frame.begun
 
 
 # --- the window in which a request may be repeated ---
@@ -289,12 +289,12 @@
 class Port:
     """A host's mailbox that takes all and tells nothing."""
 
-    def begin(self, task: Task) -> bool:
+    def start_task(self, task: Task) -> bool:
         return True
 
-    def revoke(self, task: Task) -> None: ...
+    def cancel_task(self, task: Task) -> None: ...
 
-    def drop(self, function: str) -> None: ...
+    def drop_copies(self, function: str) -> None: ...
 
     def served(self, call: Call, body: bytes) -> None: ...
 
@@ -353,7 +353,7 @@
     stage.send(old)
     stage.until(lambda: stage.peers[0].heard)
     stage.peers[0].sock.close()
-    stage.until(lambda: any(isinstance(m, Lost) for m in stage.box), step=False)
+    stage.until(lambda: any(isinstance(m, Lost) for m in stage.mailbox), step=False)
     stage.send(new)
     stage.until(lambda: stage.peers[1].heard)
     assert stage.peers[1].heard == [request(2)] and stage.ends == [(old, RESET)]
@@ -364,14 +364,14 @@
     large, link = stage.blocked(LARGE[:9000])
     stage.send(queued)
     stage.reading.set()
-    stage.until(lambda: any(isinstance(m, Writable) for m in stage.box), step=False)
+    stage.until(lambda: any(isinstance(m, Writable) for m in stage.mailbox), step=False)
     begun = link.backlog[0]
     written = len(stage.encode(begun, large)) - len(begun.data)
     stage.until(lambda: len(stage.peers[0].decoder.rest) == written, step=False)  # there is room for both
     stage.peers[0].sock.shutdown(socket.SHUT_WR)  # it would still read
     stage.until(lambda: link.ended, step=False)
     stage.until(lambda: len(stage.ends) == 2)
-    assert dict(stage.ends) == {large: NOT_SENT, queued: NOT_SENT} and not queued.begun
+    assert dict(stage.ends) == {large: NOT_SENT, queued: NOT_SENT} and not queued.write_started
 
 
 def test_a_dial_that_never_comes_up_ends_all_that_waited_for_it_once(stages: Make) -> None:
@@ -382,11 +382,11 @@
         while len(held) < 10:
             held.append(socket.create_connection(where, 0.2))
     for task in tasks[1:]:
-        stage.begin(task)
+        stage.start_task(task)
     tasks[2].call.abandoned = True
     stage.send(tasks[0])
     assert dict(stage.ends) == dict(zip(tasks, (NO_CONNECTION, NO_CONNECTION, NOT_SENT), strict=True))
-    assert len(stage.ends) == 3 and not stage.box and not stage.places
+    assert len(stage.ends) == 3 and not stage.mailbox and not stage.places
     for sock in held:
         sock.close()
 
@@ -394,7 +394,7 @@
 def test_a_dial_without_a_descriptor_tells_nothing_of_the_host(stages: Make) -> None:
     stage, task, queued = stages(), attempt(1), attempt(2)
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    stage.begin(queued)
+    stage.start_task(queued)
     free = os.dup(0)
     os.close(free)
     resource.setrlimit(resource.RLIMIT_NOFILE, (free, hard))
@@ -402,17 +402,17 @@
         stage.send(task)
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-    assert stage.ends == [(task, NOT_SENT)] and len(stage.box) == 1
+    assert stage.ends == [(task, NOT_SENT)] and len(stage.mailbox) == 1
     stage.until(lambda: stage.peers and stage.peers[0].heard)
     assert stage.peers[0].heard == [request(2)] and len(stage.ends) == 1
 
 
 def test_a_host_whose_links_are_all_full_is_not_taken_for_dead(stages: Make) -> None:
     stage, tasks = stages(Limits(links_per_host=2, streams_per_link=1)), [attempt(n) for n in (1, 2, 3, 4)]
-    stage.begin(tasks[3])
+    stage.start_task(tasks[3])
     for task in tasks[:3]:
         stage.send(task)
-    assert stage.ends == [(tasks[2], NOT_SENT)] and len(stage.box) == 1
+    assert stage.ends == [(tasks[2], NOT_SENT)] and len(stage.mailbox) == 1
 
 
 @pytest.mark.parametrize("narrow", [False, True])
@@ -423,7 +423,7 @@
     first, second = attempt(1), attempt(1, number=1)
     stage.send(first)
     stage.send(second)
-    assert first.begun is not narrow and second.begun
+    assert first.write_started is not narrow and second.write_started
     stage.give_up(first)
     stage.reading.set()
     stage.until(lambda: stage.peers[1].heard)
--- a/tests/test_interleave.py
+++ b/tests/test_interleave.py
@@ -17,7 +17,7 @@
 from harrieryoke.core import module
 from harrieryoke.core.metrics import Metrics
 from harrieryoke.core.module import ModuleActor
-from harrieryoke.core.records import Attempt, Call, Retuned, Task, TaskEnded
+from harrieryoke.core.records import AttemptTask, Call, SettingsChanged, Task, TaskEnded
 from harrieryoke.core.table import NEVER_RAN, RequestTable
 from harrieryoke.limits import Limits
 from harrieryoke.log import Log
@@ -133,7 +133,7 @@
 
     made = 0
 
-    def attempt(self, *args: Any) -> Attempt:
+    def attempt(self, *args: Any) -> AttemptTask:
         self.made += 1
         return super().attempt(*args)
 
@@ -168,16 +168,16 @@
         return f"withdraw-{n}", lambda: self.core.withdraw(self.calls[n])
 
     def served(self, call: Call, body: bytes) -> None:
-        self.answers.append(call.rid)
+        self.answers.append(call.request_id)
 
     def refused(self, call: Call, retry_after: float | None) -> None:
-        self.answers.append(call.rid)
+        self.answers.append(call.request_id)
 
     def failed(self, call: Call, reason: str) -> None:
-        self.answers.append(call.rid)
+        self.answers.append(call.request_id)
 
-    def ended(self, call: Call, how: str) -> None:
-        self.ends.append((call.rid, how))
+    def call_ended(self, call: Call, how: str) -> None:
+        self.ends.append((call.request_id, how))
 
     def attempts(self) -> list[i.AttemptEnded]:
         return [e for e in self.script.heard if isinstance(e, i.AttemptEnded)]
@@ -191,7 +191,9 @@
         assert "module-fault" not in self.log.totals
 
     def final(self) -> None:
-        assert sorted(rid for rid, _ in self.ends) == [c.rid for c in self.calls], "a call without its end"
+        assert sorted(rid for rid, _ in self.ends) == [
+            c.request_id for c in self.calls
+        ], "a call without its end"
         table = self.table
         left = table.tasks or table.attempts or table.entries or len(table.times)
         assert not left, "a task without its end"
@@ -204,7 +206,7 @@
             self.now,
             sorted(self.ends),
             heard,
-            self.core.box,
+            self.core.mailbox,
             self.core.echoes,
             table.latest,
             table.entries,
@@ -298,12 +300,12 @@
         self.threads, self.actors = {}, list[StubHost]()
         self.written, self.asked = list[str](), list[tuple[StubHost, int]]()
         self.reports: Counter[Task] = Counter()
-        self.list = WatchedList(SETTINGS, Limits(), self.log, self.core.push, self.report, Metrics())
+        self.list = WatchedList(SETTINGS, Limits(), self.log, self.core.blocking_send, self.report, Metrics())
         self.list.apply([Server("h1", "10.0.0.1:9", "active")], i.ListScope.REMEMBERED)
         said = BusSaid(BusEvent(1, NEWS[news]))
         self.threads |= {
             "client": [self.offer(0), self.offer(1), self.withdraw(1)],
-            "bus": [("say", lambda: self.list.push(said))],
+            "bus": [("say", lambda: self.list.blocking_send(said))],
             "list": actor_thread(self.list, self.clock),
             "module": actor_thread(self.core, self.clock),
             "h1": self.answering(),
@@ -312,7 +314,7 @@
 
     def report(self, ended: TaskEnded) -> None:
         self.reports[ended.task] += 1
-        self.core.push(ended)
+        self.core.blocking_send(ended)
 
     def write(self, actor: StubHost, id: int) -> None:
         closed = self.list.applied > 1 and actor is self.actors[0]
@@ -326,30 +328,30 @@
             yield Wait(lambda: self.asked, "answer", idle=True)
             actor, id = self.asked.pop(0)
             for link in actor.links:
-                actor.push(Heard(link, [frames.Frame(frames.OK, id, {})]))
+                actor.blocking_send(Heard(link, [frames.Frame(frames.OK, id, {})]))
 
     def check(self) -> None:
         super().check()
         assert max(self.reports.values(), default=1) == 1, "a host told of one end twice"
         assert max(Counter(self.written).values(), default=1) == 1, "written twice"
         for e in self.attempts():
-            rid = self.calls[e.request - 1].rid
+            rid = self.calls[e.request - 1].request_id
             assert e.outcome not in NEVER_RAN or rid not in self.written, "it has run"
 
     def key(self) -> Hashable:
         hosts = [
             (
-                a.box,
-                getattr(a.box, "hand", None),
+                a.mailbox,
+                getattr(a.mailbox, "hand", None),
                 [(k.open, k.asked, k.used) for k in a.links],
                 list(a.places),
                 a.standing,
                 a.retiring,
-                a.over,
+                a.finished,
             )
             for a in self.actors
         ]
-        return (super().key(), self.list.applied, shape(hosts, self.list.box, self.written, self.asked))
+        return (super().key(), self.list.applied, shape(hosts, self.list.mailbox, self.written, self.asked))
 
 
 @pytest.mark.parametrize("news", NEWS)
@@ -383,7 +385,7 @@
         super().__init__(patch, 1)
         merged = merge(SETTINGS, replace(SETTINGS, classes=(NEW, *SETTINGS.classes[1:])), 8)
         self.calls = [self.calls[0], Call(f"{2:016x}", len(SETTINGS.classes), "f", 1200.0)]
-        retune = "retune", lambda: self.core.push(Retuned(merged))
+        retune = "retune", lambda: self.core.blocking_send(SettingsChanged(merged))
         self.threads = {
             "client": [self.offer(0), self.withdraw(0)],
             "service": [self.offer(1), retune] if hasty else [retune, self.offer(1)],
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -73,13 +73,13 @@
                 now + 1000,
                 tenant=tenant,
                 memory=400,
-                taken=now - 50,
+                received_at=now - 50,
             )
             caller = Caller()
             self.callers.append(caller)
             front = self.part.front_for(caller)
             if front is caller:
-                self.part.ended(call, how)
+                self.part.call_ended(call, how)
                 caller.served(call, b"")
             else:
                 front.served(call, b"")
@@ -87,7 +87,7 @@
     def settled(self) -> bool:
         status = self.part.actor.ask_status(1000)
         export = status["export"]
-        return not (export["not_in_a_batch"] or export["unsent"] or self.part.actor.box)
+        return not (export["not_in_a_batch"] or export["unsent"] or self.part.actor.mailbox)
 
     def settled_but_aside(self) -> bool:
         export = self.part.actor.ask_status(1000)["export"]
@@ -238,7 +238,7 @@
     rig = Rig(tmp_path, collector, store=told)
     for _ in range(6):
         rig.ends(100)
-        until(lambda: not rig.part.actor.box)
+        until(lambda: not rig.part.actor.mailbox)
         gevent.sleep(0.05)
         rig.part.actor.ask(rig.part.actor.next_batch)  # cut, though nothing can be sent
     actor = rig.part.actor
@@ -426,12 +426,12 @@
         lambda: False,
     )
     part.start()
-    part.ended(Call("1" * 16, 0, "f" * 16, now_ms() + 100, taken=now_ms()), "served")
+    part.call_ended(Call("1" * 16, 0, "f" * 16, now_ms() + 100, received_at=now_ms()), "served")
     until(lambda: collector.figures()["entries"] == 1)
     (good / "cert.pem").write_text("nonsense")
     part.reload()  # the old files stay in force, also for a new connection
     collector.cut()
-    part.ended(Call("2" * 16, 0, "f" * 16, now_ms() + 100, taken=now_ms()), "served")
+    part.call_ended(Call("2" * 16, 0, "f" * 16, now_ms() + 100, received_at=now_ms()), "served")
     until(lambda: collector.figures()["entries"] == 2)
     assert len(collector.hellos) == 2
     part.stop()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -9,7 +9,7 @@
 
 from harrieryoke import interface as i
 from harrieryoke.core.metrics import Metrics
-from harrieryoke.core.records import Attempt, Call, TaskEnded
+from harrieryoke.core.records import AttemptTask, Call, TaskEnded
 from harrieryoke.limits import Limits
 from harrieryoke.log import Log
 from harrieryoke.net.frames import Decoder
@@ -338,7 +338,7 @@
 
     ends: list[TaskEnded] = []
     actor = HostActor("h", Standing(("127.0.0.1", 9)), KINDS, Limits(), Log(), ends.append, Metrics())
-    old, new = (Attempt(1, 1e18, 0.0, call=Call(f"{n:016x}", 0, "f", 1e18)) for n in (1, 2))
+    old, new = (AttemptTask(1, 1e18, 0.0, call=Call(f"{n:016x}", 0, "f", 1e18)) for n in (1, 2))
     link = Link(Broken(), Decoder(0), {1: old})
     actor.links.append(link)
     actor.places[old] = (link, 1)
--- a/tests/test_plugins.py
+++ b/tests/test_plugins.py
@@ -268,7 +268,7 @@
         core.offer(bench.synthetic(rng, now_ms()), caller)
         gevent.sleep(0.002)
     assert all(caller.done.wait(5) for caller in callers)
-    assert [caller.answers for caller in callers] == [1] * 30 and gate.over
+    assert [caller.answers for caller in callers] == [1] * 30 and gate.finished
     assert log.totals["greenlet-died"] == 1
 
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -18,7 +18,7 @@
 from harrieryoke import interface as i
 from harrieryoke.checks import ConfigError
 from harrieryoke.config import read_config, read_whole
-from harrieryoke.core.records import Retuned
+from harrieryoke.core.records import SettingsChanged
 from harrieryoke.log import Log
 from harrieryoke.net import frames
 from harrieryoke.reload import describe_changes, find_missing_key, merge
@@ -306,9 +306,9 @@
     assert key.rstrip() in stage.hup() and stage.log.lines[-1].startswith("reload-failed")
     assert counted(service) == (0, 1)
     assert service.config is before and service.limits == limits and service.maker.settings is before.settings
-    assert not service.core.box and not service.bus.box and service.hosts.settings is before.settings
+    assert not service.core.mailbox and not service.bus.mailbox and service.hosts.settings is before.settings
     assert stage.hup(adds) == "reloaded classes added: swarm-alert"
-    assert counted(service) == (1, 1) and service.bus.box
+    assert counted(service) == (1, 1) and service.bus.mailbox
 
 
 def test_a_whole_file_may_leave_out_what_the_protocol_calls_optional(stage: Stage) -> None:
@@ -341,13 +341,13 @@
 
 def test_two_files_in_one_moment_both_count_in_their_order(stage: Stage) -> None:
     core = stage.service.core
-    core.box.extend([None] * core.bound)  # the first file waits for room
+    core.mailbox.extend([None] * core.capacity)  # the first file waits for room
     both = [gevent.spawn(stage.hup, adds)]
     gevent.sleep(0)
     both.append(gevent.spawn(stage.hup, lambda s: None))
     gevent.sleep(0)
-    core.box.clear()
-    core.emptied.set()
+    core.mailbox.clear()
+    core.space_available.set()
     gevent.joinall(both)
     assert stage.log.lines == ["reloaded classes added: swarm-alert", "reloaded classes dropped: swarm-alert"]
     assert counted(stage.service) == (2, 0) and "swarm-alert" not in stage.service.maker.classes
@@ -530,5 +530,5 @@
 
 def test_the_mailboxes_keep_the_order_of_settings_and_calls(stage: Stage) -> None:
     stage.hup(adds)
-    (message,) = stage.service.core.box
-    assert isinstance(message, Retuned) and message.settings is stage.service.maker.settings
+    (message,) = stage.service.core.mailbox
+    assert isinstance(message, SettingsChanged) and message.settings is stage.service.maker.settings
--- a/tests/test_shutdown_crossings.py
+++ b/tests/test_shutdown_crossings.py
@@ -90,7 +90,7 @@
     begun = c.actor.used
     c.send(line(1, "probe")[30:] + line(2, "probe")[:30])
     assert c.read(1) == [(1, 0)]
-    c.actor.tell(CloseIfIdle(stalled=begun))
+    c.actor.try_send(CloseIfIdle(stalled=begun))
     until(lambda: c.actor.stopping, "told to close")
     c.send(line(2, "probe")[30:])
     assert c.read(1) == [(2, 0)]
@@ -101,7 +101,7 @@
     f = Front(client_ask_ms=100.0, sweep_ms=20.0)
     sock = f.connect(line(1)[:30])
     until(lambda: any(c.partial for c in f.front.clients), "half a line")
-    f.front.tell(StopListening())
+    f.front.try_send(StopListening())
     assert sock.recv(1) == b"" and f.front.empty.wait(PATIENCE)
 
 
@@ -124,9 +124,9 @@
 
 def test_front_ends_with_its_listener_unless_that_was_closed_on_purpose() -> None:
     f, broken = Front(), Event()
-    f.front.push(Yield(lambda sock, name: None))
+    f.front.blocking_send(Yield(lambda sock, name: None))
     until(lambda: f.front.yielded and not f.front.listeners, "the listener's end")
-    f.front.push(Resume())
+    f.front.blocking_send(Resume())
     assert read(f.connect(line(1, "probe")), 1) == [(1, 0)]
 
     def fail(entry: socket.socket) -> None:
@@ -151,7 +151,7 @@
     f = Front(sleep)
     socks = [f.connect(line(n)) for n in (1, 2, 3)]
     assert not f.front.clients
-    f.front.tell(StopListening())
+    f.front.try_send(StopListening())
     until(lambda: len(f.core.offered) == 3, "offered")
     for client in list(f.front.clients):
         for call in list(client.ids):
@@ -173,12 +173,12 @@
 
 def test_stop_waits_for_a_connection_in_the_mailbox() -> None:
     f = Front()
-    f.front.push(Yield(lambda sock, name: None))
+    f.front.blocking_send(Yield(lambda sock, name: None))
     until(lambda: f.front.yielded and not f.front.listeners, "the listener's end")
     sock = f.connect(line(1))
     served, _ = f.listening.accept()
-    f.front.tell(StopListening())
-    f.front.tell(Accepted(served, "c:1", asked=True))
+    f.front.try_send(StopListening())
+    f.front.try_send(Accepted(served, "c:1", asked=True))
     answered(f, sock)
 
 
@@ -195,7 +195,7 @@
     f = Front(hold)
     sock = f.connect(line(1))
     until(lambda: held, "accepted")
-    f.front.tell(StopListening())
+    f.front.try_send(StopListening())
     until(lambda: f.front.entry.fileno() < 0, "the entry closed")
     assert not f.front.empty.is_set()
     release.set()
@@ -208,8 +208,8 @@
     until(lambda: f.core.offered, "offered")
     (client,) = f.front.clients
     client.served(f.core.offered[1], BODY)
-    until(lambda: not client.box and client.outgoing.unsent, "a half written answer")
-    f.front.tell(StopListening())
+    until(lambda: not client.mailbox and client.outgoing.unsent, "a half written answer")
+    f.front.try_send(StopListening())
     until(lambda: client.stopping, "told to close")
     assert not f.front.empty.is_set()
     assert read(sock, 1) == [(1, len(BODY))] and sock.recv(1) == b""
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -122,15 +122,15 @@
         """Its period."""
         now = now_ms()
         for number in range(count):
-            call = Call(f"{number:016x}", 0, "f" * 16, now + 1000, memory=400, taken=now - 50)
-            self.part.ended(call, "served")
+            call = Call(f"{number:016x}", 0, "f" * 16, now + 1000, memory=400, received_at=now - 50)
+            self.part.call_ended(call, "served")
         until(self.settled)
         (period,) = self.part.actor.ask_status(1000)["periods"]
         return int(period["period"])
 
     def settled(self) -> bool:
         export = self.part.actor.ask_status(1000)["export"]
-        return not (export["not_in_a_batch"] or export["unsent"] or self.part.actor.box)
+        return not (export["not_in_a_batch"] or export["unsent"] or self.part.actor.mailbox)
 
     def result(self) -> object:
         return self.part.answer("GET", "/ledger/reconcile", {}, 1000)[1]["results"]
