--- a/harrieryoke/budgets/decide/__init__.py
+++ b/harrieryoke/budgets/decide/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on budgets. No I/O, no clock: times come in as milliseconds."""
+"""Budget decisions as pure state machines, without I/O or clocks: callers pass times in milliseconds."""
--- a/harrieryoke/budgets/decide/commands.py
+++ b/harrieryoke/budgets/decide/commands.py
@@ -1,20 +1,21 @@
-"""What may be asked of a tree of budgets, and what a refusal says. Amounts are whole tokens."""
+"""Replicated commands of the budget tree and their rejections. Amounts are whole tokens."""
 
 from __future__ import annotations
 
 from msgspec import Struct
 
-MOST_DEPTH = 8  # nodes on a path, the root with them
-MOST_NODES = 200_000
-MOST_TOKENS = 10**15  # at one node
-MOST_NAME, MOST_WHY = 200, 500  # characters
-MOST_ADMINS, MOST_LOANS = 16, 16  # of one node
-WHOLE = 1000  # thousandths: no overcommit
-MOST_OVERCOMMIT = 10 * WHOLE
+MAX_DEPTH = 8  # nodes on a path, including the root
+MAX_NODES = 200_000
+MAX_TOKENS = 10**15  # at one node
+MAX_NAME_CHARS, MAX_REASON_CHARS = 200, 500
+MAX_ADMINS, MAX_LOANS = 16, 16  # per node
+OVERCOMMIT_UNIT = 1000  # thousandths: children may be given exactly what the node has
+MAX_OVERCOMMIT = 10 * OVERCOMMIT_UNIT
 
 
-class Refused(Struct, frozen=True):
-    """`code` is one word for scripts, `node` where it failed, `action` what can be done. Nothing changed."""
+class Rejection(Struct, frozen=True):
+    """Why a command was rejected without any change: `code` is one word for scripts, `node` is the node whose
+    rule failed, and `action` says what the caller can do."""
 
     node: str
     code: str
@@ -24,155 +25,174 @@
         return f"{self.code} {self.node}: {self.action}"
 
 
-class Terms(Struct, frozen=True, array_like=True):
-    """`refill` tokens come with each period, and of what is free at its end up to `carry` stays. `minimum`, a
-    part of the refill, is kept from all others. A soft node's own ceiling is told and not checked. Children
-    may be given `overcommit` thousandths of what the node has."""
+class QuotaTerms(Struct, frozen=True, array_like=True):
+    """Quota rules of a node.
+
+    Each period adds `refill` tokens, and up to `carry` of the tokens that are free at its end carry over.
+    `minimum`, a part of the refill, is reserved against all other nodes. The ceiling of a soft node is
+    reported but not enforced. Children may be given `overcommit` thousandths of what the node has.
+    """
 
     refill: int = 0
     carry: int = 0
     minimum: int = 0
-    overcommit: int = WHOLE
+    overcommit: int = OVERCOMMIT_UNIT
     soft: bool = False
 
-    def fault(self) -> str:
-        """What is wrong with them by themselves; empty for nothing."""
+    def validation_error(self) -> str:
+        """Returns what is invalid in the terms taken by themselves, or an empty string."""
         for name in ("refill", "carry", "minimum"):
-            if not 0 <= getattr(self, name) <= MOST_TOKENS:
-                return f"{name}: 0 to {MOST_TOKENS} is wanted"
-        if not WHOLE <= self.overcommit <= MOST_OVERCOMMIT:
-            return f"overcommit: {WHOLE} to {MOST_OVERCOMMIT} thousandths is wanted"
-        return "" if self.minimum <= self.refill else "minimum: no more than the refill is wanted"
+            if not 0 <= getattr(self, name) <= MAX_TOKENS:
+                return f"{name}: must be 0 to {MAX_TOKENS}"
+        if not OVERCOMMIT_UNIT <= self.overcommit <= MAX_OVERCOMMIT:
+            return f"overcommit: must be {OVERCOMMIT_UNIT} to {MAX_OVERCOMMIT} thousandths"
+        return "" if self.minimum <= self.refill else "minimum: must not exceed the refill"
 
 
-# --- by administrators. The subject is `node`, and the version that of its last change ---
+# --- administrator commands: `node` is the subject, and the version is that of the subject's last change ---
 
 
-class Open(Struct, frozen=True, array_like=True, tag="open"):
-    """A new node below `parent`, with nothing. The version is the parent's."""
+class OpenNode(Struct, frozen=True, array_like=True, tag="open"):
+    """Creates an empty node below `parent`. The expected version is the parent's."""
 
     node: str
     parent: str
     admins: tuple[str, ...] = ()
 
 
-class Delegate(Struct, frozen=True, array_like=True, tag="delegate"):
-    """The node may use `amount` more of what its parent has. At the root it is a grant, by the owners."""
+class DelegateQuota(Struct, frozen=True, array_like=True, tag="delegate"):
+    """Raises the node's ceiling by `amount` out of its parent's tokens. At the root this is a grant by the
+    owners."""
 
     node: str
     amount: int
 
 
-class TakeBack(Struct, frozen=True, array_like=True, tag="take-back"):
-    """What is free comes back at once; of what is out in slices, what comes back unspent."""
+class ReclaimQuota(Struct, frozen=True, array_like=True, tag="take-back"):
+    """Lowers the node's ceiling. Free tokens return at once; tokens held in slices return once they come back
+    unspent."""
 
     node: str
     amount: int
 
 
-class Move(Struct, frozen=True, array_like=True, tag="move"):
-    """With all below it, and with what it has, holds and spent in this period."""
+class MoveNode(Struct, frozen=True, array_like=True, tag="move"):
+    """Moves the node with its subtree, its ceiling, and what it holds and has spent in this period."""
 
     node: str
-    to: str
+    new_parent: str
 
 
-class Suspend(Struct, frozen=True, array_like=True, tag="suspend"):
-    """While `on`, nothing below gets new slices."""
+class SuspendNode(Struct, frozen=True, array_like=True, tag="suspend"):
+    """While `suspended`, no slices are granted at the node or below it."""
 
     node: str
-    on: bool
+    suspended: bool
 
 
-class Close(Struct, frozen=True, array_like=True, tag="close"):
-    """For good. The node is forgotten at the first turn at which nothing of it is out."""
+class CloseNode(Struct, frozen=True, array_like=True, tag="close"):
+    """Closes the node permanently. It is removed at the first start of a period at which it holds nothing."""
 
     node: str
 
 
-class Set(Struct, frozen=True, array_like=True, tag="set"):
+class SetTerms(Struct, frozen=True, array_like=True, tag="set"):
     node: str
-    terms: Terms
+    terms: QuotaTerms
 
 
-class Appoint(Struct, frozen=True, array_like=True, tag="appoint"):
+class SetAdmins(Struct, frozen=True, array_like=True, tag="appoint"):
     node: str
     admins: tuple[str, ...]
 
 
-class Lend(Struct, frozen=True, array_like=True, tag="lend"):
-    """Siblings may borrow of the node's unused part, all together up to `most`."""
+class OfferLoans(Struct, frozen=True, array_like=True, tag="lend"):
+    """Lets siblings borrow the node's unused tokens, up to `limit` in total."""
 
     node: str
-    most: int
+    limit: int
 
 
-class Borrow(Struct, frozen=True, array_like=True, tag="borrow"):
-    """Of a sibling. Returned oldest first: by `Repay`, and at a turn out of what the turn brings."""
+class BorrowQuota(Struct, frozen=True, array_like=True, tag="borrow"):
+    """Borrows from a sibling. The oldest loan is repaid first: by `RepayLoans`, and at the start of a period
+    out of the new tokens."""
 
     node: str
-    of: str
+    lender: str
     amount: int
 
 
-class Repay(Struct, frozen=True, array_like=True, tag="repay"):
+class RepayLoans(Struct, frozen=True, array_like=True, tag="repay"):
     node: str
     amount: int
 
 
-Command = Open | Delegate | TakeBack | Move | Suspend | Close | Set | Appoint | Lend | Borrow | Repay
-
-
-class Change(Struct, frozen=True, array_like=True, tag="change"):
-    """A command with who asked for it, when (Unix ms), why, and which version of its subject was seen."""
-
-    who: str
-    at: int
-    why: str
+AdminCommand = (
+    OpenNode
+    | DelegateQuota
+    | ReclaimQuota
+    | MoveNode
+    | SuspendNode
+    | CloseNode
+    | SetTerms
+    | SetAdmins
+    | OfferLoans
+    | BorrowQuota
+    | RepayLoans
+)
+
+
+class AdminChange(Struct, frozen=True, array_like=True, tag="change"):
+    """A command with its author, its time (Unix ms), its reason, and the version of the subject that the
+    author saw."""
+
+    author: str
+    changed_at: int
+    reason: str
     version: int
-    do: Command
+    command: AdminCommand
 
 
-# --- by the duty's holder, under its token ---
+# --- operations of the duty's holder, fenced by its token ---
 
 
-class Begin(Struct, frozen=True, array_like=True, tag="begin"):
-    """A new holder's first entry: once it is applied, nothing of an older token counts any more, and the
-    holder's copy has all that did."""
+class BeginTerm(Struct, frozen=True, array_like=True, tag="begin"):
+    """First entry of a new holder. Once it is applied, entries under older tokens are rejected, and the
+    holder's replica includes every earlier entry that was accepted."""
 
 
-class Turn(Struct, frozen=True, array_like=True, tag="turn"):
-    """Period `number` begins. One that was missed is not made up for: there is one refill."""
+class StartPeriod(Struct, frozen=True, array_like=True, tag="turn"):
+    """Starts period `number`. Missed periods are not made up for: there is a single refill."""
 
     number: int
 
 
-class Give(Struct, frozen=True, array_like=True, tag="give"):
-    """A slice of the node's tokens for one life of an invoker. It may take the first `opened` of it at once,
-    until `ms` of its own clock after its ask `ask`."""
+class GrantSlice(Struct, frozen=True, array_like=True, tag="give"):
+    """Lends a slice of the node's tokens to one life of an invoker. The invoker may spend the first
+    `initial_limit` tokens at once, until `duration` on its own clock after its request `request_number`."""
 
     node: str
     invoker: str
     life: int
-    ask: int
+    request_number: int
     amount: int
-    opened: int
-    ms: int
+    initial_limit: int
+    duration: int
 
 
-class Told(Struct, frozen=True, array_like=True, tag="told"):
-    """Of a slice, all in all: what was spent, and what comes back. Neither ever shrinks. `ended`: nothing
-    more can be taken of it."""
+class SettleSlice(Struct, frozen=True, array_like=True, tag="told"):
+    """Cumulative totals of a slice: tokens spent and tokens returned; neither ever decreases. `ended`:
+    nothing more can be taken from the slice."""
 
-    slice: int
+    slice_id: int
     spent: int
-    back: int
+    returned: int
     ended: bool = False
 
 
-class Act(Struct, frozen=True, array_like=True, tag="act"):
+class HolderEntry(Struct, frozen=True, array_like=True, tag="act"):
     token: int
-    do: Begin | Turn | Give | Told
+    operation: BeginTerm | StartPeriod | GrantSlice | SettleSlice
 
 
-Entry = Change | Act
+LogEntry = AdminChange | HolderEntry
--- a/harrieryoke/budgets/decide/estimates.py
+++ b/harrieryoke/budgets/decide/estimates.py
@@ -1,4 +1,4 @@
-"""What a call will take: by function, learned, mean and spread (Jacobson, Karels 1988), in tokens."""
+"""Estimates the tokens of a call by function, from a moving mean and deviation (Jacobson, Karels 1988)."""
 
 from __future__ import annotations
 
@@ -8,21 +8,22 @@
 
 
 @dataclass(slots=True)
-class Estimates:
-    """`first`: of a function that was never seen. Bounded by `most`: the one used longest ago is forgotten.
-    Two spreads above the mean, so that few calls take more than was set aside for them."""
+class CostEstimator:
+    """Uses `default_tokens` for a function that was never seen. Keeps at most `capacity` functions and evicts
+    the least recently recorded one. The estimate is the mean plus two deviations, so that few calls exceed
+    their reservation."""
 
-    first: int = 200
-    most: int = 4096
-    known: OrderedDict[str, tuple[float, float]] = field(default_factory=OrderedDict)
+    default_tokens: int = 200
+    capacity: int = 4096
+    known: OrderedDict[str, tuple[float, float]] = field(default_factory=OrderedDict)  # mean, deviation
 
-    def of(self, function: str) -> int:
+    def estimate(self, function: str) -> int:
         found = self.known.get(function)
-        return self.first if found is None else max(1, ceil(found[0] + 2 * found[1]))
+        return self.default_tokens if found is None else max(1, ceil(found[0] + 2 * found[1]))
 
-    def learn(self, function: str, took: int) -> None:
-        mean, spread = self.known.pop(function, (float(took), took / 2))
-        error = took - mean
-        self.known[function] = mean + error / 8, spread + (abs(error) - spread) / 4
-        if len(self.known) > self.most:
+    def record(self, function: str, tokens: int) -> None:
+        mean, deviation = self.known.pop(function, (float(tokens), tokens / 2))
+        error = tokens - mean
+        self.known[function] = mean + error / 8, deviation + (abs(error) - deviation) / 4
+        if len(self.known) > self.capacity:
             self.known.popitem(last=False)
--- a/harrieryoke/budgets/decide/messages.py
+++ b/harrieryoke/budgets/decide/messages.py
@@ -1,76 +1,79 @@
-"""What an invoker and the duty's holder say to each other. Each may be lost, repeated and reordered."""
+"""Messages between an invoker and the holder of the budget duty. Any of them may be lost, repeated or
+reordered."""
 
 from __future__ import annotations
 
 from msgspec import Struct
 
 
-class Ask(Struct, frozen=True, array_like=True, tag="ask"):
-    """For a slice. `number` rises with each new ask in a life; a repeated one has the same."""
+class SliceRequest(Struct, frozen=True, array_like=True, tag="ask"):
+    """Requests a slice. `number` rises with each new request in an invoker's life; a retry keeps it."""
 
     node: str
     invoker: str
     life: int
     number: int
-    rate: float  # tokens a millisecond that are wanted of the node there
-    need: int  # tokens of one call: fewer are of no use
+    rate: float  # tokens per millisecond in demand for the node at this invoker
+    min_amount: int  # tokens of one call: a smaller slice is useless
 
 
-class Granted(Struct, frozen=True, array_like=True, tag="granted"):
+class SliceGranted(Struct, frozen=True, array_like=True, tag="granted"):
     invoker: str
     life: int
-    token: int  # the holder's, to which reports go
-    slice: int
+    token: int  # of the granting holder, to which reports are sent
+    slice_id: int
     node: str
-    ask: int
+    request_number: int
     amount: int
-    opened: int
-    ms: int
+    spend_limit: int
+    duration: int
 
 
-class Dry(Struct, frozen=True, array_like=True, tag="dry"):
-    """Nothing for that ask: `at` is the node of the path that has none, or that bars it, `code` says which.
-    `again_ms`: when the invoker may ask again. `refill_ms`: until the refill; 0 where there is none."""
+class SliceDenied(Struct, frozen=True, array_like=True, tag="dry"):
+    """Denies a request: `blocking_node` is the node on the path that has no tokens or blocks the grant, for
+    the reason in `code`. The invoker may ask again after `retry_after`; `refill_after` is the time until the
+    refill, 0 where there is none."""
 
     invoker: str
     life: int
     token: int
     node: str
-    ask: int
-    at: str
+    request_number: int
+    blocking_node: str
     code: str
-    again_ms: float
-    refill_ms: float
+    retry_after: float
+    refill_after: float
 
 
-class Row(Struct, frozen=True, array_like=True):
-    """Of a slice, all in all: `spent` at final answers; nothing was taken beyond the first `mark` tokens, nor
-    will be before a higher one is acknowledged. `done`: nothing is out and nothing more will be taken."""
+class SliceUsage(Struct, frozen=True, array_like=True):
+    """Cumulative use of a slice. `spent` counts calls with a final answer. No tokens were taken beyond the
+    first `spend_limit`, nor will be before a higher limit is acknowledged. `final`: nothing is reserved and
+    nothing more will be taken."""
 
-    slice: int
+    slice_id: int
     spent: int
-    mark: int
-    done: bool = False
+    spend_limit: int
+    final: bool = False
 
 
-class Report(Struct, frozen=True, array_like=True, tag="report"):
-    """To the holder of `token` alone: another one takes no notice."""
+class UsageReport(Struct, frozen=True, array_like=True, tag="report"):
+    """Addressed to the holder of `token`; any other holder ignores it."""
 
     invoker: str
     life: int
     token: int
-    rows: tuple[Row, ...]
+    usages: tuple[SliceUsage, ...]
 
 
-class Ack(Struct, frozen=True, array_like=True, tag="ack"):
-    """The invoker may take the first `mark` tokens of the slice. `over`: its last word is agreed, or the
-    slice is not known any more."""
+class UsageAck(Struct, frozen=True, array_like=True, tag="ack"):
+    """The invoker may take the first `spend_limit` tokens of the slice. `settled`: its final report is
+    committed, or the slice is no longer known."""
 
     invoker: str
     life: int
-    slice: int
-    mark: int
-    over: bool = False
+    slice_id: int
+    spend_limit: int
+    settled: bool = False
 
 
-Answer = Granted | Dry | Ack
+HolderReply = SliceGranted | SliceDenied | UsageAck
--- a/harrieryoke/budgets/decide/slices.py
+++ b/harrieryoke/budgets/decide/slices.py
@@ -1,8 +1,9 @@
-"""Tree and slices as one agreed state, and the part of the duty's holder that gives slices out.
+"""The replicated state of the budget tree and its slices, and the duty holder's logic that grants slices.
 
-What is in a slice is held at its node. A slice ends by its invoker's last word, or by the clock: then what
-was never opened is free again, and what was opened and is not told as spent is in doubt. It stays held until
-a late word, or the period's turn, which counts it as spent. Nothing comes back that may still be spent.
+The tokens of a slice are held at its node (escrow). A slice ends by its invoker's final report, or by
+timeout: then tokens beyond the spend limit are free again, and tokens below it that were not reported as
+spent are in doubt. These stay held until a late report, or until the next period starts, which counts them as
+spent. No token is returned that may still be spent.
 """
 
 from __future__ import annotations
@@ -15,42 +16,50 @@
 
 from ...council.decide.hold import Fence, Lease
 from . import commands as c
-from .commands import Refused
-from .messages import Ack, Answer, Ask, Dry, Granted, Report, Row
-from .sizes import Sizes
-from .tree import State, Tree
-from .turn import turn
-
-MOST_SLICES = 100_000
-MOST_MS = 3_600_000  # of a slice
-MOST_RATE = 1e6  # tokens a millisecond at one invoker; more is taken for a mistake
-MOST_ROWS = 1000  # of a report; the rest is passed over, and comes with the next
-MOST_ASKERS = 100_000  # nodes and invokers whose demand is known; the one asked longest ago goes first
-
-
-class Slice(Struct):
-    """`token`: under which it was given. `ended`: only a late word changes it."""
+from .commands import Rejection
+from .messages import HolderReply, SliceDenied, SliceGranted, SliceRequest, SliceUsage, UsageAck, UsageReport
+from .sizes import SliceSizing
+from .tree import Tree, TreeState
+from .turn import start_period
+
+MAX_SLICES = 100_000
+MAX_SLICE_DURATION = 3_600_000  # milliseconds
+MAX_RATE = 1e6  # tokens per millisecond at one invoker; a higher rate is treated as an error
+MAX_REPORT_ROWS = 1000  # per report; the rest is ignored and comes with the next report
+MAX_REQUESTERS = 100_000  # pairs of node and invoker with known demand; the least recent is evicted
+
+
+class Slice(
+    Struct,
+    rename={
+        "request_number": "ask",
+        "initial_limit": "opened",
+        "duration": "ms",
+        "returned": "back",
+    },
+):
+    """`token`: the fencing token under which it was granted. `ended`: only a late report changes it."""
 
     node: str
     invoker: str
     life: int
-    ask: int
+    request_number: int
     amount: int
-    opened: int
-    ms: int
+    initial_limit: int
+    duration: int
     token: int
     spent: int = 0
-    back: int = 0
+    returned: int = 0
     ended: bool = False
 
 
-class Dump(Struct):
-    tree: State
+class Snapshot(Struct):
+    tree: TreeState
     token: int
     slices: dict[int, Slice]
 
 
-class Ends(Protocol):
+class ExpiryTimers(Protocol):
     """The timing wheel, `core.timing_wheel.TimingWheel`."""
 
     def schedule(self, item: int, at: float) -> None: ...
@@ -58,225 +67,302 @@
     def expired(self, now: float) -> list[int]: ...
 
 
-class Budgets:
-    """`apply` in the order of the log, with the own monotonic time at which it is applied: the ask for a
-    slice was before that, so when its time is over here, by `drift`, it is over at its invoker."""
+class BudgetState:
+    """State machine of the replicated log.
+
+    `apply` is called in log order with the local monotonic time. The request for a slice was made before that
+    time, so once the slice's duration, extended by `clock_drift`, has passed here, it has passed at the
+    invoker.
+    """
 
-    def __init__(self, root: str, owners: tuple[str, ...], ends: Ends, drift: float = 0.01) -> None:
-        self.tree, self.ends, self.drift = Tree(root, owners), ends, drift
+    def __init__(
+        self, root: str, owners: tuple[str, ...], timers: ExpiryTimers, clock_drift: float = 0.01
+    ) -> None:
+        self.tree, self.timers, self.clock_drift = Tree(root, owners), timers, clock_drift
         self.slices: dict[int, Slice] = {}
-        self.asks: dict[tuple[str, int, int], int] = {}  # invoker, life, ask: slice
-        self.over: set[int] = set()  # by the clock, and not agreed yet
+        self.slice_by_request: dict[tuple[str, int, int], int] = {}  # key: invoker, life, request number
+        self.timed_out: set[int] = set()  # slices whose end is not committed yet
         self.fence = Fence()
 
-    def dump(self) -> bytes:
-        return msgspec.msgpack.encode(Dump(self.tree.state(), self.fence.token, self.slices))
-
-    def load(self, data: bytes, now: float) -> None:
-        """Raises msgspec.ValidationError for what is no dump. Slices' times count from here: later than they
-        would have, never sooner."""
-        dump: Dump = msgspec.msgpack.decode(data, type=Dump)
-        for id in self.slices:
-            self.ends.cancel(id)
-        self.tree.restore(dump.tree)
-        self.fence, self.slices, self.over = Fence(dump.token), dump.slices, set()
-        self.asks = {(s.invoker, s.life, s.ask): id for id, s in self.slices.items()}
-        for id, s in self.slices.items():
+    def snapshot(self) -> bytes:
+        return msgspec.msgpack.encode(Snapshot(self.tree.state(), self.fence.token, self.slices))
+
+    def restore(self, data: bytes, now: float) -> None:
+        """Replaces the state by a snapshot. Slices' durations restart from now, so they end later than they
+        would have, never sooner. Raises msgspec.ValidationError for invalid data."""
+        snapshot: Snapshot = msgspec.msgpack.decode(data, type=Snapshot)
+        for slice_id in self.slices:
+            self.timers.cancel(slice_id)
+        self.tree.restore(snapshot.tree)
+        self.fence, self.slices, self.timed_out = Fence(snapshot.token), snapshot.slices, set()
+        self.slice_by_request = {
+            (s.invoker, s.life, s.request_number): slice_id for slice_id, s in self.slices.items()
+        }
+        for slice_id, s in self.slices.items():
             if not s.ended:
-                self.ends.schedule(id, now + Lease(s.ms, self.drift).over())
+                self.timers.schedule(slice_id, now + Lease(s.duration, self.clock_drift).over())
 
-    def apply(self, index: int, entry: c.Entry, now: float) -> Refused | None:
-        """None: done. The index of a `Give` is the number of its slice."""
-        if isinstance(entry, c.Change):
+    def apply(self, index: int, entry: c.LogEntry, now: float) -> Rejection | None:
+        """Applies a committed entry and returns None, or why it was rejected. The index of a `GrantSlice`
+        entry becomes the ID of its slice."""
+        if isinstance(entry, c.AdminChange):
             return self.tree.apply(index, entry)
         if not self.fence.admit(entry.token):
-            return Refused(self.tree.root, "fenced", "another holds the duty by now; ask that one")
-        if isinstance(entry.do, c.Give):
-            return self.give(index, entry.do, entry.token, now)
-        if isinstance(entry.do, c.Told):
-            return self.told(entry.do)
-        if isinstance(entry.do, c.Begin):
+            return Rejection(self.tree.root, "fenced", "another member holds the duty now; ask that member")
+        if isinstance(entry.operation, c.GrantSlice):
+            return self.grant_slice(index, entry.operation, entry.token, now)
+        if isinstance(entry.operation, c.SettleSlice):
+            return self.settle_slice(entry.operation)
+        if isinstance(entry.operation, c.BeginTerm):
             return None
-        if entry.do.number > self.tree.period:
-            for id in [id for id, s in self.slices.items() if s.ended]:
-                self.write_off(id)
-        return turn(self.tree, entry.do.number)
+        if entry.operation.number > self.tree.period:
+            for slice_id in [slice_id for slice_id, s in self.slices.items() if s.ended]:
+                self.write_off(slice_id)
+        return start_period(self.tree, entry.operation.number)
 
-    def give(self, index: int, do: c.Give, token: int, now: float) -> Refused | None:
-        node = self.tree.nodes.get(do.node)
+    def grant_slice(self, index: int, grant: c.GrantSlice, token: int, now: float) -> Rejection | None:
+        node = self.tree.nodes.get(grant.node)
         if node is None:
-            return Refused(do.node[: c.MOST_NAME], "unknown", "no such node; look at the tree")
-        if not (0 < do.opened <= do.amount and 0 < do.ms <= MOST_MS and len(do.invoker) <= c.MOST_NAME):
-            return Refused(node.id, "slice", f"1 <= opened <= amount, 1 to {MOST_MS} ms are wanted")
-        if (do.invoker, do.life, do.ask) in self.asks:
-            return Refused(node.id, "asked", "there is a slice for that ask")
-        if len(self.slices) >= MOST_SLICES:
-            ended = next((id for id, s in self.slices.items() if s.ended), None)
+            return Rejection(grant.node[: c.MAX_NAME_CHARS], "unknown", "no such node; check the tree")
+        if not (
+            0 < grant.initial_limit <= grant.amount
+            and 0 < grant.duration <= MAX_SLICE_DURATION
+            and len(grant.invoker) <= c.MAX_NAME_CHARS
+        ):
+            return Rejection(
+                node.id, "slice", f"expected 1 <= initial limit <= amount and 1 to {MAX_SLICE_DURATION} ms"
+            )
+        if (grant.invoker, grant.life, grant.request_number) in self.slice_by_request:
+            return Rejection(node.id, "asked", "a slice was already granted for this request")
+        if len(self.slices) >= MAX_SLICES:
+            ended = next((slice_id for slice_id, s in self.slices.items() if s.ended), None)
             if ended is None:
-                return Refused(node.id, "full", f"{MOST_SLICES} slices are out; wait for one to end")
+                return Rejection(node.id, "full", f"{MAX_SLICES} slices are outstanding; wait for one to end")
             self.write_off(ended)
-        if (bad := self.tree.hold(node, do.amount)) is not None:
-            return bad
-        made = Slice(do.node, do.invoker, do.life, do.ask, do.amount, do.opened, do.ms, token)
-        self.slices[index] = made
-        self.asks[do.invoker, do.life, do.ask] = index
-        self.ends.schedule(index, now + Lease(do.ms, self.drift).over())
+        if (rejection := self.tree.hold(node, grant.amount)) is not None:
+            return rejection
+        granted = Slice(
+            grant.node,
+            grant.invoker,
+            grant.life,
+            grant.request_number,
+            grant.amount,
+            grant.initial_limit,
+            grant.duration,
+            token,
+        )
+        self.slices[index] = granted
+        self.slice_by_request[grant.invoker, grant.life, grant.request_number] = index
+        self.timers.schedule(index, now + Lease(grant.duration, self.clock_drift).over())
         return None
 
-    def told(self, do: c.Told) -> Refused | None:
-        s = self.slices.get(do.slice)
+    def settle_slice(self, update: c.SettleSlice) -> Rejection | None:
+        s = self.slices.get(update.slice_id)
         if s is None:
-            return Refused(self.tree.root, "unknown", f"slice {do.slice} is settled; there is nothing to do")
-        if do.spent < s.spent or do.back < s.back or do.spent + do.back > s.amount:
-            return Refused(s.node, "told", f"slice {do.slice}: more was told before; there is nothing to do")
-        self.tree.settle(self.tree.nodes[s.node], do.spent - s.spent, do.back - s.back)
-        s.spent, s.back, s.ended = do.spent, do.back, s.ended or do.ended
+            return Rejection(
+                self.tree.root, "unknown", f"slice {update.slice_id} is already settled; no action is needed"
+            )
+        if (
+            update.spent < s.spent
+            or update.returned < s.returned
+            or update.spent + update.returned > s.amount
+        ):
+            return Rejection(
+                s.node, "told", f"slice {update.slice_id}: totals must not decrease; no action is needed"
+            )
+        self.tree.settle(self.tree.nodes[s.node], update.spent - s.spent, update.returned - s.returned)
+        s.spent, s.returned, s.ended = update.spent, update.returned, s.ended or update.ended
         if s.ended:
-            self.ends.cancel(do.slice)
-            self.over.discard(do.slice)
-        if s.spent + s.back == s.amount:
-            self.drop(do.slice)
+            self.timers.cancel(update.slice_id)
+            self.timed_out.discard(update.slice_id)
+        if s.spent + s.returned == s.amount:
+            self.remove_slice(update.slice_id)
         return None
 
-    def write_off(self, id: int) -> None:
-        """What is in doubt counts as spent."""
-        s = self.slices[id]
-        self.tree.settle(self.tree.nodes[s.node], s.amount - s.spent - s.back, 0)
-        self.drop(id)
-
-    def drop(self, id: int) -> None:
-        s = self.slices.pop(id)
-        del self.asks[s.invoker, s.life, s.ask]
-        self.ends.cancel(id)
-        self.over.discard(id)
-
-    def overdue(self, now: float) -> set[int]:
-        """Slices of which nothing more can be taken by any clock, and that is not agreed yet."""
-        self.over.update(self.ends.expired(now))
-        return self.over
-
-    def doubt(self) -> int:
-        """Tokens that are held for nobody: opened, not told as spent, and the slice has ended."""
-        return sum(s.amount - s.spent - s.back for s in self.slices.values() if s.ended)
-
-
-class Giver:
-    """The duty's holder, for as long as it has that token. What it returns as `Act` is offered to the log,
-    where it may get lost; answers go to their invokers. It says nothing before its `Begin` is applied, nor
-    after a newer holder's."""
-
-    def __init__(self, budgets: Budgets, token: int, sizes: Sizes) -> None:
-        self.budgets, self.token, self.sizes = budgets, token, sizes
-        self.rates: dict[tuple[str, str], tuple[float, float]] = {}  # node, invoker: tokens a ms, told when
-        self.askers: dict[str, set[str]] = {}  # by node
-        self.marks: dict[int, int] = {}  # what was opened, as far as this holder was told
-        self.spent: dict[int, int] = {}
-        self.offered: dict[Hashable, float] = {}  # what may be on its way into the log, and since when
-
-    def acting(self) -> bool:
+    def write_off(self, slice_id: int) -> None:
+        """Counts the tokens in doubt as spent and removes the slice."""
+        s = self.slices[slice_id]
+        self.tree.settle(self.tree.nodes[s.node], s.amount - s.spent - s.returned, 0)
+        self.remove_slice(slice_id)
+
+    def remove_slice(self, slice_id: int) -> None:
+        s = self.slices.pop(slice_id)
+        del self.slice_by_request[s.invoker, s.life, s.request_number]
+        self.timers.cancel(slice_id)
+        self.timed_out.discard(slice_id)
+
+    def expired_slices(self, now: float) -> set[int]:
+        """Returns slices that have expired by any clock and whose end is not committed yet."""
+        self.timed_out.update(self.timers.expired(now))
+        return self.timed_out
+
+    def tokens_in_doubt(self) -> int:
+        """Returns the tokens held for ended slices: within the spend limit, and not reported as spent."""
+        return sum(s.amount - s.spent - s.returned for s in self.slices.values() if s.ended)
+
+
+class SliceGranter:
+    """The logic of the duty's holder, for as long as it has `token`.
+
+    Returned `HolderEntry` values are proposed to the log, where they may get lost; replies are sent to their
+    invokers. It sends nothing before its `BeginTerm` is applied, nor after that of a newer holder.
+    """
+
+    def __init__(self, budgets: BudgetState, token: int, sizing: SliceSizing) -> None:
+        self.budgets, self.token, self.sizing = budgets, token, sizing
+        self.demand: dict[tuple[str, str], tuple[float, float]] = {}  # node, invoker: rate, reported at
+        self.requesters: dict[str, set[str]] = {}  # by node
+        self.spend_limits: dict[int, int] = {}  # as far as they were reported to this holder
+        self.reported_spent: dict[int, int] = {}
+        self.proposed: dict[Hashable, float] = {}  # proposals that may not be committed yet: proposed at
+
+    def is_active(self) -> bool:
         return self.budgets.fence.token == self.token
 
-    def offer(self, key: Hashable, do: c.Begin | c.Give | c.Told, now: float) -> list[c.Act]:
-        """Not again before it may be taken for lost."""
-        if now - self.offered.get(key, float("-inf")) < self.sizes.retry_ms:
+    def propose(
+        self, key: Hashable, operation: c.BeginTerm | c.GrantSlice | c.SettleSlice, now: float
+    ) -> list[c.HolderEntry]:
+        """Returns the entry to propose, or nothing while an earlier proposal may still be committed."""
+        if now - self.proposed.get(key, float("-inf")) < self.sizing.retry_interval:
             return []
-        self.offered[key] = now
-        return [c.Act(self.token, do)]
-
-    def ask(self, ask: Ask, now: float, refill_ms: float = 0.0) -> list[c.Act | Answer]:
-        """`refill_ms`: until the next period, 0 where there is none."""
-        if not self.acting():
+        self.proposed[key] = now
+        return [c.HolderEntry(self.token, operation)]
+
+    def handle_request(
+        self, request: SliceRequest, now: float, refill_after: float = 0.0
+    ) -> list[c.HolderEntry | HolderReply]:
+        """`refill_after`: time until the next period, 0 where there is none."""
+        if not self.is_active():
             return []
-        id = self.budgets.asks.get((ask.invoker, ask.life, ask.number))
-        if id is not None:
-            return [self.granted(id)]
+        slice_id = self.budgets.slice_by_request.get((request.invoker, request.life, request.number))
+        if slice_id is not None:
+            return [self.granted_reply(slice_id)]
         tree = self.budgets.tree
-        node = tree.nodes.get(ask.node)
+        node = tree.nodes.get(request.node)
         if node is None:
-            return [self.dry(ask, ask.node, "unknown", self.sizes.most_ms)]
-        if (bad := tree.barred(node)) is not None:
-            return [self.dry(ask, bad.node, bad.code, self.sizes.most_ms)]
-        rate = ask.rate if 0 <= ask.rate < MOST_RATE else 0.0  # guards against what is no number, too
-        rates = self.demand(ask, rate, now)
-        free, where = tree.room(node)
-        need = max(1, ask.need)
-        amount, opened, ms = self.sizes.slice(free, rate, rates, need)
+            return [self.denial(request, request.node, "unknown", self.sizing.max_duration)]
+        if (rejection := tree.grant_rejection(node)) is not None:
+            return [self.denial(request, rejection.node, rejection.code, self.sizing.max_duration)]
+        rate = request.rate if 0 <= request.rate < MAX_RATE else 0.0  # also rejects NaN
+        total_rate = self.record_demand(request, rate, now)
+        free, limiting_node = tree.available(node)
+        min_amount = max(1, request.min_amount)
+        amount, initial_limit, duration = self.sizing.size_slice(free, rate, total_rate, min_amount)
         if not amount:
-            again = self.sizes.least_ms if where.held or not refill_ms else refill_ms
-            refill = refill_ms if where.terms.refill else 0.0
-            return [self.dry(ask, where.id, "empty", again, refill)]
-        do = c.Give(ask.node, ask.invoker, ask.life, ask.number, amount, opened, ms)
-        return [*self.offer((ask.invoker, ask.life, ask.number), do, now)]
-
-    def dry(self, ask: Ask, at: str, code: str, again: float, refill: float = 0.0) -> Dry:
-        return Dry(ask.invoker, ask.life, self.token, ask.node, ask.number, at, code, again, refill)
-
-    def granted(self, id: int) -> Granted:
-        """To be said when the slice was applied, and to whoever asks again. An invoker that has the slice
-        takes no notice: a mark is raised by `Ack` alone."""
-        s = self.budgets.slices[id]
-        return Granted(s.invoker, s.life, self.token, id, s.node, s.ask, s.amount, self.mark(id, s), s.ms)
-
-    def demand(self, ask: Ask, rate: float, now: float) -> float:
-        """Of all that lately asked for tokens of the node, this one with them."""
-        at = (ask.node, ask.invoker)
-        self.rates.pop(at, None)
-        self.rates[at] = rate, now
-        self.askers.setdefault(ask.node, set()).add(ask.invoker)
-        while len(self.rates) > MOST_ASKERS:
-            self.forget(next(iter(self.rates)))
-        old = now - 2 * self.sizes.most_ms
-        for invoker in [i for i in self.askers[ask.node] if self.rates[ask.node, i][1] < old]:
-            self.forget((ask.node, invoker))
-        return sum(self.rates[ask.node, invoker][0] for invoker in self.askers[ask.node])
-
-    def forget(self, at: tuple[str, str]) -> None:
-        del self.rates[at]
-        self.askers[at[0]].discard(at[1])
-        if not self.askers[at[0]]:
-            del self.askers[at[0]]
-
-    def mark(self, id: int, s: Slice) -> int:
-        """Beyond this nothing of it can have been taken. A slice that another holder gave may have been
-        opened further than the log says: all of it, until its invoker reports to this one."""
-        return self.marks.get(id, s.opened if s.token == self.token else s.amount)
-
-    def report(self, report: Report, now: float) -> list[c.Act | Answer]:
-        out: list[c.Act | Answer] = []
-        if report.token != self.token or not self.acting():
+            retry_after = self.sizing.min_duration if limiting_node.held or not refill_after else refill_after
+            refill = refill_after if limiting_node.terms.refill else 0.0
+            return [self.denial(request, limiting_node.id, "empty", retry_after, refill)]
+        grant = c.GrantSlice(
+            request.node, request.invoker, request.life, request.number, amount, initial_limit, duration
+        )
+        return [*self.propose((request.invoker, request.life, request.number), grant, now)]
+
+    def denial(
+        self,
+        request: SliceRequest,
+        blocking_node: str,
+        code: str,
+        retry_after: float,
+        refill_after: float = 0.0,
+    ) -> SliceDenied:
+        return SliceDenied(
+            request.invoker,
+            request.life,
+            self.token,
+            request.node,
+            request.number,
+            blocking_node,
+            code,
+            retry_after,
+            refill_after,
+        )
+
+    def granted_reply(self, slice_id: int) -> SliceGranted:
+        """Sent once the slice is applied, and again for each retried request. An invoker that has the slice
+        ignores it: only `UsageAck` raises a spend limit."""
+        s = self.budgets.slices[slice_id]
+        return SliceGranted(
+            s.invoker,
+            s.life,
+            self.token,
+            slice_id,
+            s.node,
+            s.request_number,
+            s.amount,
+            self.spend_limit(slice_id, s),
+            s.duration,
+        )
+
+    def record_demand(self, request: SliceRequest, rate: float, now: float) -> float:
+        """Returns the total rate of all recent requesters of the node, including this one."""
+        key = (request.node, request.invoker)
+        self.demand.pop(key, None)
+        self.demand[key] = rate, now
+        self.requesters.setdefault(request.node, set()).add(request.invoker)
+        while len(self.demand) > MAX_REQUESTERS:
+            self.remove_requester(next(iter(self.demand)))
+        oldest = now - 2 * self.sizing.max_duration
+        for invoker in [i for i in self.requesters[request.node] if self.demand[request.node, i][1] < oldest]:
+            self.remove_requester((request.node, invoker))
+        return sum(self.demand[request.node, invoker][0] for invoker in self.requesters[request.node])
+
+    def remove_requester(self, key: tuple[str, str]) -> None:
+        del self.demand[key]
+        self.requesters[key[0]].discard(key[1])
+        if not self.requesters[key[0]]:
+            del self.requesters[key[0]]
+
+    def spend_limit(self, slice_id: int, s: Slice) -> int:
+        """Returns the limit beyond which nothing of the slice can have been taken. An earlier holder may have
+        raised the limit further than the log shows: its slices count as fully spendable until their invoker
+        reports to this holder."""
+        return self.spend_limits.get(slice_id, s.initial_limit if s.token == self.token else s.amount)
+
+    def handle_report(self, report: UsageReport, now: float) -> list[c.HolderEntry | HolderReply]:
+        out: list[c.HolderEntry | HolderReply] = []
+        if report.token != self.token or not self.is_active():
             return out
-        for row in report.rows[:MOST_ROWS]:
-            s = self.budgets.slices.get(row.slice)
+        for usage in report.usages[:MAX_REPORT_ROWS]:
+            s = self.budgets.slices.get(usage.slice_id)
             if s is None or (s.invoker, s.life) != (report.invoker, report.life):
-                out.append(Ack(report.invoker, report.life, row.slice, 0, over=True))
-            elif row.done:
-                do = c.Told(row.slice, row.spent, s.amount - row.spent, ended=True)
-                out += self.offer((row.slice, "done"), do, now)
-            elif not s.ended and row.slice not in self.budgets.over:
-                out.append(self.open(row, s, report))
+                out.append(UsageAck(report.invoker, report.life, usage.slice_id, 0, settled=True))
+            elif usage.final:
+                update = c.SettleSlice(usage.slice_id, usage.spent, s.amount - usage.spent, ended=True)
+                out += self.propose((usage.slice_id, "done"), update, now)
+            elif not s.ended and usage.slice_id not in self.budgets.timed_out:
+                out.append(self.raise_spend_limit(usage, s, report))
         return out
 
-    def open(self, row: Row, s: Slice, report: Report) -> Ack:
-        opened = s.opened if s.token == self.token else 0
-        mark = min(s.amount, max(row.mark, self.marks.get(row.slice, opened)))
-        self.marks[row.slice] = mark
-        self.spent[row.slice] = max(min(row.spent, mark), self.spent.get(row.slice, 0))
-        return Ack(report.invoker, report.life, row.slice, mark)
-
-    def turn(self, now: float) -> list[c.Act]:
-        """At least once in `retry_ms`: the ends of slices whose time is over."""
-        if not self.acting():
+    def raise_spend_limit(self, usage: SliceUsage, s: Slice, report: UsageReport) -> UsageAck:
+        initial_limit = s.initial_limit if s.token == self.token else 0
+        spend_limit = min(
+            s.amount, max(usage.spend_limit, self.spend_limits.get(usage.slice_id, initial_limit))
+        )
+        self.spend_limits[usage.slice_id] = spend_limit
+        self.reported_spent[usage.slice_id] = max(
+            min(usage.spent, spend_limit), self.reported_spent.get(usage.slice_id, 0)
+        )
+        return UsageAck(report.invoker, report.life, usage.slice_id, spend_limit)
+
+    def run_due(self, now: float) -> list[c.HolderEntry]:
+        """Proposes to end expired slices. Called at least once in each `retry_interval`."""
+        if not self.is_active():
             newer = self.budgets.fence.token > self.token
-            return [] if newer else self.offer("begin", c.Begin(), now)
-        out: list[c.Act] = []
-        for id in sorted(self.budgets.overdue(now)):
-            s = self.budgets.slices[id]
-            spent = max(s.spent, self.spent.get(id, 0))
-            do = c.Told(id, spent, max(s.back, s.amount - max(spent, self.mark(id, s))), ended=True)
-            out += self.offer((id, "over"), do, now)
-        for kept in (self.marks, self.spent):
-            for id in [id for id in kept if id not in self.budgets.slices]:
-                del kept[id]
-        old = now - 2 * self.sizes.retry_ms
-        self.offered = {key: at for key, at in self.offered.items() if at > old}
+            return [] if newer else self.propose("begin", c.BeginTerm(), now)
+        out: list[c.HolderEntry] = []
+        for slice_id in sorted(self.budgets.expired_slices(now)):
+            s = self.budgets.slices[slice_id]
+            spent = max(s.spent, self.reported_spent.get(slice_id, 0))
+            update = c.SettleSlice(
+                slice_id,
+                spent,
+                max(s.returned, s.amount - max(spent, self.spend_limit(slice_id, s))),
+                ended=True,
+            )
+            out += self.propose((slice_id, "over"), update, now)
+        for by_slice in (self.spend_limits, self.reported_spent):
+            for slice_id in [slice_id for slice_id in by_slice if slice_id not in self.budgets.slices]:
+                del by_slice[slice_id]
+        oldest = now - 2 * self.sizing.retry_interval
+        self.proposed = {key: at for key, at in self.proposed.items() if at > oldest}
         return out
--- a/harrieryoke/budgets/decide/spender.py
+++ b/harrieryoke/budgets/decide/spender.py
@@ -1,9 +1,10 @@
-"""An invoker's side: from which slice a call's tokens come, and what it is charged at its final answer.
+"""The invoker's side of budgets: reserves tokens for calls out of slices and charges calls at their final
+answer.
 
-It takes no more of a slice than the holder has acknowledged as open, and nothing once the slice's time is
-over, counted from before it asked for it. What a call takes beyond its estimate comes out of what is open;
-what is not there is owed and comes out of the project's next slice. So no token is spent that is not held
-here, whatever is cut.
+It takes no more of a slice than the holder has acknowledged as spendable, and nothing once the slice has
+expired, counted from before its request. Tokens that a call uses beyond its estimate come out of the
+spendable rest; what that cannot cover becomes a debt, paid by the project's next slice. So no token is spent
+that is not held here, whatever messages are lost.
 """
 
 from __future__ import annotations
@@ -14,290 +15,334 @@
 from math import exp
 from random import Random
 
-from .estimates import Estimates
-from .messages import Ack, Answer, Ask, Dry, Report, Row
-from .sizes import Sizes
+from .estimates import CostEstimator
+from .messages import HolderReply, SliceDenied, SliceRequest, SliceUsage, UsageAck, UsageReport
+from .sizes import SliceSizing
 
-MOST_PROJECTS = 10_000  # at the bound, one that has nothing out makes room for a new one
-MOST_KEYS = 50_000  # of calls that were charged; at the bound the oldest is charged anew
-RATE_MS = 10_000.0  # over which the demand of a project is learned
-FIRST_ROUND_MS = 200.0  # from an ask to its answer, until it was measured
+MAX_PROJECTS = 10_000  # at the bound, an idle project is evicted for a new one
+MAX_KEYS = 50_000  # idempotency keys of charged calls; beyond, a repeat of the oldest is charged again
+RATE_WINDOW = 10_000.0  # milliseconds over which a project's demand is averaged
+INITIAL_ROUND_TRIP = 200.0  # milliseconds from a request to its reply, until one was measured
 
 
 @dataclass(slots=True)
-class Held:
-    """A slice here. `until`: on the own clock. `taken`: set aside for calls that are out."""
+class HeldSlice:
+    """A slice held by this invoker. `expires_at` is on the local clock; `reserved` is for calls in flight."""
 
     amount: int
-    until: float
-    mark: int  # acknowledged
-    wanted: int  # the highest mark that was asked for or given
-    taken: int = 0
+    expires_at: float
+    spend_limit: int  # acknowledged
+    requested_limit: int  # the highest limit that was requested or granted
+    reserved: int = 0
     spent: int = 0
-    told: float = float("-inf")
-    done: bool = False  # its last word was said: nothing is taken of it or charged to it any more
+    reported_at: float = float("-inf")
+    final: bool = False  # its final report was sent: nothing more is taken from it or charged to it
 
-    def room(self) -> int:
-        return 0 if self.done else max(0, self.mark - self.taken - self.spent)
+    def available(self) -> int:
+        return 0 if self.final else max(0, self.spend_limit - self.reserved - self.spent)
 
 
 @dataclass(slots=True)
 class Project:
-    """`asked`: the number of the ask that is out, when it was first made and last said."""
+    """`pending`: number of the request in flight, when it was first sent, and when it was last sent."""
 
-    slices: dict[int, Held] = field(default_factory=dict)
-    asked: tuple[int, float, float] | None = None
-    need: int = 1
-    owed: int = 0
-    out: int = 0  # calls
-    rate: float = 0.0  # tokens a millisecond that are wanted
-    seen: float = 0.0
-    dry: Dry | None = None
-    again: float = float("-inf")
-    refill: float = float("-inf")  # when it is; no time of the past is told
+    slices: dict[int, HeldSlice] = field(default_factory=dict)
+    pending: tuple[int, float, float] | None = None
+    min_amount: int = 1
+    debt: int = 0
+    in_flight: int = 0  # calls
+    rate: float = 0.0  # demand in tokens per millisecond
+    last_call: float = 0.0
+    denial: SliceDenied | None = None
+    retry_at: float = float("-inf")
+    refill_at: float = float("-inf")  # a time in the past is never reported
 
-    def idle(self) -> bool:
-        return not (self.slices or self.out or self.owed)
+    def is_idle(self) -> bool:
+        return not (self.slices or self.in_flight or self.debt)
 
 
 @dataclass(slots=True)
-class Taken:
-    """What is set aside for a call that is out: tokens by slice."""
+class Reservation:
+    """Tokens reserved for a call in flight, by slice."""
 
     project: str
     function: str
     key: Hashable | None
-    parts: dict[int, int]
+    tokens: dict[int, int]
 
 
 @dataclass(frozen=True, slots=True)
-class Empty:
-    """Refuse the call. `node` of the path has no tokens, or bars it (`code`). `backoff_ms`: not before the
-    refill; 0 where none is to be expected."""
+class BudgetExhausted:
+    """The call is to be rejected: `node` on the path has no tokens, or blocks the grant for the reason in
+    `code`. A retry makes no sense within `backoff` ms, the time until the refill; 0 where none is
+    expected."""
 
     node: str
     code: str
-    backoff_ms: float
+    backoff: float
 
 
 @dataclass(frozen=True, slots=True)
-class Unknown:
-    """There is no slice yet, and no word of the holder: ask again after its answer, or the next turn."""
+class BudgetPending:
+    """There is no slice yet and no reply of the holder: try again after its reply, or after the next
+    `run_due`."""
 
 
 class Spender:
-    """`take` before a call goes to the module, `settle` at its final answer, `turn` at least once in
-    `retry_ms`; what `turn` gives is sent to the duty's holder. Times are the own monotonic clock's."""
+    """Budget client of one invoker.
+
+    `reserve` is called before a call goes to the module, `settle` at its final answer, and `run_due` at least
+    once in each `retry_interval`; the messages it returns are sent to the duty's holder. Times are those of
+    the local monotonic clock.
+    """
 
     def __init__(
         self,
         invoker: str,
         life: int,
-        sizes: Sizes,
+        sizing: SliceSizing,
         seed: int,
-        key_ms: float = 600_000.0,
-        most_backoff_ms: float = 60_000.0,
+        key_ttl: float = 600_000.0,
+        max_backoff: float = 60_000.0,
     ) -> None:
-        self.invoker, self.life, self.sizes, self.rng = invoker, life, sizes, Random(seed)
-        self.key_ms, self.most_backoff = key_ms, most_backoff_ms
-        self.estimates = Estimates()
+        self.invoker, self.life, self.sizing, self.rng = invoker, life, sizing, Random(seed)
+        self.key_ttl, self.max_backoff = key_ttl, max_backoff
+        self.estimator = CostEstimator()
         self.projects: dict[str, Project] = {}
-        self.slices: dict[int, str] = {}  # the project of each
-        self.out: dict[Hashable, Taken] = {}
-        self.paid: OrderedDict[tuple[str, Hashable], tuple[int, int, float]] = OrderedDict()
-        self.number = 0
-        self.token = 0  # of the holder to which is reported
-        self.round_ms = FIRST_ROUND_MS
-        self.strange: set[int] = set()  # slices that nobody here asked for: they go back
+        self.project_by_slice: dict[int, str] = {}
+        self.reservations: dict[Hashable, Reservation] = {}
+        self.charges_by_key: OrderedDict[tuple[str, Hashable], tuple[int, int, float]] = OrderedDict()
+        self.last_request = 0
+        self.holder_token = 0  # reports go to this holder
+        self.round_trip = INITIAL_ROUND_TRIP
+        self.unrequested: set[int] = set()  # slices that no pending request matches; they are returned
 
     # --- calls ---
 
-    def take(
-        self, project: str, function: str, call: Hashable, key: Hashable | None, now: float
-    ) -> Taken | Empty | Unknown:
-        """`call` is new. A repeat of a keyed call is set aside for no more than what was not paid yet."""
-        p = self.project(project)
-        if p is None:
-            return Empty(project, "full", 0.0)
-        wanted = self.estimates.of(function)
-        p.need = max(wanted, p.need - p.need // 16)
+    def reserve(
+        self, project_name: str, function: str, call: Hashable, key: Hashable | None, now: float
+    ) -> Reservation | BudgetExhausted | BudgetPending:
+        """Reserves the estimated tokens for a new `call`. A repeat of a keyed call reserves only what is not
+        covered by the key's charges and reservations yet."""
+        project = self.find_project(project_name)
+        if project is None:
+            return BudgetExhausted(project_name, "full", 0.0)
+        tokens = self.estimator.estimate(function)
+        project.min_amount = max(tokens, project.min_amount - project.min_amount // 16)
         if key is not None:
-            wanted = max(0, wanted - sum(self.covered(project, key, now)))
-        p.rate = p.rate * exp(-max(0.0, now - p.seen) / RATE_MS) + wanted / RATE_MS
-        p.seen = now
-        parts = self.parts(p, wanted, now)
+            tokens = max(0, tokens - sum(self.charged_and_reserved(project_name, key, now)))
+        project.rate = (
+            project.rate * exp(-max(0.0, now - project.last_call) / RATE_WINDOW) + tokens / RATE_WINDOW
+        )
+        project.last_call = now
+        parts = self.allocate(project, tokens, now)
         if parts is None:
-            return self.refusal(p, now)
-        for id, amount in parts.items():
-            p.slices[id].taken += amount
+            return self.refusal(project, now)
+        for slice_id, amount in parts.items():
+            project.slices[slice_id].reserved += amount
         if key is not None:
-            paid, aside = self.covered(project, key, now)
-            self.keep(project, key, paid, aside + wanted, now)
-        p.out += 1
-        self.out[call] = Taken(project, function, key, parts)
-        return self.out[call]
-
-    def project(self, name: str) -> Project | None:
+            charged, reserved = self.charged_and_reserved(project_name, key, now)
+            self.store_charge(project_name, key, charged, reserved + tokens, now)
+        project.in_flight += 1
+        self.reservations[call] = Reservation(project_name, function, key, parts)
+        return self.reservations[call]
+
+    def find_project(self, name: str) -> Project | None:
+        """Returns the project, created where it is new, or None where all projects are in use."""
         if name not in self.projects:
-            if len(self.projects) >= MOST_PROJECTS:
-                idle = next((n for n, p in self.projects.items() if p.idle()), None)
+            if len(self.projects) >= MAX_PROJECTS:
+                idle = next((n for n, project in self.projects.items() if project.is_idle()), None)
                 if idle is None:
                     return None
                 del self.projects[idle]
             self.projects[name] = Project()
         return self.projects[name]
 
-    def covered(self, project: str, key: Hashable, now: float) -> tuple[int, int]:
-        """What was paid for the key, and what is set aside for its tries that are out. All in all a key is
-        charged what its dearest try took."""
-        while self.paid and now - next(iter(self.paid.values()))[2] > self.key_ms:
-            self.paid.popitem(last=False)
-        return self.paid.get((project, key), (0, 0, 0.0))[:2]
-
-    def keep(self, project: str, key: Hashable, paid: int, aside: int, now: float) -> None:
-        self.paid.pop((project, key), None)
-        self.paid[project, key] = paid, max(0, aside), now
-        if len(self.paid) > MOST_KEYS:
-            self.paid.popitem(last=False)
-
-    def parts(self, p: Project, wanted: int, now: float) -> dict[int, int] | None:
-        """Of the slices that end first; None where they don't hold that much."""
+    def charged_and_reserved(self, project_name: str, key: Hashable, now: float) -> tuple[int, int]:
+        """Returns what was charged for the key, and what is reserved for its tries in flight. In total a key
+        is charged the tokens of its most expensive try."""
+        while self.charges_by_key and now - next(iter(self.charges_by_key.values()))[2] > self.key_ttl:
+            self.charges_by_key.popitem(last=False)
+        return self.charges_by_key.get((project_name, key), (0, 0, 0.0))[:2]
+
+    def store_charge(self, project_name: str, key: Hashable, charged: int, reserved: int, now: float) -> None:
+        self.charges_by_key.pop((project_name, key), None)
+        self.charges_by_key[project_name, key] = charged, max(0, reserved), now
+        if len(self.charges_by_key) > MAX_KEYS:
+            self.charges_by_key.popitem(last=False)
+
+    def allocate(self, project: Project, tokens: int, now: float) -> dict[int, int] | None:
+        """Takes the tokens from the slices that expire first; None where they do not hold that much."""
         parts = dict[int, int]()
-        for id, held in sorted(p.slices.items(), key=lambda each: each[1].until):
-            if wanted and now < held.until and (most := min(wanted, held.room())) > 0:
-                parts[id] = most
-                wanted -= most
-        return None if wanted else parts
-
-    def refusal(self, p: Project, now: float) -> Empty | Unknown:
-        """The back-off is spread by up to a tenth, so that not all come at once after a refill."""
-        if p.dry is None or (p.dry.refill_ms and now >= p.refill):
-            return Unknown()
-        wait = max(0.0, p.refill - now) * (1 + 0.1 * self.rng.random())
-        return Empty(p.dry.at, p.dry.code, min(wait, self.most_backoff))
-
-    def settle(self, call: Hashable, took: int, now: float) -> int:
-        """The tokens charged. A call that is not out, or was settled, is charged nothing."""
-        taken = self.out.pop(call, None)
-        if taken is None:
+        for slice_id, held in sorted(project.slices.items(), key=lambda item: item[1].expires_at):
+            if tokens and now < held.expires_at and (part := min(tokens, held.available())) > 0:
+                parts[slice_id] = part
+                tokens -= part
+        return None if tokens else parts
+
+    def refusal(self, project: Project, now: float) -> BudgetExhausted | BudgetPending:
+        """The back-off gets a random jitter of up to a tenth, so that clients do not all return right after a
+        refill."""
+        if project.denial is None or (project.denial.refill_after and now >= project.refill_at):
+            return BudgetPending()
+        backoff = max(0.0, project.refill_at - now) * (1 + 0.1 * self.rng.random())
+        return BudgetExhausted(
+            project.denial.blocking_node, project.denial.code, min(backoff, self.max_backoff)
+        )
+
+    def settle(self, call: Hashable, tokens: int, now: float) -> int:
+        """Returns the tokens charged. A call that is unknown or already settled is charged nothing."""
+        reservation = self.reservations.pop(call, None)
+        if reservation is None:
             return 0
-        p = self.projects[taken.project]
-        p.out -= 1
-        if took > 0:
-            self.estimates.learn(taken.function, took)
-        due = took
-        if taken.key is not None:
-            paid, aside = self.covered(taken.project, taken.key, now)
-            due = max(0, took - paid)
-            self.keep(taken.project, taken.key, paid + due, aside - sum(taken.parts.values()), now)
+        project = self.projects[reservation.project]
+        project.in_flight -= 1
+        if tokens > 0:
+            self.estimator.record(reservation.function, tokens)
+        due = tokens
+        if reservation.key is not None:
+            earlier, reserved = self.charged_and_reserved(reservation.project, reservation.key, now)
+            due = max(0, tokens - earlier)
+            self.store_charge(
+                reservation.project,
+                reservation.key,
+                earlier + due,
+                reserved - sum(reservation.tokens.values()),
+                now,
+            )
         charged = 0
-        for id, amount in taken.parts.items():
+        for slice_id, amount in reservation.tokens.items():
             part = min(amount, due - charged)
-            p.slices[id].taken -= amount
-            p.slices[id].spent += part
+            project.slices[slice_id].reserved -= amount
+            project.slices[slice_id].spent += part
             charged += part
-        p.owed += due - charged
-        return charged + self.pay(p)
+        project.debt += due - charged
+        return charged + self.pay_debt(project)
 
-    def pay(self, p: Project) -> int:
-        """What is owed, out of what is open: a slice whose time is over holds it until its last word."""
+    def pay_debt(self, project: Project) -> int:
+        """Pays the debt out of spendable tokens. An expired slice still serves for this until its final
+        report."""
         paid = 0
-        for held in p.slices.values():
-            part = min(p.owed, held.room())
-            held.spent, p.owed, paid = held.spent + part, p.owed - part, paid + part
+        for held in project.slices.values():
+            part = min(project.debt, held.available())
+            held.spent, project.debt, paid = held.spent + part, project.debt - part, paid + part
         return paid
 
-    # --- the holder's answers ---
+    # --- replies of the holder ---
 
-    def follow(self, token: int) -> None:
-        """The duty is held under that token by now: reports go there."""
-        self.token = max(self.token, token)
+    def follow_holder(self, token: int) -> None:
+        """Sends reports to the holder of `token` from now on, unless a newer holder is known."""
+        self.holder_token = max(self.holder_token, token)
 
-    def heard(self, answer: Answer, now: float) -> None:
-        if (answer.invoker, answer.life) != (self.invoker, self.life):
+    def handle_reply(self, reply: HolderReply, now: float) -> None:
+        if (reply.invoker, reply.life) != (self.invoker, self.life):
             return
-        if isinstance(answer, Ack):
-            self.acknowledged(answer)
+        if isinstance(reply, UsageAck):
+            self.handle_ack(reply)
             return
-        self.follow(answer.token)
-        p = self.projects.get(answer.node)
-        mine = p is not None and p.asked is not None and p.asked[0] == answer.ask
-        if isinstance(answer, Dry):
-            if p is not None and mine:
-                p.asked, p.dry = None, answer
-                p.again = now + answer.again_ms + self.sizes.least_ms * self.rng.random()
-                p.refill = now + answer.refill_ms if answer.refill_ms else float("-inf")
+        self.follow_holder(reply.token)
+        project = self.projects.get(reply.node)
+        matches = (
+            project is not None and project.pending is not None and project.pending[0] == reply.request_number
+        )
+        if isinstance(reply, SliceDenied):
+            if project is not None and matches:
+                project.pending, project.denial = None, reply
+                project.retry_at = now + reply.retry_after + self.sizing.min_duration * self.rng.random()
+                project.refill_at = now + reply.refill_after if reply.refill_after else float("-inf")
             return
-        if answer.slice in self.slices:
-            return  # guards against a mark of a holder that was never told of this slice
-        if p is None or p.asked is None or not mine:
-            self.strange.add(answer.slice)
+        if reply.slice_id in self.project_by_slice:
+            return  # ignores the limit of a holder that never got a report on this slice
+        if project is None or project.pending is None or not matches:
+            self.unrequested.add(reply.slice_id)
             return
-        self.round_ms += 0.2 * (now - p.asked[2] - self.round_ms)
-        self.slices[answer.slice] = answer.node
-        p.slices[answer.slice] = Held(answer.amount, p.asked[1] + answer.ms, answer.opened, answer.opened)
-        p.asked = p.dry = None
-        self.pay(p)
-
-    def acknowledged(self, ack: Ack) -> None:
-        if ack.over:
-            self.strange.discard(ack.slice)
-        name = self.slices.get(ack.slice)
+        self.round_trip += 0.2 * (now - project.pending[2] - self.round_trip)
+        self.project_by_slice[reply.slice_id] = reply.node
+        project.slices[reply.slice_id] = HeldSlice(
+            reply.amount, project.pending[1] + reply.duration, reply.spend_limit, reply.spend_limit
+        )
+        project.pending = project.denial = None
+        self.pay_debt(project)
+
+    def handle_ack(self, ack: UsageAck) -> None:
+        if ack.settled:
+            self.unrequested.discard(ack.slice_id)
+        name = self.project_by_slice.get(ack.slice_id)
         if name is None:
             return
-        held = self.projects[name].slices[ack.slice]
-        if not ack.over:
-            held.mark = max(held.mark, min(ack.mark, held.wanted))
-        elif not held.taken:
-            del self.projects[name].slices[ack.slice], self.slices[ack.slice]
+        held = self.projects[name].slices[ack.slice_id]
+        if not ack.settled:
+            held.spend_limit = max(held.spend_limit, min(ack.spend_limit, held.requested_limit))
+        elif not held.reserved:
+            del self.projects[name].slices[ack.slice_id], self.project_by_slice[ack.slice_id]
         else:
-            held.done, held.until = True, float("-inf")
+            held.final, held.expires_at = True, float("-inf")
 
-    # --- what is said ---
+    # --- messages to the holder ---
 
-    def turn(self, now: float) -> list[Ask | Report]:
-        """Asks are sent to the holder, whoever it is; reports to that of their token."""
-        out: list[Ask | Report] = []
-        rows = [Row(id, 0, 0, done=True) for id in sorted(self.strange)]
-        quiet = now - 10 * RATE_MS
-        for name in [n for n, p in self.projects.items() if p.seen < quiet and p.idle()]:
+    def run_due(self, now: float) -> list[SliceRequest | UsageReport]:
+        """Returns the messages to send now. Requests go to whoever holds the duty, reports to the holder of
+        their token."""
+        out: list[SliceRequest | UsageReport] = []
+        usages = [SliceUsage(slice_id, 0, 0, final=True) for slice_id in sorted(self.unrequested)]
+        idle_since = now - 10 * RATE_WINDOW
+        for name in [n for n, p in self.projects.items() if p.last_call < idle_since and p.is_idle()]:
             del self.projects[name]
-        for name, p in self.projects.items():
-            if (ask := self.wish(name, p, now)) is not None:
-                out.append(ask)
-            rows += [row for id, held in p.slices.items() if (row := self.row(id, held, p, now)) is not None]
-        if rows:
-            out.append(Report(self.invoker, self.life, self.token, tuple(rows)))
+        for name, project in self.projects.items():
+            if (request := self.due_request(name, project, now)) is not None:
+                out.append(request)
+            usages += [
+                usage
+                for slice_id, held in project.slices.items()
+                if (usage := self.due_usage(slice_id, held, project, now)) is not None
+            ]
+        if usages:
+            out.append(UsageReport(self.invoker, self.life, self.holder_token, tuple(usages)))
         return out
 
-    def wish(self, name: str, p: Project, now: float) -> Ask | None:
-        """Asked for in time: before what is left runs out, or its time."""
-        if p.asked is not None and now - p.asked[1] > self.sizes.least_ms:
-            p.asked = None  # what comes for it now ends too soon
-        if p.asked is None:
-            rate = p.rate * exp(-max(0.0, now - p.seen) / RATE_MS)
-            ahead = now + 2 * self.round_ms
-            left = sum(h.amount - h.taken - h.spent for h in p.slices.values() if h.until > ahead)
-            wanted = rate * RATE_MS >= 1 or p.owed > 0
-            if not wanted or now < p.again or left - p.owed > self.sizes.reorder(rate, self.round_ms, p.need):
+    def due_request(self, name: str, project: Project, now: float) -> SliceRequest | None:
+        """Returns a request for the next slice before the remaining tokens run out or expire."""
+        if project.pending is not None and now - project.pending[1] > self.sizing.min_duration:
+            project.pending = None  # a slice granted for it now would expire too soon
+        if project.pending is None:
+            rate = project.rate * exp(-max(0.0, now - project.last_call) / RATE_WINDOW)
+            horizon = now + 2 * self.round_trip
+            remaining = sum(
+                h.amount - h.reserved - h.spent for h in project.slices.values() if h.expires_at > horizon
+            )
+            needed = rate * RATE_WINDOW >= 1 or project.debt > 0
+            if (
+                not needed
+                or now < project.retry_at
+                or remaining - project.debt
+                > self.sizing.reorder_point(rate, self.round_trip, project.min_amount)
+            ):
                 return None
-            self.number += 1
-            p.asked = self.number, now, now
-        elif now - p.asked[2] < self.sizes.retry_ms:
+            self.last_request += 1
+            project.pending = self.last_request, now, now
+        elif now - project.pending[2] < self.sizing.retry_interval:
             return None
-        p.asked = p.asked[0], p.asked[1], now
-        return Ask(name, self.invoker, self.life, p.asked[0], p.rate, p.need + p.owed)
-
-    def row(self, id: int, held: Held, p: Project, now: float) -> Row | None:
-        """Each `report_ms`, and at once when more has to be open or all is done."""
-        done = not held.taken and (held.done or now >= held.until or held.spent == held.amount)
-        held.done = held.done or done
-        used = held.taken + held.spent
-        ahead = self.sizes.ahead(p.rate, p.need)
-        if now < held.until and used + ahead > held.wanted:
-            held.wanted = min(held.amount, max(held.wanted, used + ahead))
-        urgent = done or (held.wanted > held.mark and 2 * held.room() < ahead)
-        if now - held.told < (self.sizes.retry_ms if urgent else self.sizes.report_ms):
+        project.pending = project.pending[0], project.pending[1], now
+        return SliceRequest(
+            name,
+            self.invoker,
+            self.life,
+            project.pending[0],
+            project.rate,
+            project.min_amount + project.debt,
+        )
+
+    def due_usage(self, slice_id: int, held: HeldSlice, project: Project, now: float) -> SliceUsage | None:
+        """Reports a slice once in each `report_interval`, and sooner when its limit has to rise or it is
+        finished."""
+        final = not held.reserved and (held.final or now >= held.expires_at or held.spent == held.amount)
+        held.final = held.final or final
+        used = held.reserved + held.spent
+        headroom = self.sizing.headroom(project.rate, project.min_amount)
+        if now < held.expires_at and used + headroom > held.requested_limit:
+            held.requested_limit = min(held.amount, max(held.requested_limit, used + headroom))
+        urgent = final or (held.requested_limit > held.spend_limit and 2 * held.available() < headroom)
+        if now - held.reported_at < (self.sizing.retry_interval if urgent else self.sizing.report_interval):
             return None
-        held.told = now
-        return Row(id, held.spent, held.wanted, done)
+        held.reported_at = now
+        return SliceUsage(slice_id, held.spent, held.requested_limit, final)
--- a/harrieryoke/budgets/decide/tree.py
+++ b/harrieryoke/budgets/decide/tree.py
@@ -1,9 +1,9 @@
-"""The tree of budgets, applied from the agreed log, the same everywhere.
+"""The budget tree, a state machine applied from the replicated log with the same result on each replica.
 
-A node has a ceiling, `given`; what is held in slices and what was spent counts at its node and at all above
-it. Sums of all below are kept at each node, so that what is asked for each slice costs one walk up a path of
-eight at most. What a command asks is done first and undone where a rule on the path does not hold after it:
-one place has the rules (`fault`).
+A node has a ceiling; the tokens held in slices and the tokens spent count at their node and at all its
+ancestors. Each node keeps the sums of its subtree, so that a grant costs one walk up a path of at most eight
+nodes. A command is applied first and undone where it violates a rule on the path, so that the rules stand in
+one place (`violated_rule`).
 """
 
 from __future__ import annotations
@@ -15,386 +15,472 @@
 from msgspec import Struct
 
 from . import commands as c
-from .commands import Refused, Terms
+from .commands import QuotaTerms, Rejection
 
 
 class Loan(Struct, array_like=True):
-    number: int  # the index of its entry: the oldest is returned first
-    of: str
+    number: int  # index of its log entry: the oldest loan is repaid first
+    lender: str
     amount: int
 
 
-class Node(Struct):
-    """`held` and `spent` are of all below; what begins with `own` is of the node by itself."""
+class Node(
+    Struct,
+    rename={
+        "ceiling": "given",
+        "reclaiming": "recall",
+        "loan_limit": "lends",
+        "author": "who",
+        "changed_at": "at",
+        "reason": "why",
+        "children_ceilings": "parts",
+        "children_refills": "refills",
+        "children_minimums": "minimums",
+    },
+):
+    """`held` and `spent` are sums over the subtree; fields with `own` are those of the node itself. The sums
+    from `held` on are recomputed when a snapshot is restored."""
 
     id: str
     parent: str  # empty for the root
     admins: tuple[str, ...] = ()
-    terms: Terms = Terms()
-    given: int = 0
+    terms: QuotaTerms = QuotaTerms()
+    ceiling: int = 0
     own_held: int = 0
     own_spent: int = 0
-    recall: int = 0  # of what is held: goes back to the parent when it comes back
-    lends: int = 0
+    reclaiming: int = 0  # part of the held tokens that goes to the parent once it is returned
+    loan_limit: int = 0
     lent: int = 0
     loans: list[Loan] = []
     suspended: bool = False
     closed: bool = False
-    version: int = 0  # the index of the last change, and whose it was
-    who: str = ""
-    at: int = 0
-    why: str = ""
+    version: int = 0  # log index of the last change, described by the next three fields
+    author: str = ""
+    changed_at: int = 0
+    reason: str = ""
     held: int = 0
     spent: int = 0
-    parts: int = 0  # what the children were given
-    reserved: int = 0  # what is kept for children's minimums
-    refills: int = 0
-    minimums: int = 0
+    children_ceilings: int = 0
+    reserved: int = 0  # for the children's minimums
+    children_refills: int = 0
+    children_minimums: int = 0
 
     def free(self) -> int:
-        """Below zero: what a soft node uses beyond its ceiling."""
-        return self.given - self.held - self.spent
+        """Negative for a soft node that exceeds its ceiling."""
+        return self.ceiling - self.held - self.spent
 
-    def keep(self) -> int:
-        """Of what is free at the parent, what is kept for this node and those below."""
-        return max(0, min(self.terms.minimum, self.given) - self.held - self.spent, self.reserved)
+    def reserved_at_parent(self) -> int:
+        """Returns the part of the parent's free tokens that is reserved for this subtree."""
+        return max(0, min(self.terms.minimum, self.ceiling) - self.held - self.spent, self.reserved)
 
-    def for_parts(self) -> int:
-        """What the children may be given all in all."""
-        return (self.given - self.own_held - self.own_spent) * self.terms.overcommit // c.WHOLE
+    def children_limit(self) -> int:
+        """Returns the maximum sum of the children's ceilings."""
+        return (self.ceiling - self.own_held - self.own_spent) * self.terms.overcommit // c.OVERCOMMIT_UNIT
 
 
-class State(Struct):
+class TreeState(Struct):
     owners: tuple[str, ...]
     period: int
     nodes: list[Node]
 
 
 class Tree:
-    """`owners` grant to the root; they are the administrators above it."""
+    """`owners` grant tokens to the root; they act as administrators above it."""
 
     def __init__(self, root: str, owners: tuple[str, ...]) -> None:
         self.root, self.owners, self.period = root, owners, 0
         self.nodes = {root: Node(root, "")}
-        self.kids: dict[str, set[str]] = {root: set()}
-        self.handlers: dict[type[Any], Callable[[int, Any, Node], Refused | None]] = {
-            c.Delegate: self.delegate,
-            c.TakeBack: self.take_back,
-            c.Move: self.move,
-            c.Close: self.close,
-            c.Suspend: lambda _, do, n: self.alter((n, {"suspended": do.on})),
-            c.Set: self.terms,
-            c.Appoint: self.appoint,
-            c.Lend: self.lend,
-            c.Borrow: self.borrow,
-            c.Repay: self.repay,
+        self.children: dict[str, set[str]] = {root: set()}
+        self.handlers: dict[type[Any], Callable[[int, Any, Node], Rejection | None]] = {
+            c.DelegateQuota: self.delegate,
+            c.ReclaimQuota: self.reclaim,
+            c.MoveNode: self.move_node,
+            c.CloseNode: self.close_node,
+            c.SuspendNode: lambda _, command, node: self.update((node, {"suspended": command.suspended})),
+            c.SetTerms: self.set_terms,
+            c.SetAdmins: self.set_admins,
+            c.OfferLoans: self.offer_loans,
+            c.BorrowQuota: self.borrow,
+            c.RepayLoans: self.repay,
         }
 
-    def state(self) -> State:
-        return State(self.owners, self.period, list(self.nodes.values()))
+    def state(self) -> TreeState:
+        return TreeState(self.owners, self.period, list(self.nodes.values()))
 
-    def restore(self, state: State) -> None:
+    def restore(self, state: TreeState) -> None:
         self.owners, self.period = state.owners, state.period
         self.nodes = {node.id: node for node in state.nodes}
         self.root = next(node.id for node in state.nodes if not node.parent)
-        self.kids = {id: set() for id in self.nodes}
+        self.children = {node_id: set() for node_id in self.nodes}
         for node in state.nodes:
             if node.parent:
-                self.kids[node.parent].add(node.id)
-        self.add_up()
+                self.children[node.parent].add(node.id)
+        self.recompute_sums()
 
-    # --- walks ---
+    # --- traversal ---
 
     def path(self, node: Node) -> Iterator[Node]:
-        """From the node up to the root."""
+        """Yields the nodes from `node` up to the root."""
         at: Node | None = node
         while at is not None:
             yield at
             at = self.nodes.get(at.parent)
 
-    def below(self, node: Node) -> Iterator[tuple[int, Node]]:
-        """The node and all below it, parents first, with how deep each lies below it."""
+    def subtree(self, node: Node) -> Iterator[tuple[int, Node]]:
+        """Yields the node and its descendants, parents first, each with its depth below the node."""
         level = [node]
-        for depth in range(c.MOST_DEPTH):
+        for depth in range(c.MAX_DEPTH):
             yield from ((depth, each) for each in level)
-            level = [self.nodes[kid] for each in level for kid in self.kids[each.id]]
+            level = [self.nodes[child] for each in level for child in self.children[each.id]]
 
-    def add_up(self) -> None:
-        """All sums anew, from what is at each node."""
+    def recompute_sums(self) -> None:
+        """Recomputes the sums of all nodes from the values of each node itself."""
         for node in self.nodes.values():
             node.held, node.spent = node.own_held, node.own_spent
-            node.parts = node.reserved = node.refills = node.minimums = 0
-        for _, node in reversed(list(self.below(self.nodes[self.root]))):
+            node.children_ceilings = node.reserved = node.children_refills = node.children_minimums = 0
+        for _, node in reversed(list(self.subtree(self.nodes[self.root]))):
             if (parent := self.nodes.get(node.parent)) is not None:
-                self.add(parent, node, 1)
+                self.add_child_sums(parent, node, 1)
                 parent.held, parent.spent = parent.held + node.held, parent.spent + node.spent
-                parent.reserved += node.keep()
-
-    def add(self, parent: Node, node: Node, sign: int) -> None:
-        parent.parts += sign * node.given
-        parent.refills += sign * node.terms.refill
-        parent.minimums += sign * node.terms.minimum
-
-    def join(self, node: Node, sign: int) -> None:
-        """Adds the node to the sums of all above it, or takes it out of them."""
-        above = self.path(node)
-        next(above)
-        kept = sign * node.keep()
+                parent.reserved += node.reserved_at_parent()
+
+    def add_child_sums(self, parent: Node, node: Node, sign: int) -> None:
+        parent.children_ceilings += sign * node.ceiling
+        parent.children_refills += sign * node.terms.refill
+        parent.children_minimums += sign * node.terms.minimum
+
+    def add_to_ancestors(self, node: Node, sign: int) -> None:
+        """Adds the node to the sums of all its ancestors, or subtracts it from them."""
+        ancestors = self.path(node)
+        next(ancestors)
+        reserved = sign * node.reserved_at_parent()
         if (parent := self.nodes.get(node.parent)) is not None:
-            self.add(parent, node, sign)
-        for each in above:
-            before = each.keep()
+            self.add_child_sums(parent, node, sign)
+        for each in ancestors:
+            before = each.reserved_at_parent()
             each.held, each.spent = each.held + sign * node.held, each.spent + sign * node.spent
-            each.reserved += kept
-            kept = each.keep() - before
+            each.reserved += reserved
+            reserved = each.reserved_at_parent() - before
 
-    # --- the rules ---
+    # --- rules ---
 
-    def fault(self, node: Node) -> Refused | None:
-        """The first rule that does not hold on the way up."""
+    def violated_rule(self, node: Node) -> Rejection | None:
+        """Returns the first violated rule on the path from the node to the root."""
         for each in self.path(node):
-            t, kids = each.terms, each.parts or each.refills or each.minimums
-            if not t.soft and each.free() < each.reserved:
+            terms, has_children_sums = (
+                each.terms,
+                each.children_ceilings or each.children_refills or each.children_minimums,
+            )
+            if not terms.soft and each.free() < each.reserved:
                 lack = each.reserved - each.free()
-                return Refused(each.id, "short", f"{lack} tokens are lacking; delegate more to it first")
-            if kids and not each.closed and each.parts > max(0, each.for_parts()):
-                over = each.parts - max(0, each.for_parts())
-                return Refused(each.id, "parts", f"its parts are {over} over what it has; take some back")
-            if each.refills * c.WHOLE > t.refill * t.overcommit:
-                return Refused(each.id, "refills", f"parts' refills are {each.refills}; set a higher refill")
-            if each.minimums > (t.minimum if each.parent else t.refill):
-                return Refused(each.id, "minimums", f"parts' minimums are {each.minimums}; set more here")
+                return Rejection(each.id, "short", f"{lack} tokens are missing; delegate more to it first")
+            if (
+                has_children_sums
+                and not each.closed
+                and each.children_ceilings > max(0, each.children_limit())
+            ):
+                excess = each.children_ceilings - max(0, each.children_limit())
+                return Rejection(
+                    each.id, "parts", f"its children exceed its ceiling by {excess}; reclaim some tokens"
+                )
+            if each.children_refills * c.OVERCOMMIT_UNIT > terms.refill * terms.overcommit:
+                return Rejection(
+                    each.id,
+                    "refills",
+                    f"children's refills sum to {each.children_refills}; set a higher refill",
+                )
+            if each.children_minimums > (terms.minimum if each.parent else terms.refill):
+                return Rejection(
+                    each.id,
+                    "minimums",
+                    f"children's minimums sum to {each.children_minimums}; set a higher value here",
+                )
         return None
 
-    def set(self, node: Node, fields: dict[str, Any]) -> dict[str, Any]:
-        """What it was before."""
+    def set_fields(self, node: Node, fields: dict[str, Any]) -> dict[str, Any]:
+        """Sets fields of the node, keeps all sums up to date, and returns the old values."""
         old = {name: getattr(node, name) for name in fields}
-        self.join(node, -1)
+        self.add_to_ancestors(node, -1)
         for name, value in fields.items():
             setattr(node, name, value)
-        self.join(node, 1)
+        self.add_to_ancestors(node, 1)
         if "parent" in fields:
-            self.kids[old["parent"]].remove(node.id)
-            self.kids[node.parent].add(node.id)
+            self.children[old["parent"]].remove(node.id)
+            self.children[node.parent].add(node.id)
         return old
 
-    def alter(self, *wanted: tuple[Node, dict[str, Any]]) -> Refused | None:
-        """All of it, or nothing where a rule does not hold after it."""
-        olds = [(node, self.set(node, fields)) for node, fields in wanted]
-        bad = next((bad for node, _ in olds if (bad := self.fault(node))), None)
-        if bad is not None:
-            for node, old in reversed(olds):
-                self.set(node, old)
-        return bad
-
-    def may(self, who: str, node: Node, own: bool) -> bool:
-        """An administrator's rights are over what lies below its node; `own`: and over the node."""
-        if who in self.owners:
+    def update(self, *updates: tuple[Node, dict[str, Any]]) -> Rejection | None:
+        """Applies all updates, or none of them where the result violates a rule."""
+        undo = [(node, self.set_fields(node, fields)) for node, fields in updates]
+        rejection = next((rejection for node, _ in undo if (rejection := self.violated_rule(node))), None)
+        if rejection is not None:
+            for node, old in reversed(undo):
+                self.set_fields(node, old)
+        return rejection
+
+    def has_rights(self, user: str, node: Node, include_node: bool) -> bool:
+        """An administrator of a node has rights over its descendants, and with `include_node` over the node
+        itself."""
+        if user in self.owners:
             return True
-        return any(who in each.admins for each in self.path(node) if own or each is not node)
+        return any(user in each.admins for each in self.path(node) if include_node or each is not node)
 
-    # --- changes by administrators ---
+    # --- administrator commands ---
 
-    def apply(self, index: int, change: c.Change) -> Refused | None:
-        """None: done."""
-        do, seen = change.do, self.nodes.get(change.do.node)
-        subject = self.nodes.get(do.parent) if isinstance(do, c.Open) else seen
+    def apply(self, index: int, change: c.AdminChange) -> Rejection | None:
+        """Applies the change and returns None, or why it was rejected."""
+        command, named = change.command, self.nodes.get(change.command.node)
+        subject = self.nodes.get(command.parent) if isinstance(command, c.OpenNode) else named
         if subject is None:
-            name = do.parent if isinstance(do, c.Open) else do.node
-            return Refused(name[: c.MOST_NAME], "unknown", "no such node; look at the tree")
-        if not change.why.strip() or len(change.why) > c.MOST_WHY or not 0 < len(change.who) <= c.MOST_NAME:
-            return Refused(subject.id, "unexplained", f"say who and why, in 1 to {c.MOST_WHY} characters")
-        if not self.may(change.who, subject, isinstance(do, c.Open | c.Lend | c.Borrow | c.Repay)):
-            return Refused(subject.id, "no-right", "ask an administrator of a node above it")
+            name = command.parent if isinstance(command, c.OpenNode) else command.node
+            return Rejection(name[: c.MAX_NAME_CHARS], "unknown", "no such node; check the tree")
+        if (
+            not change.reason.strip()
+            or len(change.reason) > c.MAX_REASON_CHARS
+            or not 0 < len(change.author) <= c.MAX_NAME_CHARS
+        ):
+            return Rejection(
+                subject.id,
+                "unexplained",
+                f"give an author and a reason of 1 to {c.MAX_REASON_CHARS} characters",
+            )
+        if not self.has_rights(
+            change.author,
+            subject,
+            isinstance(command, c.OpenNode | c.OfferLoans | c.BorrowQuota | c.RepayLoans),
+        ):
+            return Rejection(subject.id, "no-right", "ask an administrator of an ancestor node")
         if change.version != subject.version:
-            return Refused(subject.id, "stale", f"it is at version {subject.version} by now; look again")
+            return Rejection(
+                subject.id, "stale", f"the current version is {subject.version}; reload and try again"
+            )
         if subject.closed:
-            return Refused(subject.id, "closed", "open another node")
-        if isinstance(do, c.Move) and (to := self.nodes.get(do.to)) and not self.may(change.who, to, True):
-            return Refused(to.id, "no-right", "ask an administrator of both places")
-        if isinstance(do, c.Open):
-            bad = self.open(do, subject)
-        elif not 0 < getattr(do, "amount", 1) <= c.MOST_TOKENS:
-            bad = Refused(subject.id, "amount", f"1 to {c.MOST_TOKENS} tokens are wanted")
+            return Rejection(subject.id, "closed", "open another node")
+        if (
+            isinstance(command, c.MoveNode)
+            and (new_parent := self.nodes.get(command.new_parent))
+            and not self.has_rights(change.author, new_parent, True)
+        ):
+            return Rejection(new_parent.id, "no-right", "ask an administrator of both parents")
+        if isinstance(command, c.OpenNode):
+            rejection = self.open_node(command, subject)
+        elif not 0 < getattr(command, "amount", 1) <= c.MAX_TOKENS:
+            rejection = Rejection(subject.id, "amount", f"expected 1 to {c.MAX_TOKENS} tokens")
         else:
-            bad = self.handlers[type(do)](index, do, subject)
-        if bad is None:
-            changed = self.nodes[do.node]
-            changed.version, changed.who = index, change.who
-            changed.at, changed.why = change.at, change.why
-        return bad
-
-    def open(self, do: c.Open, parent: Node) -> Refused | None:
-        if not 0 < len(do.node) <= c.MOST_NAME or do.node in self.nodes:
-            return Refused(do.node[: c.MOST_NAME], "name", f"a new name of 1 to {c.MOST_NAME} is wanted")
-        if len(self.nodes) >= c.MOST_NODES:
-            return Refused(parent.id, "full", f"{c.MOST_NODES} nodes are open; close some, they go at a turn")
-        if sum(1 for _ in self.path(parent)) >= c.MOST_DEPTH:
-            return Refused(parent.id, "too-deep", f"{c.MOST_DEPTH} levels are the most; open it higher up")
-        if parent.recall:
-            return Refused(parent.id, "recall", "its tokens are called back; wait until they have come")
-        if (bad := self.few(do.node, do.admins)) is not None:
-            return bad
-        self.nodes[do.node] = Node(do.node, parent.id, do.admins)
-        self.kids[do.node] = set()
-        self.kids[parent.id].add(do.node)
+            rejection = self.handlers[type(command)](index, command, subject)
+        if rejection is None:
+            changed = self.nodes[command.node]
+            changed.version, changed.author = index, change.author
+            changed.changed_at, changed.reason = change.changed_at, change.reason
+        return rejection
+
+    def open_node(self, command: c.OpenNode, parent: Node) -> Rejection | None:
+        if not 0 < len(command.node) <= c.MAX_NAME_CHARS or command.node in self.nodes:
+            return Rejection(
+                command.node[: c.MAX_NAME_CHARS],
+                "name",
+                f"expected an unused name of 1 to {c.MAX_NAME_CHARS} characters",
+            )
+        if len(self.nodes) >= c.MAX_NODES:
+            return Rejection(
+                parent.id,
+                "full",
+                f"{c.MAX_NODES} nodes exist; close some, they are removed when a period starts",
+            )
+        if sum(1 for _ in self.path(parent)) >= c.MAX_DEPTH:
+            return Rejection(
+                parent.id, "too-deep", f"at most {c.MAX_DEPTH} levels are allowed; open it higher up"
+            )
+        if parent.reclaiming:
+            return Rejection(parent.id, "recall", "its tokens are being reclaimed; wait until that is done")
+        if (rejection := self.check_admins(command.node, command.admins)) is not None:
+            return rejection
+        self.nodes[command.node] = Node(command.node, parent.id, command.admins)
+        self.children[command.node] = set()
+        self.children[parent.id].add(command.node)
         return None
 
-    def few(self, id: str, admins: tuple[str, ...]) -> Refused | None:
-        if len(admins) <= c.MOST_ADMINS and all(0 < len(who) <= c.MOST_NAME for who in admins):
+    def check_admins(self, node_id: str, admins: tuple[str, ...]) -> Rejection | None:
+        if len(admins) <= c.MAX_ADMINS and all(0 < len(user) <= c.MAX_NAME_CHARS for user in admins):
             return None
-        return Refused(id, "admins", f"{c.MOST_ADMINS} of {c.MOST_NAME} characters each are the most")
+        return Rejection(
+            node_id,
+            "admins",
+            f"at most {c.MAX_ADMINS} administrators of {c.MAX_NAME_CHARS} characters each are allowed",
+        )
 
-    def appoint(self, _: int, do: c.Appoint, node: Node) -> Refused | None:
-        return self.few(node.id, do.admins) or self.alter((node, {"admins": do.admins}))
+    def set_admins(self, _: int, command: c.SetAdmins, node: Node) -> Rejection | None:
+        return self.check_admins(node.id, command.admins) or self.update((node, {"admins": command.admins}))
 
-    def delegate(self, _: int, do: c.Delegate, node: Node) -> Refused | None:
-        if node.given + do.amount > c.MOST_TOKENS:
-            return Refused(node.id, "amount", f"no node can have more than {c.MOST_TOKENS}")
-        return self.alter((node, {"given": node.given + do.amount}))
+    def delegate(self, _: int, command: c.DelegateQuota, node: Node) -> Rejection | None:
+        if node.ceiling + command.amount > c.MAX_TOKENS:
+            return Rejection(node.id, "amount", f"a node's ceiling must not exceed {c.MAX_TOKENS}")
+        return self.update((node, {"ceiling": node.ceiling + command.amount}))
 
-    def take_back(self, _: int, do: c.TakeBack, node: Node) -> Refused | None:
-        """What children have, what is kept for them, what was spent and what was lent can't be taken."""
-        now = min(do.amount, node.given if node.terms.soft else node.free() - node.reserved)
-        later = do.amount - now
-        held = 0 if node.terms.soft or self.kids[node.id] else node.held - node.recall
+    def reclaim(self, _: int, command: c.ReclaimQuota, node: Node) -> Rejection | None:
+        """Tokens delegated to or reserved for children, spent tokens and lent tokens cannot be reclaimed."""
+        now = min(command.amount, node.ceiling if node.terms.soft else node.free() - node.reserved)
+        later = command.amount - now
+        held = 0 if node.terms.soft or self.children[node.id] else node.held - node.reclaiming
         if later > held:
-            return Refused(node.id, "in-use", f"{now + held} can be taken back; take from below it first")
-        return self.alter((node, {"given": node.given - now, "recall": node.recall + later}))
-
-    def move(self, _: int, do: c.Move, node: Node) -> Refused | None:
-        to = self.nodes.get(do.to)
-        if to is None or to.closed:
-            return Refused(do.to[: c.MOST_NAME], "unknown", "no such node is open; look at the tree")
-        if not node.parent or any(each is node for each in self.path(to)):
-            return Refused(node.id, "circle", f"{to.id} lies below it; move it to a node that does not")
+            return Rejection(
+                node.id, "in-use", f"{now + held} can be reclaimed; reclaim from its children first"
+            )
+        return self.update((node, {"ceiling": node.ceiling - now, "reclaiming": node.reclaiming + later}))
+
+    def move_node(self, _: int, command: c.MoveNode, node: Node) -> Rejection | None:
+        new_parent = self.nodes.get(command.new_parent)
+        if new_parent is None or new_parent.closed:
+            return Rejection(
+                command.new_parent[: c.MAX_NAME_CHARS], "unknown", "no such open node; check the tree"
+            )
+        if not node.parent or any(each is node for each in self.path(new_parent)):
+            return Rejection(
+                node.id, "circle", f"{new_parent.id} is its descendant; choose a node outside its subtree"
+            )
         if node.loans or node.lent:
-            return Refused(node.id, "loans", "have all that it lent or borrowed returned first")
-        deep = sum(1 for _ in self.path(to)) + 1 + max(depth for depth, _ in self.below(node))
-        if deep > c.MOST_DEPTH:
-            return Refused(to.id, "too-deep", f"{deep} levels; {c.MOST_DEPTH} are the most")
-        if to.recall:
-            return Refused(to.id, "recall", "its tokens are called back; wait until they have come")
-        return self.alter((node, {"parent": to.id}))
-
-    def close(self, _: int, do: c.Close, node: Node) -> Refused | None:
-        still = [kid for kid in self.kids[node.id] if not self.nodes[kid].closed]
-        if still or not node.parent:
-            return Refused(min(still, default=node.id), "open", "close it first; the root stays")
+            return Rejection(node.id, "loans", "all that it lent or borrowed must be repaid first")
+        levels = sum(1 for _ in self.path(new_parent)) + 1 + max(depth for depth, _ in self.subtree(node))
+        if levels > c.MAX_DEPTH:
+            return Rejection(new_parent.id, "too-deep", f"{levels} levels; at most {c.MAX_DEPTH} are allowed")
+        if new_parent.reclaiming:
+            return Rejection(
+                new_parent.id, "recall", "its tokens are being reclaimed; wait until that is done"
+            )
+        return self.update((node, {"parent": new_parent.id}))
+
+    def close_node(self, _: int, command: c.CloseNode, node: Node) -> Rejection | None:
+        open_children = [child for child in self.children[node.id] if not self.nodes[child].closed]
+        if open_children or not node.parent:
+            return Rejection(
+                min(open_children, default=node.id), "open", "close it first; the root cannot be closed"
+            )
         if node.loans or node.lent:
-            return Refused(node.id, "loans", "have all that it lent or borrowed returned first")
-        terms = Terms(overcommit=node.terms.overcommit, soft=node.terms.soft)
-        given = min(node.given, node.held + node.spent)
-        return self.alter((node, {"given": given, "recall": node.held, "closed": True, "terms": terms}))
-
-    def terms(self, _: int, do: c.Set, node: Node) -> Refused | None:
-        if wrong := do.terms.fault():
-            return Refused(node.id, "terms", wrong)
-        if do.terms.soft and not node.parent:
-            return Refused(node.id, "terms", "soft: the root is hard, since nothing is above it")
-        return self.alter((node, {"terms": do.terms}))
+            return Rejection(node.id, "loans", "all that it lent or borrowed must be repaid first")
+        terms = QuotaTerms(overcommit=node.terms.overcommit, soft=node.terms.soft)
+        ceiling = min(node.ceiling, node.held + node.spent)
+        return self.update(
+            (node, {"ceiling": ceiling, "reclaiming": node.held, "closed": True, "terms": terms})
+        )
+
+    def set_terms(self, _: int, command: c.SetTerms, node: Node) -> Rejection | None:
+        if error := command.terms.validation_error():
+            return Rejection(node.id, "terms", error)
+        if command.terms.soft and not node.parent:
+            return Rejection(node.id, "terms", "soft: the root must be hard, since it has no parent")
+        return self.update((node, {"terms": command.terms}))
 
     # --- loans between siblings ---
 
-    def lend(self, _: int, do: c.Lend, node: Node) -> Refused | None:
-        if not 0 <= do.most <= c.MOST_TOKENS:
-            return Refused(node.id, "amount", f"0 to {c.MOST_TOKENS} tokens are wanted")
-        return self.alter((node, {"lends": do.most}))
+    def offer_loans(self, _: int, command: c.OfferLoans, node: Node) -> Rejection | None:
+        if not 0 <= command.limit <= c.MAX_TOKENS:
+            return Rejection(node.id, "amount", f"expected 0 to {c.MAX_TOKENS} tokens")
+        return self.update((node, {"loan_limit": command.limit}))
 
-    def borrow(self, index: int, do: c.Borrow, node: Node) -> Refused | None:
-        lender = self.nodes.get(do.of)
+    def borrow(self, index: int, command: c.BorrowQuota, node: Node) -> Rejection | None:
+        lender = self.nodes.get(command.lender)
         if lender is None or lender is node or lender.parent != node.parent or lender.closed:
-            return Refused(do.of[: c.MOST_NAME], "unknown", "no such sibling is open; look at the tree")
-        spare = lender.free() - max(lender.keep(), lender.terms.minimum - lender.held - lender.spent)
-        most = max(0, min(lender.lends - lender.lent, spare))
-        if do.amount > most or lender.recall:
-            return Refused(lender.id, "lends", f"it can lend {most} now; ask for that, or its administrator")
-        if len(node.loans) >= c.MOST_LOANS or node.recall:
-            return Refused(node.id, "loans", f"{c.MOST_LOANS} loans are the most; repay some")
-        loans = [*node.loans, Loan(index, lender.id, do.amount)]
-        return self.alter(
-            (lender, {"given": lender.given - do.amount, "lent": lender.lent + do.amount}),
-            (node, {"given": node.given + do.amount, "loans": loans}),
+            return Rejection(
+                command.lender[: c.MAX_NAME_CHARS], "unknown", "no such open sibling; check the tree"
+            )
+        spare = lender.free() - max(
+            lender.reserved_at_parent(), lender.terms.minimum - lender.held - lender.spent
+        )
+        limit = max(0, min(lender.loan_limit - lender.lent, spare))
+        if command.amount > limit or lender.reclaiming:
+            return Rejection(
+                lender.id, "lends", f"it can lend {limit} now; borrow less or ask its administrator"
+            )
+        if len(node.loans) >= c.MAX_LOANS or node.reclaiming:
+            return Rejection(node.id, "loans", f"at most {c.MAX_LOANS} loans are allowed; repay some")
+        loans = [*node.loans, Loan(index, lender.id, command.amount)]
+        return self.update(
+            (lender, {"ceiling": lender.ceiling - command.amount, "lent": lender.lent + command.amount}),
+            (node, {"ceiling": node.ceiling + command.amount, "loans": loans}),
         )
 
-    def repay(self, _: int, do: c.Repay, node: Node) -> Refused | None:
+    def repay(self, _: int, command: c.RepayLoans, node: Node) -> Rejection | None:
         owed = sum(loan.amount for loan in node.loans)
-        most = min(owed, node.given if node.terms.soft else node.free() - node.reserved)
-        if do.amount > most:
-            return Refused(node.id, "amount", f"{most} can be returned now")
-        rest, loans, wanted = do.amount, list[Loan](), list[tuple[Node, dict[str, Any]]]()
-        back: dict[str, int] = {}
+        limit = min(owed, node.ceiling if node.terms.soft else node.free() - node.reserved)
+        if command.amount > limit:
+            return Rejection(node.id, "amount", f"{limit} can be repaid now")
+        rest, loans, updates = command.amount, list[Loan](), list[tuple[Node, dict[str, Any]]]()
+        paid_by_lender: dict[str, int] = {}
         for loan in node.loans:
             paid = min(rest, loan.amount)
             rest -= paid
-            back[loan.of] = back.get(loan.of, 0) + paid
+            paid_by_lender[loan.lender] = paid_by_lender.get(loan.lender, 0) + paid
             if paid < loan.amount:
-                loans.append(Loan(loan.number, loan.of, loan.amount - paid))
-        for id, paid in back.items():
-            lender = self.nodes[id]
-            wanted.append((lender, {"given": lender.given + paid, "lent": lender.lent - paid}))
-        return self.alter((node, {"given": node.given - do.amount, "loans": loans}), *wanted)
-
-    # --- what is held and spent ---
-
-    def barred(self, node: Node) -> Refused | None:
-        """Why no slice may be given there, whatever is free."""
-        if self.kids[node.id]:
-            return Refused(node.id, "has-parts", "name a project below it")
+                loans.append(Loan(loan.number, loan.lender, loan.amount - paid))
+        for lender_id, paid in paid_by_lender.items():
+            lender = self.nodes[lender_id]
+            updates.append((lender, {"ceiling": lender.ceiling + paid, "lent": lender.lent - paid}))
+        return self.update((node, {"ceiling": node.ceiling - command.amount, "loans": loans}), *updates)
+
+    # --- held and spent tokens ---
+
+    def grant_rejection(self, node: Node) -> Rejection | None:
+        """Returns why no slice may be granted at the node, regardless of free tokens."""
+        if self.children[node.id]:
+            return Rejection(node.id, "has-parts", "name a project below it")
         for each in self.path(node):
             if each.closed:
-                return Refused(each.id, "closed", "name another project")
+                return Rejection(each.id, "closed", "name another project")
             if each.suspended:
-                return Refused(each.id, "suspended", "ask its administrator")
+                return Rejection(each.id, "suspended", "ask its administrator")
         return None
 
-    def room(self, node: Node) -> tuple[int, Node]:
-        """How many tokens could be held there now, and the node of the path that allows no more."""
-        least, where, others = c.MOST_TOKENS, node, 0
-        kept = 0
+    def available(self, node: Node) -> tuple[int, Node]:
+        """Returns how many tokens could be held at the node now, and the node on the path that limits it."""
+        least, limiting_node, reserved_for_others = c.MAX_TOKENS, node, 0
+        own_reserved = 0
         for each in self.path(node):
-            others += each.reserved - kept  # for others' minimums, at this node and below it
-            if not each.terms.soft and each.free() - others < least:
-                least, where = each.free() - others, each
-            kept = each.keep()
-        return max(0, least), where
-
-    def hold(self, node: Node, amount: int) -> Refused | None:
-        if (bad := self.barred(node)) is not None:
-            return bad
-        least, where = self.room(node)
+            reserved_for_others += each.reserved - own_reserved  # others' minimums, here and below
+            if not each.terms.soft and each.free() - reserved_for_others < least:
+                least, limiting_node = each.free() - reserved_for_others, each
+            own_reserved = each.reserved_at_parent()
+        return max(0, least), limiting_node
+
+    def hold(self, node: Node, amount: int) -> Rejection | None:
+        if (rejection := self.grant_rejection(node)) is not None:
+            return rejection
+        least, limiting_node = self.available(node)
         if not 0 < amount <= least:
-            return Refused(where.id, "empty", f"{least} tokens are free; wait for its refill, or delegate")
-        self.shift(node, amount, 0)
+            return Rejection(
+                limiting_node.id, "empty", f"{least} tokens are free; wait for its refill, or delegate"
+            )
+        self.add_usage(node, amount, 0)
         return None
 
-    def settle(self, node: Node, spent: int, back: int) -> None:
-        """Of what is held at the node, `spent` is spent and `back` is free again."""
-        self.shift(node, -spent - back, spent)
+    def settle(self, node: Node, spent: int, returned: int) -> None:
+        """Counts held tokens of the node as spent, or frees them again."""
+        self.add_usage(node, -spent - returned, spent)
 
-    def shift(self, node: Node, held: int, spent: int) -> None:
+    def add_usage(self, node: Node, held: int, spent: int) -> None:
+        """Adds to the held and spent tokens of the node and its ancestors; freed tokens that are being
+        reclaimed go to the parent."""
         node.own_held, node.own_spent = node.own_held + held, node.own_spent + spent
-        kept, back = 0, max(0, -held - spent)
+        reserved, returned = 0, max(0, -held - spent)
         for each in self.path(node):
-            before = each.keep()
-            each.reserved += kept
+            before = each.reserved_at_parent()
+            each.reserved += reserved
             each.held, each.spent = each.held + held, each.spent + spent
-            if each.recall:
-                returned = min(each.recall, back, each.given)
-                each.given -= returned
-                each.recall = min(each.recall - returned, each.held)
+            if each.reclaiming:
+                reclaimed = min(each.reclaiming, returned, each.ceiling)
+                each.ceiling -= reclaimed
+                each.reclaiming = min(each.reclaiming - reclaimed, each.held)
                 if (parent := self.nodes.get(each.parent)) is not None:
-                    parent.parts -= returned
-            kept = each.keep() - before
+                    parent.children_ceilings -= reclaimed
+            reserved = each.reserved_at_parent() - before
 
 
-def encode(entry: c.Entry) -> bytes:
+def encode(entry: c.LogEntry) -> bytes:
     return msgspec.msgpack.encode(entry)
 
 
-def decode(data: bytes) -> c.Entry:
-    """Raises msgspec.ValidationError, a ValueError, for what is none."""
-    return READ.decode(data)
+def decode(data: bytes) -> c.LogEntry:
+    """Raises msgspec.ValidationError, a ValueError, for invalid data."""
+    return ENTRY_DECODER.decode(data)
 
 
-READ: msgspec.msgpack.Decoder[c.Entry] = msgspec.msgpack.Decoder(c.Change | c.Act)
+ENTRY_DECODER: msgspec.msgpack.Decoder[c.LogEntry] = msgspec.msgpack.Decoder(c.AdminChange | c.HolderEntry)
--- a/harrieryoke/budgets/decide/turn.py
+++ b/harrieryoke/budgets/decide/turn.py
@@ -1,71 +1,78 @@
-"""A period begins: what each node has then. One pass over the tree, from the root down.
+"""Start of a period: sets the ceiling of each node in one pass over the tree, from the root down.
 
-What is held stays held: what is spent of it later counts in the new period, out of tokens of the old one.
-A node's `held` and `minimum` always fit into what its parent has. Of what the parent has beyond that, its
-children get their refills, and of the rest what they carry over, each in proportion where it does not fit.
+Held tokens stay held: what is spent of them later counts in the new period, although the tokens are from the
+old one. A node's `held` and `minimum` always fit into its parent's ceiling. Out of the rest of that ceiling
+the children get their refills, and out of what is left then their carry-over; each is scaled down in
+proportion where it does not fit.
 """
 
 from __future__ import annotations
 
 from . import commands as c
-from .commands import Refused
+from .commands import Rejection
 from .tree import Node, Tree
 
 
-def share(wants: dict[str, int], room: int) -> dict[str, int]:
-    """All of it where it fits, else in proportion, rounded down."""
-    total = sum(wants.values())
-    room = max(0, room)
-    return wants if total <= room else {id: want * room // total for id, want in wants.items()}
+def scale_to_fit(amounts: dict[str, int], limit: int) -> dict[str, int]:
+    """Returns the amounts unchanged where they fit, else in proportion, rounded down."""
+    total = sum(amounts.values())
+    limit = max(0, limit)
+    return amounts if total <= limit else {name: amount * limit // total for name, amount in amounts.items()}
 
 
-def turn(tree: Tree, number: int) -> Refused | None:
-    """None: done. `tree.period` is the number of the last one."""
+def start_period(tree: Tree, number: int) -> Rejection | None:
+    """Starts period `number` and returns None, or why it was rejected."""
     if number <= tree.period:
-        return Refused(tree.root, "period", f"period {tree.period} has begun; there is nothing to do")
+        return Rejection(
+            tree.root, "period", f"period {tree.period} has already started; no action is needed"
+        )
     carried = {n.id: 0 if n.closed else min(n.terms.carry, max(0, n.free())) for n in tree.nodes.values()}
-    forget(tree)
+    remove_closed_nodes(tree)
     root = tree.nodes[tree.root]
-    root.given = root.held + root.terms.refill + carried[root.id]
-    for _, node in tree.below(root):
-        if kids := [tree.nodes[id] for id in tree.kids[node.id]]:
-            hand_on(node, kids, carried)
+    root.ceiling = root.held + root.terms.refill + carried[root.id]
+    for _, node in tree.subtree(root):
+        if children := [tree.nodes[child_id] for child_id in tree.children[node.id]]:
+            distribute(node, children, carried)
     for node in tree.nodes.values():
         node.own_spent = 0
-    tree.add_up()
+    tree.recompute_sums()
     tree.period = number
     return None
 
 
-def forget(tree: Tree) -> None:
-    """Closed nodes of which nothing is out; one above them goes a turn later at the latest."""
-    gone = [n for n in tree.nodes.values() if n.closed and not n.held and not tree.kids[n.id]]
-    for node in gone:
+def remove_closed_nodes(tree: Tree) -> None:
+    """Removes closed leaf nodes that hold nothing; a closed parent follows at the next period at the
+    latest."""
+    removable = [n for n in tree.nodes.values() if n.closed and not n.held and not tree.children[n.id]]
+    for node in removable:
         del tree.nodes[node.id]
-        del tree.kids[node.id]
-        tree.kids[node.parent].remove(node.id)
+        del tree.children[node.id]
+        tree.children[node.parent].remove(node.id)
 
 
-def hand_on(node: Node, kids: list[Node], carried: dict[str, int]) -> None:
-    room = (node.given - node.own_held) * node.terms.overcommit // c.WHOLE
-    room -= sum(kid.held + kid.terms.minimum for kid in kids)
-    extra = share({kid.id: kid.terms.refill - kid.terms.minimum for kid in kids}, room)
-    room -= sum(extra.values())
-    kept = share({kid.id: carried[kid.id] for kid in kids}, room)
-    more = {kid.id: extra[kid.id] + kept[kid.id] for kid in kids}
-    return_loans({kid.id: kid for kid in kids}, more)
-    for kid in kids:
-        kid.given = kid.held + kid.terms.minimum + more[kid.id]
+def distribute(node: Node, children: list[Node], carried: dict[str, int]) -> None:
+    """Sets the children's ceilings out of their parent's."""
+    remaining = (node.ceiling - node.own_held) * node.terms.overcommit // c.OVERCOMMIT_UNIT
+    remaining -= sum(child.held + child.terms.minimum for child in children)
+    refills = scale_to_fit(
+        {child.id: child.terms.refill - child.terms.minimum for child in children}, remaining
+    )
+    remaining -= sum(refills.values())
+    kept = scale_to_fit({child.id: carried[child.id] for child in children}, remaining)
+    extra = {child.id: refills[child.id] + kept[child.id] for child in children}
+    repay_loans({child.id: child for child in children}, extra)
+    for child in children:
+        child.ceiling = child.held + child.terms.minimum + extra[child.id]
 
 
-def return_loans(kids: dict[str, Node], more: dict[str, int]) -> None:
-    """Out of what the turn brings beyond the minimum, the oldest loan first."""
-    loans = sorted((loan.number, kid.id, loan) for kid in kids.values() for loan in kid.loans)
-    for _, id, loan in loans:
-        paid = min(loan.amount, more[id])
-        more[id] -= paid
-        more[loan.of] += paid
-        kids[loan.of].lent -= paid
+def repay_loans(children: dict[str, Node], extra: dict[str, int]) -> None:
+    """Repays loans, the oldest first, out of the new tokens beyond the minimum."""
+    loans = sorted((loan.number, child.id, loan) for child in children.values() for loan in child.loans)
+    for _, borrower, loan in loans:
+        paid = min(loan.amount, extra[borrower])
+        extra[borrower] -= paid
+        extra[loan.lender] += paid
+        children[loan.lender].lent -= paid
         loan.amount -= paid
-    for kid in kids.values():
-        kid.loans = [loan for loan in kid.loans if loan.amount]
+    for child in children.values():
+        child.loans = [loan for loan in child.loans if loan.amount]
--- a/tests/test_budgets_faults.py
+++ b/tests/test_budgets_faults.py
@@ -1,4 +1,5 @@
-"""Planted faults in slices: the simulation finds each of the first, all interleavings each of the second."""
+"""Faults injected into the slice protocol: the random simulation detects each fault of `FAULTS`, and the
+exhaustive search over interleavings detects those that it is given."""
 
 from __future__ import annotations
 
@@ -7,190 +8,214 @@
 import pytest
 
 from harrieryoke.budgets.decide import commands as c
-from harrieryoke.budgets.decide.messages import Ack, Answer, Ask, Granted, Report, Row
-from harrieryoke.budgets.decide.sizes import Sizes
-from harrieryoke.budgets.decide.slices import Budgets, Giver, Slice
-from harrieryoke.budgets.decide.spender import Held, Project, Spender
+from harrieryoke.budgets.decide.messages import (
+    HolderReply,
+    SliceGranted,
+    SliceRequest,
+    SliceUsage,
+    UsageAck,
+    UsageReport,
+)
+from harrieryoke.budgets.decide.sizes import SliceSizing
+from harrieryoke.budgets.decide.slices import BudgetState, Slice, SliceGranter
+from harrieryoke.budgets.decide.spender import HeldSlice, Project, Spender
 from harrieryoke.core.timing_wheel import TimingWheel
 from harrieryoke.council.decide.hold import Fence
 
 from . import interleave
-from .budget_world import Parts, Timed
+from .budget_world import Implementations, TimedSimulation
 
 
 class SettlesTwice(Spender):
-    def settle(self, call: Hashable, took: int, now: float) -> int:
-        taken = self.out.get(call)
-        charged = super().settle(call, took, now)
-        if taken is not None:
-            self.out[call] = taken
+    def settle(self, call: Hashable, tokens: int, now: float) -> int:
+        reservation = self.reservations.get(call)
+        charged = super().settle(call, tokens, now)
+        if reservation is not None:
+            self.reservations[call] = reservation
         return charged
 
 
-class ReturnsWhatMayBeSpent(Giver):
-    """At the end all that was not told as spent comes back."""
+class ReturnsPossiblySpentTokens(SliceGranter):
+    """Returns all tokens that were not reported as spent when a slice expires."""
 
-    def mark(self, id: int, s: Slice) -> int:
-        return self.spent.get(id, 0)
+    def spend_limit(self, slice_id: int, s: Slice) -> int:
+        return self.reported_spent.get(slice_id, 0)
 
 
-class ForgetsOtherHolders(Giver):
-    """Takes what the log says was opened for all that was."""
+class IgnoresEarlierHolders(SliceGranter):
+    """Ignores that an earlier holder may have raised the spend limit further than the log shows."""
 
-    def mark(self, id: int, s: Slice) -> int:
-        return self.marks.get(id, s.opened)
+    def spend_limit(self, slice_id: int, s: Slice) -> int:
+        return self.spend_limits.get(slice_id, s.initial_limit)
 
 
-class TakesUnacknowledged(Spender):
-    """All of a slice is open to it from the start."""
+class SpendsUnacknowledgedTokens(Spender):
+    """Spends a whole slice without acknowledged limits."""
 
-    def heard(self, answer: Answer, now: float) -> None:
-        super().heard(answer, now)
-        if isinstance(answer, Granted) and answer.slice in self.slices:
-            held = self.projects[answer.node].slices[answer.slice]
-            held.mark = held.amount
+    def handle_reply(self, reply: HolderReply, now: float) -> None:
+        super().handle_reply(reply, now)
+        if isinstance(reply, SliceGranted) and reply.slice_id in self.project_by_slice:
+            held = self.projects[reply.node].slices[reply.slice_id]
+            held.spend_limit = held.amount
 
 
-class ChargesAfterItsLastWord(Spender):
-    def row(self, id: int, held: Held, p: Project, now: float) -> Row | None:
-        held.done = False
-        row = super().row(id, held, p, now)
-        held.done = False
-        return row
+class ChargesAfterFinalReport(Spender):
+    def due_usage(self, slice_id: int, held: HeldSlice, project: Project, now: float) -> SliceUsage | None:
+        held.final = False
+        usage = super().due_usage(slice_id, held, project, now)
+        held.final = False
+        return usage
 
 
-class NoFence(Fence):
+class AdmittingFence(Fence):
     def admit(self, token: int) -> bool:
         self.token = max(self.token, token)
         return True
 
 
-class Unfenced(Budgets):
-    def __init__(self, *given: object) -> None:
-        super().__init__(*given)  # type: ignore[arg-type]
-        self.fence = NoFence()
+class UnfencedState(BudgetState):
+    def __init__(self, *args: object) -> None:
+        super().__init__(*args)  # type: ignore[arg-type]
+        self.fence = AdmittingFence()
 
 
-class ActsOnOldWord(Giver):
-    def acting(self) -> bool:
+class ActsAfterLosingDuty(SliceGranter):
+    def is_active(self) -> bool:
         return True
 
 
-def play(parts: Parts, seed: int) -> None:
-    w = Timed(seed, [f"i{n}" for n in range(8)], {"p": 100_000, "q": 4_000}, parts=parts)
-    w.run(60_000, 6, faults=True)
+def simulate(implementations: Implementations, seed: int) -> None:
+    simulation = TimedSimulation(
+        seed, [f"i{n}" for n in range(8)], {"p": 100_000, "q": 4_000}, implementations=implementations
+    )
+    simulation.run(60_000, 6, faults=True)
 
 
 FAULTS = [
-    (Parts(spender=SettlesTwice), 0),
-    (Parts(giver=ReturnsWhatMayBeSpent), 0),
-    (Parts(giver=ForgetsOtherHolders), 0),
-    (Parts(spender=TakesUnacknowledged), 2),
-    (Parts(spender=ChargesAfterItsLastWord), 12),
-    (Parts(budgets=Unfenced, giver=ActsOnOldWord), 18),
+    (Implementations(spender=SettlesTwice), 0),
+    (Implementations(granter=ReturnsPossiblySpentTokens), 0),
+    (Implementations(granter=IgnoresEarlierHolders), 0),
+    (Implementations(spender=SpendsUnacknowledgedTokens), 2),
+    (Implementations(spender=ChargesAfterFinalReport), 12),
+    (Implementations(budgets=UnfencedState, granter=ActsAfterLosingDuty), 18),
 ]
 
 
-@pytest.mark.parametrize("parts,seed", FAULTS)
-def test_the_simulation_finds_it(parts: Parts, seed: int) -> None:
+@pytest.mark.parametrize("implementations,seed", FAULTS)
+def test_the_simulation_detects_the_fault(implementations: Implementations, seed: int) -> None:
     with pytest.raises((AssertionError, KeyError)):
-        play(parts, seed)
-    play(Parts(), seed)
-
-
-class Expiry(interleave.World):
-    """A slice of 100 tokens, 60 of them open; a call that takes 50 where 40 were expected; its final answer,
-    which is given twice; the invoker's word; and the end of the slice at the holder."""
-
-    def __init__(self, parts: Parts) -> None:
-        self.t, self.index, self.charged = 0.0, 2, 0
-        self.budgets = parts.budgets("p", ("boss",), TimingWheel[int]())
-        self.budgets.apply(1, c.Change("boss", 0, "a test", 0, c.Delegate("p", 1000)), 0.0)
-        self.giver = parts.giver(self.budgets, 2, Sizes())
-        self.spender = parts.spender("i", 1, Sizes(), 1)
-        self.spender.estimates.first = 40
-        self.spender.take("p", "f", "first", None, 0.0)
-        (ask,) = self.spender.turn(0.0)
-        assert isinstance(ask, Ask)
-        self.commit(c.Act(2, c.Begin()))
-        self.commit(c.Act(2, c.Give("p", "i", 1, ask.number, 100, 60, 5000)))
-        self.spender.heard(self.giver.granted(4), 1.0)
-        self.acts, self.words = list[c.Act](), list[Report]()
+        simulate(implementations, seed)
+    simulate(Implementations(), seed)
+
+
+class SettleAgainstExpiry(interleave.World):
+    """A slice of 100 tokens with a spend limit of 60, and a call that uses 50 tokens where 40 were estimated.
+    The threads race its final answer, a repeat of it, the invoker's report, and the slice's expiry."""
+
+    def __init__(self, implementations: Implementations) -> None:
+        self.now, self.index, self.charged = 0.0, 2, 0
+        self.budgets = implementations.budgets("p", ("boss",), TimingWheel[int]())
+        self.budgets.apply(1, c.AdminChange("boss", 0, "a test", 0, c.DelegateQuota("p", 1000)), 0.0)
+        self.granter = implementations.granter(self.budgets, 2, SliceSizing())
+        self.spender = implementations.spender("i", 1, SliceSizing(), 1)
+        self.spender.estimator.default_tokens = 40
+        self.spender.reserve("p", "f", "first", None, 0.0)
+        (request,) = self.spender.run_due(0.0)
+        assert isinstance(request, SliceRequest)
+        self.commit(c.HolderEntry(2, c.BeginTerm()))
+        self.commit(c.HolderEntry(2, c.GrantSlice("p", "i", 1, request.number, 100, 60, 5000)))
+        self.spender.handle_reply(self.granter.granted_reply(4), 1.0)
+        self.entries, self.reports = list[c.HolderEntry](), list[UsageReport]()
         self.threads = {
-            "call": [("take", self.take), ("settle", self.settle)],
-            "answer again": [("settle", self.settle)],
-            "word": [("say", self.say), ("hear", self.hear), ("agree", self.agree)],
-            "end": [("pass", self.passes), ("expire", self.expire), ("agree", self.agree)],
+            "call": [("reserve", self.reserve), ("settle", self.settle)],
+            "repeated answer": [("settle", self.settle)],
+            "report": [
+                ("send", self.send_report),
+                ("deliver", self.deliver),
+                ("commit", self.commit_entries),
+            ],
+            "expiry": [
+                ("time out", self.advance_clock),
+                ("expire", self.expire),
+                ("commit", self.commit_entries),
+            ],
         }
 
-    def commit(self, act: c.Act) -> None:
+    def commit(self, entry: c.HolderEntry) -> None:
         self.index += 1
-        self.budgets.apply(self.index, act, self.t)
+        self.budgets.apply(self.index, entry, self.now)
 
-    def take(self) -> None:
-        self.spender.take("p", "f", "call", None, self.t)
+    def reserve(self) -> None:
+        self.spender.reserve("p", "f", "call", None, self.now)
 
     def settle(self) -> None:
-        self.charged += self.spender.settle("call", 50, self.t)
+        self.charged += self.spender.settle("call", 50, self.now)
 
-    def say(self) -> None:
-        self.words += [said for said in self.spender.turn(self.t) if isinstance(said, Report)]
+    def send_report(self) -> None:
+        self.reports += [
+            message for message in self.spender.run_due(self.now) if isinstance(message, UsageReport)
+        ]
 
-    def hear(self) -> None:
-        for word in self.words:
-            for out in self.giver.report(word, self.t):
-                if isinstance(out, c.Act):
-                    self.acts.append(out)
-                elif isinstance(out, Ack):
-                    self.spender.heard(out, self.t)
+    def deliver(self) -> None:
+        for report in self.reports:
+            for out in self.granter.handle_report(report, self.now):
+                if isinstance(out, c.HolderEntry):
+                    self.entries.append(out)
+                elif isinstance(out, UsageAck):
+                    self.spender.handle_reply(out, self.now)
 
     def expire(self) -> None:
-        self.acts += self.giver.turn(self.t)
+        self.entries += self.granter.run_due(self.now)
 
-    def agree(self) -> None:
-        while self.acts:
-            self.commit(self.acts.pop(0))
+    def commit_entries(self) -> None:
+        while self.entries:
+            self.commit(self.entries.pop(0))
 
-    def passes(self) -> None:
-        self.t = 6000.0
+    def advance_clock(self) -> None:
+        self.now = 6000.0
 
     def check(self) -> None:
         node = self.budgets.tree.nodes["p"]
-        aside = sum(sum(taken.parts.values()) for taken in self.spender.out.values())
+        reserved = sum(sum(reservation.tokens.values()) for reservation in self.spender.reservations.values())
         assert self.charged <= 50, "charged twice"
-        assert self.charged + aside <= node.held + node.spent, "came back and was spent"
+        assert self.charged + reserved <= node.held + node.spent, "returned and also spent"
 
     def key(self) -> Hashable:
         s = self.spender
         return interleave.shape(
-            self.t,
+            self.now,
             self.charged,
-            self.budgets.dump(),
-            self.budgets.over,
-            self.acts,
-            self.words,
-            s.out,
+            self.budgets.snapshot(),
+            self.budgets.timed_out,
+            self.entries,
+            self.reports,
+            s.reservations,
             s.projects,
-            self.giver.marks,
-            self.giver.spent,
-            self.giver.offered,
+            self.granter.spend_limits,
+            self.granter.reported_spent,
+            self.granter.proposed,
         )
 
 
-def test_settle_against_expiry_in_all_orders() -> None:
-    counts = interleave.explore(lambda: Expiry(Parts()))
+def test_settlement_races_expiry_in_all_interleavings() -> None:
+    counts = interleave.explore(lambda: SettleAgainstExpiry(Implementations()))
     assert counts.whole and counts.states > 300
 
 
 @pytest.mark.parametrize(
-    "parts,failure",
+    "implementations,failure",
     [
-        (Parts(spender=SettlesTwice), "charged twice"),
-        (Parts(giver=ReturnsWhatMayBeSpent), "came back and was spent"),
+        (Implementations(spender=SettlesTwice), "charged twice"),
+        (Implementations(granter=ReturnsPossiblySpentTokens), "returned and also spent"),
     ],
 )
-def test_all_orders_find_it(parts: Parts, failure: str) -> None:
+def test_the_search_over_interleavings_detects_the_fault(
+    implementations: Implementations, failure: str
+) -> None:
     with pytest.raises(interleave.Failed, match=failure) as found:
-        interleave.explore(lambda: Expiry(parts))
-    assert interleave.replay(lambda: Expiry(parts), found.value.schedule) == found.value.failure
+        interleave.explore(lambda: SettleAgainstExpiry(implementations))
+    assert (
+        interleave.replay(lambda: SettleAgainstExpiry(implementations), found.value.schedule)
+        == found.value.failure
+    )
     print(found.value.schedule)
