--- a/harrieryoke/paths/decide/__init__.py
+++ b/harrieryoke/paths/decide/__init__.py
@@ -1,1 +1,2 @@
-"""Endpoints, races and links as pure state. No I/O, no clock: times come in as milliseconds."""
+"""Endpoints, connection races and pools as pure state machines, without I/O or clocks: callers pass times in
+milliseconds."""
--- a/harrieryoke/paths/decide/endpoints.py
+++ b/harrieryoke/paths/decide/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints of a model host, and what is known of each."""
+"""Endpoints of a model host: parsing, health, and the order in which they are dialled."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from ipaddress import IPv4Address, IPv6Address
 from typing import Any, NamedTuple
 
-MOST = 16  # endpoints of one host
-MOST_PATH = 107  # bytes of a Unix socket's path, by the kernel
+MAX_ENDPOINTS = 16  # per host
+MAX_UNIX_PATH_BYTES = 107  # limit of the kernel
 
 
 class Family(Enum):
@@ -18,12 +18,12 @@
 
 
 class EndpointError(ValueError):
-    """What is no endpoint; the message begins with the text."""
+    """An invalid endpoint; the message begins with the rejected text."""
 
 
 class Endpoint(NamedTuple):
     family: Family
-    host: str  # of a Unix socket: its path
+    host: str  # the path of a Unix socket
     port: int = 0
 
     def __str__(self) -> str:
@@ -32,17 +32,17 @@
         return f"[{self.host}]:{self.port}" if self.family is Family.V6 else f"{self.host}:{self.port}"
 
 
-def read_endpoint(text: str) -> Endpoint:
-    """`1.2.3.4:80`, `[::1]:80` or `unix:/run/host.sock`. Names are none: nothing is looked up. Raises
-    EndpointError."""
+def parse_endpoint(text: str) -> Endpoint:
+    """Parses `1.2.3.4:80`, `[::1]:80` or `unix:/run/host.sock`. Host names are invalid: nothing is resolved.
+    Raises EndpointError."""
     if text.startswith("unix:"):
         path = text[5:]
-        if not path.startswith("/") or "\0" in path or len(path.encode()) > MOST_PATH:
-            raise EndpointError(f"{text!r}: an absolute path of at most {MOST_PATH} bytes is wanted")
+        if not path.startswith("/") or "\0" in path or len(path.encode()) > MAX_UNIX_PATH_BYTES:
+            raise EndpointError(f"{text!r}: expected an absolute path of at most {MAX_UNIX_PATH_BYTES} bytes")
         return Endpoint(Family.UNIX, path)
     host, colon, port = text.rpartition(":")
     if not colon or not port.isascii() or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise EndpointError(f"{text!r}: a port from 1 to 65535 is wanted")
+        raise EndpointError(f"{text!r}: expected a port from 1 to 65535")
     try:
         if host.startswith("[") and host.endswith("]"):
             return Endpoint(Family.V6, str(IPv6Address(host[1:-1])), int(port))
@@ -51,78 +51,89 @@
         raise EndpointError(f"{text!r}: {error}") from None
 
 
-def read_endpoints(entry: dict[str, Any]) -> tuple[Endpoint, ...]:
-    """Of an entry of the worker list: `addr` first, as on the platform, then `addrs` where there are any;
-    each once. Raises EndpointError."""
+def parse_endpoints(entry: dict[str, Any]) -> tuple[Endpoint, ...]:
+    """Returns the endpoints of a worker list entry without duplicates: `addr`, the platform's field, first,
+    then the optional `addrs`. Raises EndpointError."""
     more = entry.get("addrs", [])
     if not isinstance(more, list) or not all(isinstance(text, str) for text in more):
-        raise EndpointError("addrs: a list of texts is wanted")
+        raise EndpointError("addrs: expected a list of strings")
     texts = ([entry["addr"]] if isinstance(entry.get("addr"), str) else []) + more
-    found = tuple(dict.fromkeys(map(read_endpoint, texts)))
-    if not 1 <= len(found) <= MOST:
-        raise EndpointError(f"addrs: 1 to {MOST} endpoints are wanted, not {len(found)}")
-    return found
+    endpoints = tuple(dict.fromkeys(map(parse_endpoint, texts)))
+    if not 1 <= len(endpoints) <= MAX_ENDPOINTS:
+        raise EndpointError(f"addrs: expected 1 to {MAX_ENDPOINTS} endpoints, got {len(endpoints)}")
+    return endpoints
 
 
 @dataclass(slots=True)
-class Health:
-    """What dials and links told of one endpoint."""
+class EndpointHealth:
+    """Health of one endpoint, learned from dials and connections."""
 
-    dial_ms: float | None = None  # mean time until a connection stood
-    failures: int = 0  # in a row
+    connect_time: float | None = None  # moving average
+    consecutive_failures: int = 0
     failed_at: float = 0.0
-    good_at: float | None = None  # last answer, or connection, over it
+    succeeded_at: float | None = None  # last answer on it, or last established connection
 
-    def failed(self, now: float) -> None:
-        self.failures += 1
+    def record_failure(self, now: float) -> None:
+        self.consecutive_failures += 1
         self.failed_at = now
 
-    def dialled(self, now: float, took: float) -> None:
-        self.dial_ms = took if self.dial_ms is None else self.dial_ms + 0.25 * (took - self.dial_ms)
-        self.failures, self.good_at = 0, now
+    def record_connected(self, now: float, duration: float) -> None:
+        self.connect_time = (
+            duration
+            if self.connect_time is None
+            else self.connect_time + 0.25 * (duration - self.connect_time)
+        )
+        self.consecutive_failures, self.succeeded_at = 0, now
 
-    def shunned(self, now: float, first: float, most: float) -> bool:
-        """Whether it failed so lately that it is tried only after the others: for `first` ms, twice as long
-        with each failure in a row, `most` at the longest. A clock that stepped back ends it."""
-        pause = min(most, first * 2 ** min(20, self.failures - 1))
-        return bool(self.failures) and 0 <= now - self.failed_at < pause
+    def in_backoff(self, now: float, initial_backoff: float, max_backoff: float) -> bool:
+        """Returns whether the endpoint is dialled only after all others because of a recent failure. The
+        back-off doubles with each consecutive failure, up to the maximum. A clock that stepped back ends
+        it."""
+        backoff = min(max_backoff, initial_backoff * 2 ** min(20, self.consecutive_failures - 1))
+        return bool(self.consecutive_failures) and 0 <= now - self.failed_at < backoff
 
 
 @dataclass(slots=True)
-class Book:
-    """Of one host. Endpoints that left the list are forgotten."""
-
-    first_ms: float = 250.0
-    most_ms: float = 30_000.0
-    lasting_ms: float = 60_000.0  # that a good use is remembered for the order
-    known: dict[Endpoint, Health] = field(default_factory=dict)
-
-    def set(self, endpoints: tuple[Endpoint, ...]) -> set[Endpoint]:
-        """The host's endpoints now; those that are gone are returned."""
-        gone = self.known.keys() - set(endpoints)
-        self.known = {e: self.known.get(e, Health()) for e in endpoints}
-        return set(gone)
-
-    def order(self, now: float) -> list[Endpoint]:
-        """A Unix socket first, then the one last good, then v6 and v4 in turn, each in the list's order;
-        those that failed lately come after all others, the one that failed longest ago first."""
-        shunned = [e for e, h in self.known.items() if h.shunned(now, self.first_ms, self.most_ms)]
-        fit = [e for e in self.known if e not in shunned]
-        chosen = [e for e in fit if e.family is Family.UNIX]
-        lately = {
-            e: h.good_at
-            for e in fit
-            if (h := self.known[e]).good_at is not None and 0 <= now - h.good_at < self.lasting_ms
+class EndpointTable:
+    """Endpoints of one host with their health. Endpoints that left the worker list are removed."""
+
+    initial_backoff: float = 250.0
+    max_backoff: float = 30_000.0
+    success_ttl: float = 60_000.0  # how long a success counts for the dial order
+    health: dict[Endpoint, EndpointHealth] = field(default_factory=dict)
+
+    def replace(self, endpoints: tuple[Endpoint, ...]) -> set[Endpoint]:
+        """Sets the host's current endpoints and returns the removed ones."""
+        removed = self.health.keys() - set(endpoints)
+        self.health = {e: self.health.get(e, EndpointHealth()) for e in endpoints}
+        return set(removed)
+
+    def dial_order(self, now: float) -> list[Endpoint]:
+        """Returns Unix sockets first, then the endpoint with the latest success, then alternating IPv6 and
+        IPv4 endpoints, each in list order; endpoints in back-off come last, the longest-failed first."""
+        backed_off = [
+            e for e, h in self.health.items() if h.in_backoff(now, self.initial_backoff, self.max_backoff)
+        ]
+        usable = [e for e in self.health if e not in backed_off]
+        ordered = [e for e in usable if e.family is Family.UNIX]
+        recent_successes = {
+            e: h.succeeded_at
+            for e in usable
+            if (h := self.health[e]).succeeded_at is not None and 0 <= now - h.succeeded_at < self.success_ttl
         }
-        rest = [e for e in fit if e not in chosen]
-        good = max((e for e in rest if e in lately), key=lambda e: lately[e] or 0.0, default=None)
-        if good is not None:
-            chosen.append(good)
-            rest.remove(good)
-        six = [e for e in rest if e.family is Family.V6]
-        four = [e for e in rest if e.family is Family.V4]
-        if good is not None and good.family is Family.V6:  # the families in turn, after the one just chosen
-            six, four = four, six
-        for n in range(max(len(six), len(four))):
-            chosen += six[n : n + 1] + four[n : n + 1]
-        return chosen + sorted(shunned, key=lambda e: self.known[e].failed_at)
+        rest = [e for e in usable if e not in ordered]
+        latest = max(
+            (e for e in rest if e in recent_successes),
+            key=lambda e: recent_successes[e] or 0.0,
+            default=None,
+        )
+        if latest is not None:
+            ordered.append(latest)
+            rest.remove(latest)
+        first = [e for e in rest if e.family is Family.V6]
+        second = [e for e in rest if e.family is Family.V4]
+        if latest is not None and latest.family is Family.V6:  # alternate, starting with the other family
+            first, second = second, first
+        for n in range(max(len(first), len(second))):
+            ordered += first[n : n + 1] + second[n : n + 1]
+        return ordered + sorted(backed_off, key=lambda e: self.health[e].failed_at)
--- a/harrieryoke/paths/decide/pool.py
+++ b/harrieryoke/paths/decide/pool.py
@@ -1,14 +1,18 @@
-"""The links of one model host as a state machine, and what is known of each attempt on them.
+"""The connection pool of one model host as a state machine, with the write progress of each attempt.
 
-    link:     dialling -> up <-> suspect -> closed          attempt:  unsent -> begun -> whole -> answered
-                  |        \\-> draining ---^                            ^         |
-                  +-> closed                                            +---------+ its link ended: see
-                  `ended`
+    connection:  dialling -> ready <-> suspect -> closed
+                     |         \\-> draining ---^
+                     +-> closed
 
-An attempt is placed on one link. While nothing of it was written its link's end is nothing to it: the pool
-places it on another path of the same host. From the first byte on it is never placed again here. Partly
-written, it has not run: a host acts on whole frames alone, and the frame's end never left. Whole, it may have
-run. Both are outcomes for the module, which alone decides on what is sent again.
+    attempt:     unsent -> partial -> complete -> answered
+                    ^         |
+                    +---------+ its connection ended: see `record_closed`
+
+An attempt is assigned to one connection. While nothing of it was written, the end of that connection does not
+matter: the pool assigns it to another connection of the same host. From the first byte on it is never
+assigned again here. A partly written attempt has not run: a host acts only on whole frames, and the end of
+the frame was never sent. A completely written attempt may have run. Both are outcomes for the decision
+module, which alone decides what is sent again.
 """
 
 from __future__ import annotations
@@ -18,299 +22,349 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from .endpoints import Book, Endpoint
-from .race import Race
+from .endpoints import Endpoint, EndpointTable
+from .race import ConnectionRace
 
 
-class Up(Enum):
+class ConnectionState(Enum):
     DIALLING = "dialling"
-    UP = "up"
-    SUSPECT = "suspect"  # it owes an answer for too long: nothing new goes there
-    DRAINING = "draining"  # it ends once nothing is open on it
+    READY = "up"
+    SUSPECT = "suspect"  # an answer is overdue: no new attempts are assigned
+    DRAINING = "draining"  # closes once it has no open attempts
 
 
-class Written(Enum):
+class WriteProgress(Enum):
     UNSENT = 0
-    BEGUN = 1
-    WHOLE = 2
+    PARTIAL = 1
+    COMPLETE = 2
 
 
-class Fate(Enum):
-    """What becomes of an attempt whose link ended."""
+class AttemptOutcome(Enum):
+    """The outcome of an attempt whose connection ended."""
 
-    AGAIN = "again"  # nothing was written: the pool places it anew
+    REQUEUED = "again"  # nothing was written: the pool assigns it again
     NOT_RUN = "not run"  # partly written
     MAY_HAVE_RUN = "may have run"
 
 
 @dataclass(slots=True)
-class Budget:
-    """Of all hosts together: descriptors, and new connections a second. One second deep."""
+class DialBudget:
+    """Limits descriptors and the dial rate over all hosts: a token bucket with a depth of one second."""
 
-    descriptors: int
+    max_descriptors: int
     dials_per_s: float
-    held: int = 0
-    peak: int = 0
-    left: float = 0.0
-    at: float | None = None
-
-    def take(self, now: float) -> bool:
-        """For one more dial; given back by `give` when its descriptor is closed."""
-        passed = self.dials_per_s * 1000 if self.at is None else max(0.0, now - self.at)
-        self.left = min(self.dials_per_s, self.left + self.dials_per_s * passed / 1000)
-        self.at = now
-        if self.left < 1 or self.held >= self.descriptors:
+    descriptors: int = 0
+    peak_descriptors: int = 0
+    tokens: float = 0.0
+    refilled_at: float | None = None
+
+    def acquire(self, now: float) -> bool:
+        """Takes a descriptor and a dial token. `release` returns the descriptor once it is closed."""
+        elapsed = self.dials_per_s * 1000 if self.refilled_at is None else max(0.0, now - self.refilled_at)
+        self.tokens = min(self.dials_per_s, self.tokens + self.dials_per_s * elapsed / 1000)
+        self.refilled_at = now
+        if self.tokens < 1 or self.descriptors >= self.max_descriptors:
             return False
-        self.left -= 1
-        self.held += 1
-        self.peak = max(self.peak, self.held)
+        self.tokens -= 1
+        self.descriptors += 1
+        self.peak_descriptors = max(self.peak_descriptors, self.descriptors)
         return True
 
-    def give(self) -> None:
-        self.held -= 1
+    def release(self) -> None:
+        self.descriptors -= 1
 
 
 @dataclass(slots=True, eq=False)
-class Link:
-    """One connection, from the dial to its close. It holds one descriptor."""
+class Connection:
+    """One connection, from the dial until it is closed. It holds one descriptor."""
 
     number: int
     endpoint: Endpoint
-    since: float
-    state: Up = Up.DIALLING
-    open: dict[Hashable, Written] = field(default_factory=dict)
-    owed: float | None = None  # since when an answer is owed and nothing has come
-    used: float = 0.0
-    reserve: bool = False  # it lost a race, and is kept for a while
+    dialled_at: float
+    state: ConnectionState = ConnectionState.DIALLING
+    attempts: dict[Hashable, WriteProgress] = field(default_factory=dict)
+    awaiting_since: float | None = None  # since when an answer is due and nothing was received
+    last_used: float = 0.0
+    spare: bool = False  # it lost a race and is kept for a while
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class PoolLimits:
     """Times are milliseconds."""
 
-    links: int = 4  # of the host, those under way included
-    streams: int = 100  # open attempts of a link
-    queue: int = 1024  # new attempts that wait for a link; those of ended links may come on top
-    dial_ms: float = 250.0  # of a whole race
-    delay_ms: float = 50.0  # until the next endpoint is dialled beside the one before
-    silent_ms: float = 700.0
-    idle_ms: float = 24_000.0
-    reserve_ms: float = 2000.0
+    max_connections: int = 4  # per host, including dials in flight
+    max_attempts: int = 100  # open attempts per connection
+    max_queue: int = 1024  # new attempts that wait for a connection; requeued ones may come on top
+    connect_timeout: float = 250.0  # of a whole race
+    dial_delay: float = 50.0  # until the next endpoint is dialled in parallel
+    silence_timeout: float = 700.0
+    idle_timeout: float = 24_000.0
+    spare_timeout: float = 2000.0
 
 
 @dataclass(slots=True)
-class Pool:
-    """Of one host. Whoever does the I/O asks `steps` what to dial and close, `place` where an attempt goes,
-    and tells what happened. Nothing goes to a host that drains, has gone or was replaced, whatever is
-    queued."""
-
-    budget: Budget
-    bounds: Bounds = field(default_factory=Bounds)
-    book: Book = field(default_factory=Book)
-    links: dict[int, Link] = field(default_factory=dict)
-    where: dict[Hashable, Link] = field(default_factory=dict)  # attempts that have a link
-    queue: deque[Hashable] = field(default_factory=deque)  # and those that wait for one
-    race: Race | None = None
-    takes: bool = True
-    serial: int = 0
+class ConnectionPool:
+    """Connections of one host.
+
+    The I/O layer asks `next_steps` what to dial and close and `assign` where an attempt goes, and reports
+    events. Nothing is sent to a host that drains, was removed or was replaced, even if attempts are queued.
+    """
+
+    dial_budget: DialBudget
+    limits: PoolLimits = field(default_factory=PoolLimits)
+    endpoints: EndpointTable = field(default_factory=EndpointTable)
+    connections: dict[int, Connection] = field(default_factory=dict)
+    assigned: dict[Hashable, Connection] = field(default_factory=dict)  # attempts that have a connection
+    queue: deque[Hashable] = field(default_factory=deque)  # attempts that wait for a connection
+    race: ConnectionRace | None = None
+    accepting: bool = True
+    last_number: int = 0
     counts: Counter[str] = field(default_factory=Counter)
 
-    # --- the list ---
+    # --- endpoints ---
 
-    def set(self, endpoints: tuple[Endpoint, ...]) -> list[Link]:
-        """The host's endpoints now. Links to those that are gone take nothing new; under way, they are
-        closed."""
-        gone = self.book.set(endpoints)
-        if self.race is not None and gone.intersection(self.race.order):
-            self.race = None  # what of it is under way ends as a loser, or is one of the gone
-        return [link for link in list(self.links.values()) if link.endpoint in gone and self.retire(link)]
+    def set_endpoints(self, endpoints: tuple[Endpoint, ...]) -> list[Connection]:
+        """Sets the host's current endpoints. Connections to removed endpoints accept no new attempts; returns
+        those that can be closed at once."""
+        removed = self.endpoints.replace(endpoints)
+        if self.race is not None and removed.intersection(self.race.endpoints):
+            self.race = None  # its remaining dials end as losers, or go to a removed endpoint
+        return [
+            connection
+            for connection in list(self.connections.values())
+            if connection.endpoint in removed and self.retire(connection)
+        ]
 
     def stop(self) -> list[Hashable]:
-        """It drains, has gone, or its address is another's: what waits is given back, unsent."""
-        self.takes, self.race = False, None
-        waiting = list(self.queue)
+        """Stops assignment because the host drains, was removed or has lost its address; returns the queued
+        attempts, of which nothing was written."""
+        self.accepting, self.race = False, None
+        queued = list(self.queue)
         self.queue.clear()
-        return waiting
+        return queued
 
-    def retire(self, link: Link) -> bool:
-        """Whether it can be closed at once."""
-        if link.state is Up.DIALLING or not link.open:
+    def retire(self, connection: Connection) -> bool:
+        """Starts draining; returns whether the connection can be closed at once."""
+        if connection.state is ConnectionState.DIALLING or not connection.attempts:
             return True
-        link.state = Up.DRAINING
+        connection.state = ConnectionState.DRAINING
         return False
 
     # --- attempts ---
 
-    def place(self, attempt: Hashable, now: float) -> Link | None:
-        """The link on which it goes now; None where it waits for one. Raises OverflowError at the bound, and
-        ValueError where nothing may go to the host any more."""
-        if not self.takes:
-            raise ValueError("nothing may go there")
-        if attempt in self.where:
-            raise ValueError("it has a link")
-        link = self.link_for(now)
-        if link is None:
-            if len(self.queue) >= self.bounds.queue:
-                raise OverflowError("too many wait for a link")
+    def assign(self, attempt: Hashable, now: float) -> Connection | None:
+        """Returns the connection for the attempt, or None where it is queued. Raises OverflowError when the
+        queue is full, and ValueError where the host accepts no attempts."""
+        if not self.accepting:
+            raise ValueError("the host accepts no attempts")
+        if attempt in self.assigned:
+            raise ValueError("the attempt is already assigned to a connection")
+        connection = self.pick_connection(now)
+        if connection is None:
+            if len(self.queue) >= self.limits.max_queue:
+                raise OverflowError("too many attempts wait for a connection")
             self.queue.append(attempt)
             return None
-        link.open[attempt], self.where[attempt] = Written.UNSENT, link
-        return link
-
-    def link_for(self, now: float) -> Link | None:
-        """The one that was used last of those that have room."""
-        self.suspect(now)
-        up = (link for link in self.links.values() if link.state is Up.UP)
-        fit = [link for link in up if len(link.open) < self.bounds.streams]
-        return max(fit, key=lambda link: (link.used, link.number)) if fit else None
-
-    def suspect(self, now: float) -> None:
-        for link in self.links.values():
-            if link.state is Up.UP and link.owed is not None and now - link.owed > self.bounds.silent_ms:
-                link.state = Up.SUSPECT
-                if (health := self.book.known.get(link.endpoint)) is not None:
-                    health.failed(now)
+        connection.attempts[attempt], self.assigned[attempt] = WriteProgress.UNSENT, connection
+        return connection
+
+    def pick_connection(self, now: float) -> Connection | None:
+        """Returns the most recently used connection that has capacity."""
+        self.mark_suspects(now)
+        ready = (
+            connection
+            for connection in self.connections.values()
+            if connection.state is ConnectionState.READY
+        )
+        usable = [connection for connection in ready if len(connection.attempts) < self.limits.max_attempts]
+        return (
+            max(usable, key=lambda connection: (connection.last_used, connection.number)) if usable else None
+        )
+
+    def mark_suspects(self, now: float) -> None:
+        for connection in self.connections.values():
+            if (
+                connection.state is ConnectionState.READY
+                and connection.awaiting_since is not None
+                and now - connection.awaiting_since > self.limits.silence_timeout
+            ):
+                connection.state = ConnectionState.SUSPECT
+                if (health := self.endpoints.health.get(connection.endpoint)) is not None:
+                    health.record_failure(now)
 
     def may_write(self, attempt: Hashable) -> bool:
-        """To be asked at the last moment before the first byte."""
-        link = self.where.get(attempt)
-        up = self.takes and link is not None and link.state is Up.UP
-        return up and link is not None and link.open[attempt] is Written.UNSENT
-
-    def wrote(self, attempt: Hashable, how: Written, now: float) -> None:
-        link = self.where[attempt]
-        if how.value < link.open[attempt].value:
-            raise ValueError("what was written can't be unwritten")
-        link.open[attempt], link.used = how, now
-        if link.owed is None:
-            link.owed = now
-
-    def answered(self, attempt: Hashable, number: int, now: float) -> bool:
-        """An answer came on link `number`. Whether it counts: only on the attempt's own link, and once. In
-        either case it proves that the link lives."""
-        link = self.links.get(number)
-        if link is None:
+        """Returns whether the first byte may be written; to be called immediately before."""
+        connection = self.assigned.get(attempt)
+        ready = self.accepting and connection is not None and connection.state is ConnectionState.READY
+        return ready and connection is not None and connection.attempts[attempt] is WriteProgress.UNSENT
+
+    def record_write(self, attempt: Hashable, progress: WriteProgress, now: float) -> None:
+        connection = self.assigned[attempt]
+        if progress.value < connection.attempts[attempt].value:
+            raise ValueError("write progress cannot decrease")
+        connection.attempts[attempt], connection.last_used = progress, now
+        if connection.awaiting_since is None:
+            connection.awaiting_since = now
+
+    def record_answer(self, attempt: Hashable, number: int, now: float) -> bool:
+        """Records an answer on connection `number`. Returns whether it counts: only on the attempt's own
+        connection, and once. Either way it proves that the connection is alive."""
+        connection = self.connections.get(number)
+        if connection is None:
             self.counts["late"] += 1
             return False
-        link.used = now
-        if link.state is Up.SUSPECT:
-            link.state = Up.UP
-        if (health := self.book.known.get(link.endpoint)) is not None:
-            health.failures, health.good_at = 0, now
-        counts = self.where.get(attempt) is link and link.open[attempt] is Written.WHOLE
+        connection.last_used = now
+        if connection.state is ConnectionState.SUSPECT:
+            connection.state = ConnectionState.READY
+        if (health := self.endpoints.health.get(connection.endpoint)) is not None:
+            health.consecutive_failures, health.succeeded_at = 0, now
+        counts = (
+            self.assigned.get(attempt) is connection
+            and connection.attempts[attempt] is WriteProgress.COMPLETE
+        )
         if counts:
-            self.drop(attempt)
-        link.owed = now if any(w is not Written.UNSENT for w in link.open.values()) else None
+            self.remove_attempt(attempt)
+        connection.awaiting_since = (
+            now
+            if any(progress is not WriteProgress.UNSENT for progress in connection.attempts.values())
+            else None
+        )
         return counts
 
-    def drop(self, attempt: Hashable) -> Link | None:
-        """It is over: answered, revoked, timed out. The link that it was on."""
-        link = self.where.pop(attempt, None)
-        if link is not None:
-            del link.open[attempt]
+    def remove_attempt(self, attempt: Hashable) -> Connection | None:
+        """Removes an attempt that was answered, cancelled or timed out, and returns its connection."""
+        connection = self.assigned.pop(attempt, None)
+        if connection is not None:
+            del connection.attempts[attempt]
         elif attempt in self.queue:
             self.queue.remove(attempt)
-        return link
+        return connection
 
-    # --- links ---
+    # --- connections ---
 
-    def steps(self, now: float) -> tuple[list[Link], list[Link]]:
-        """What to dial, and what to close, now."""
-        self.suspect(now)
-        close = [link for link in self.links.values() if self.finished(link, now)]
-        dial: list[Link] = []
-        if self.race is not None and self.race.expired(now):
+    def next_steps(self, now: float) -> tuple[list[Connection], list[Connection]]:
+        """Returns the connections to dial and those to close now."""
+        self.mark_suspects(now)
+        close = [connection for connection in self.connections.values() if self.should_close(connection, now)]
+        dial: list[Connection] = []
+        if self.race is not None and self.race.expire(now):
             self.race = None
-        if self.race is None and self.wants():
-            self.race = Race(self.book.order(now), now, self.bounds.delay_ms, now + self.bounds.dial_ms)
-        while self.race is not None and len(self.links) < self.bounds.links:
+        if self.race is None and self.needs_connection():
+            self.race = ConnectionRace(
+                self.endpoints.dial_order(now),
+                now,
+                self.limits.dial_delay,
+                now + self.limits.connect_timeout,
+            )
+        while self.race is not None and len(self.connections) < self.limits.max_connections:
             # the budget first: an endpoint that is taken from the race must be dialled
-            if not self.budget.take(now):
+            if not self.dial_budget.acquire(now):
                 self.counts["no-budget"] += 1
                 break
-            endpoint = self.race.to_dial(now)
+            endpoint = self.race.next_dial(now)
             if endpoint is None:
-                self.budget.give()
-                self.budget.left += 1
+                self.dial_budget.release()
+                self.dial_budget.tokens += 1
                 break
-            self.serial += 1
-            link = self.links[self.serial] = Link(self.serial, endpoint, now, used=now)
-            dial.append(link)
+            self.last_number += 1
+            connection = self.connections[self.last_number] = Connection(
+                self.last_number, endpoint, now, last_used=now
+            )
+            dial.append(connection)
             self.counts["dials"] += 1
         return dial, close
 
-    def wants(self) -> bool:
-        room = len(self.links) < self.bounds.links
-        return self.takes and room and bool(self.queue) and bool(self.book.known)
-
-    def finished(self, link: Link, now: float) -> bool:
-        b = self.bounds
-        if link.state is Up.DIALLING:
-            return not 0 <= now - link.since < b.dial_ms or (self.race is None and not self.queue)
-        if link.state is Up.SUSPECT:
-            return link.owed is None or now - link.owed > 3 * b.silent_ms
-        if link.open:
+    def needs_connection(self) -> bool:
+        has_capacity = len(self.connections) < self.limits.max_connections
+        return self.accepting and has_capacity and bool(self.queue) and bool(self.endpoints.health)
+
+    def should_close(self, connection: Connection, now: float) -> bool:
+        limits = self.limits
+        if connection.state is ConnectionState.DIALLING:
+            return not 0 <= now - connection.dialled_at < limits.connect_timeout or (
+                self.race is None and not self.queue
+            )
+        if connection.state is ConnectionState.SUSPECT:
+            return (
+                connection.awaiting_since is None
+                or now - connection.awaiting_since > 3 * limits.silence_timeout
+            )
+        if connection.attempts:
             return False
-        idle = b.reserve_ms if link.reserve else b.idle_ms
-        return link.state is Up.DRAINING or not self.takes or not 0 <= now - link.used < idle
-
-    def stood(self, number: int, now: float) -> list[tuple[Hashable, Link]]:
-        """A dial has become a connection; the attempts that go on it. One that lost its race is kept in
-        reserve."""
-        link = self.links[number]
-        link.state, link.used = Up.UP, now
-        if (health := self.book.known.get(link.endpoint)) is not None:
-            health.dialled(now, max(0.0, now - link.since))
+        timeout = limits.spare_timeout if connection.spare else limits.idle_timeout
+        return (
+            connection.state is ConnectionState.DRAINING
+            or not self.accepting
+            or not 0 <= now - connection.last_used < timeout
+        )
+
+    def record_connected(self, number: int, now: float) -> list[tuple[Hashable, Connection]]:
+        """Records an established connection and returns the queued attempts that are assigned now. One that
+        lost its race is kept as a spare."""
+        connection = self.connections[number]
+        connection.state, connection.last_used = ConnectionState.READY, now
+        if (health := self.endpoints.health.get(connection.endpoint)) is not None:
+            health.record_connected(now, max(0.0, now - connection.dialled_at))
         else:
-            link.state = Up.DRAINING  # its endpoint left the list meanwhile
+            connection.state = ConnectionState.DRAINING  # its endpoint was removed in the meantime
             return []
-        if self.race is not None and self.race.stood(link.endpoint, now):
+        if self.race is not None and self.race.record_connected(connection.endpoint, now):
             self.race = None
         else:
-            link.reserve = True
-        return self.pump(now)
+            connection.spare = True
+        return self.assign_queued(now)
 
-    def pump(self, now: float) -> list[tuple[Hashable, Link]]:
-        """Attempts that waited and have a link now."""
-        placed: list[tuple[Hashable, Link]] = []
-        while self.takes and self.queue and (link := self.link_for(now)) is not None:
+    def assign_queued(self, now: float) -> list[tuple[Hashable, Connection]]:
+        """Returns the queued attempts that are assigned now."""
+        assigned: list[tuple[Hashable, Connection]] = []
+        while self.accepting and self.queue and (connection := self.pick_connection(now)) is not None:
             attempt = self.queue.popleft()
-            link.open[attempt], self.where[attempt] = Written.UNSENT, link
-            link.reserve = False
-            placed.append((attempt, link))
-        return placed
-
-    def ended(self, number: int, now: float) -> list[tuple[Hashable, Fate]]:
-        """The link has closed, by whichever side: its descriptor is free, and each attempt on it has its
-        fate. Those that go again wait in the queue, ahead of the rest."""
-        link = self.links.pop(number, None)
-        if link is None:
+            connection.attempts[attempt], self.assigned[attempt] = WriteProgress.UNSENT, connection
+            connection.spare = False
+            assigned.append((attempt, connection))
+        return assigned
+
+    def record_closed(self, number: int, now: float) -> list[tuple[Hashable, AttemptOutcome]]:
+        """Records that either side closed the connection, frees its descriptor, and returns the outcome of
+        each of its attempts. Requeued attempts go to the head of the queue."""
+        connection = self.connections.pop(number, None)
+        if connection is None:
             return []
-        self.budget.give()
-        if link.state is Up.DIALLING or link.open:
-            if (health := self.book.known.get(link.endpoint)) is not None:
-                health.failed(now)
+        self.dial_budget.release()
+        if connection.state is ConnectionState.DIALLING or connection.attempts:
+            if (health := self.endpoints.health.get(connection.endpoint)) is not None:
+                health.record_failure(now)
             if self.race is not None:
-                self.race.failed(link.endpoint, now)
-                self.race = None if self.race.over else self.race
-        fates: list[tuple[Hashable, Fate]] = []
-        again: list[Hashable] = []
-        for attempt, written in link.open.items():
-            del self.where[attempt]
-            if written is Written.UNSENT and self.takes:
-                again.append(attempt)
-                fates.append((attempt, Fate.AGAIN))
+                self.race.record_failure(connection.endpoint, now)
+                self.race = None if self.race.finished else self.race
+        outcomes: list[tuple[Hashable, AttemptOutcome]] = []
+        requeued: list[Hashable] = []
+        for attempt, progress in connection.attempts.items():
+            del self.assigned[attempt]
+            if progress is WriteProgress.UNSENT and self.accepting:
+                requeued.append(attempt)
+                outcomes.append((attempt, AttemptOutcome.REQUEUED))
             else:
-                fates.append((attempt, Fate.MAY_HAVE_RUN if written is Written.WHOLE else Fate.NOT_RUN))
-        self.queue.extendleft(reversed(again))
-        return fates
-
-    def no_path(self) -> list[Hashable]:
-        """A race was lost and no link stands: what waits fails as not connected, all of it at once."""
-        if self.race is not None or any(link.state is not Up.DIALLING for link in self.links.values()):
+                outcomes.append(
+                    (
+                        attempt,
+                        AttemptOutcome.MAY_HAVE_RUN
+                        if progress is WriteProgress.COMPLETE
+                        else AttemptOutcome.NOT_RUN,
+                    )
+                )
+        self.queue.extendleft(reversed(requeued))
+        return outcomes
+
+    def take_unreachable(self) -> list[Hashable]:
+        """Returns all queued attempts, which fail as not connected, once a race was lost and there is no
+        connection."""
+        if self.race is not None or any(
+            connection.state is not ConnectionState.DIALLING for connection in self.connections.values()
+        ):
             return []
-        if any(link.state is Up.DIALLING for link in self.links.values()):
+        if any(connection.state is ConnectionState.DIALLING for connection in self.connections.values()):
             return []
-        waiting = list(self.queue)
+        queued = list(self.queue)
         self.queue.clear()
-        return waiting
+        return queued
--- a/tests/test_paths_decide.py
+++ b/tests/test_paths_decide.py
@@ -1,4 +1,4 @@
-"""Endpoints, races and the pool of links, in all orders of what may happen."""
+"""Endpoints, connection races and the connection pool, under events in any order."""
 
 from __future__ import annotations
 
@@ -8,12 +8,25 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from harrieryoke.paths.decide.endpoints import Book, EndpointError, Family, read_endpoint, read_endpoints
-from harrieryoke.paths.decide.pool import Bounds, Budget, Fate, Pool, Up, Written
-from harrieryoke.paths.decide.race import Race
+from harrieryoke.paths.decide.endpoints import (
+    EndpointError,
+    EndpointTable,
+    Family,
+    parse_endpoint,
+    parse_endpoints,
+)
+from harrieryoke.paths.decide.pool import (
+    AttemptOutcome,
+    ConnectionPool,
+    ConnectionState,
+    DialBudget,
+    PoolLimits,
+    WriteProgress,
+)
+from harrieryoke.paths.decide.race import ConnectionRace
 
-FUZZ = settings(max_examples=150, deadline=None, derandomize=True)
-UNIX, SIX, FOUR, OTHER = map(read_endpoint, ("unix:/run/h.sock", "[::1]:80", "127.0.0.1:80", "127.0.0.2:80"))
+FUZZ_SETTINGS = settings(max_examples=150, deadline=None, derandomize=True)
+UNIX, SIX, FOUR, OTHER = map(parse_endpoint, ("unix:/run/h.sock", "[::1]:80", "127.0.0.1:80", "127.0.0.2:80"))
 ALL = (SIX, FOUR, OTHER, UNIX)
 
 
@@ -21,173 +34,192 @@
     "text",
     ["", "a:80", "127.0.0.1", "127.0.0.1:0", "[::1]", "::1:80", "unix:x", "unix:/" + "x" * 107, "1.2.3.4:٣"],
 )
-def test_what_is_no_endpoint_is_named(text: str) -> None:
+def test_invalid_endpoints_are_rejected(text: str) -> None:
     with pytest.raises(EndpointError):
-        read_endpoint(text)
+        parse_endpoint(text)
 
 
-def test_the_lists_form_of_the_platform_stays_and_addrs_add_to_it() -> None:
-    assert read_endpoints({"addr": "127.0.0.1:80"}) == (FOUR,)
-    told = {"addr": "127.0.0.1:80", "addrs": ["[0:0::1]:80", "127.0.0.1:80", "unix:/run/h.sock"]}
-    assert read_endpoints(told) == (FOUR, SIX, UNIX)
-    for wrong in ({}, {"addrs": "x"}, {"addrs": [1]}, {"addrs": [f"127.0.0.{n}:1" for n in range(1, 18)]}):
+def test_addrs_extend_the_addr_field_of_the_platform() -> None:
+    assert parse_endpoints({"addr": "127.0.0.1:80"}) == (FOUR,)
+    entry = {"addr": "127.0.0.1:80", "addrs": ["[0:0::1]:80", "127.0.0.1:80", "unix:/run/h.sock"]}
+    assert parse_endpoints(entry) == (FOUR, SIX, UNIX)
+    for invalid in ({}, {"addrs": "x"}, {"addrs": [1]}, {"addrs": [f"127.0.0.{n}:1" for n in range(1, 18)]}):
         with pytest.raises(EndpointError, match="addrs"):
-            read_endpoints(wrong)
-
-
-def test_order_unix_then_the_last_good_then_the_families_in_turn_the_failed_last() -> None:
-    book = Book()
-    book.set(ALL)
-    assert book.order(0.0) == [UNIX, SIX, FOUR, OTHER]
-    book.known[OTHER].dialled(1000.0, 3.0)
-    assert book.order(1001.0) == [UNIX, OTHER, SIX, FOUR]
-    book.known[UNIX].failed(1001.0)
-    book.known[SIX].failed(1000.5)
-    assert book.order(1002.0) == [OTHER, FOUR, SIX, UNIX]
-    assert book.order(1300.0) == [UNIX, OTHER, SIX, FOUR]  # their time is over
+            parse_endpoints(invalid)
+
+
+def test_dial_order_is_unix_then_latest_success_then_alternating_families_then_failed() -> None:
+    table = EndpointTable()
+    table.replace(ALL)
+    assert table.dial_order(0.0) == [UNIX, SIX, FOUR, OTHER]
+    table.health[OTHER].record_connected(1000.0, 3.0)
+    assert table.dial_order(1001.0) == [UNIX, OTHER, SIX, FOUR]
+    table.health[UNIX].record_failure(1001.0)
+    table.health[SIX].record_failure(1000.5)
+    assert table.dial_order(1002.0) == [OTHER, FOUR, SIX, UNIX]
+    assert table.dial_order(1300.0) == [UNIX, OTHER, SIX, FOUR]  # their back-off is over
     for _ in range(30):
-        book.known[UNIX].failed(2000.0)
-    assert book.order(31_000.0)[-1] == UNIX and book.order(33_000.0)[0] == UNIX
-    assert book.order(500.0)[0] == UNIX  # the clock stepped back
-    assert book.set((FOUR,)) == {SIX, OTHER, UNIX} and book.order(0.0) == [FOUR]
+        table.health[UNIX].record_failure(2000.0)
+    assert table.dial_order(31_000.0)[-1] == UNIX and table.dial_order(33_000.0)[0] == UNIX
+    assert table.dial_order(500.0)[0] == UNIX  # the clock stepped back
+    assert table.replace((FOUR,)) == {SIX, OTHER, UNIX} and table.dial_order(0.0) == [FOUR]
 
 
-def test_a_blackhole_delays_the_next_dial_by_the_delay_alone_and_a_refusal_not_at_all() -> None:
-    race = Race([SIX, FOUR, OTHER], 0.0, delay=50.0, until=250.0)
-    assert race.to_dial(0.0) == SIX and race.to_dial(49.0) is None and race.wake_at() == 50.0
-    assert race.to_dial(50.0) == FOUR
-    race.failed(FOUR, 51.0)
-    assert race.to_dial(51.0) == OTHER and race.stood(OTHER, 52.0) and race.winner == OTHER
-    assert not race.stood(SIX, 53.0) and race.winner == OTHER  # it stands too late
-    lost = Race([SIX], 0.0, until=250.0)
-    assert lost.to_dial(0.0) == SIX and not lost.expired(249.0) and lost.expired(250.0)
-    assert lost.to_dial(251.0) is None and not lost.stood(SIX, 251.0)
+def test_a_silent_endpoint_delays_the_next_dial_by_the_delay_and_a_refusal_not_at_all() -> None:
+    race = ConnectionRace([SIX, FOUR, OTHER], 0.0, delay=50.0, deadline=250.0)
+    assert race.next_dial(0.0) == SIX and race.next_dial(49.0) is None and race.next_wakeup() == 50.0
+    assert race.next_dial(50.0) == FOUR
+    race.record_failure(FOUR, 51.0)
+    assert race.next_dial(51.0) == OTHER and race.record_connected(OTHER, 52.0) and race.winner == OTHER
+    assert not race.record_connected(SIX, 53.0) and race.winner == OTHER  # established too late
+    lost = ConnectionRace([SIX], 0.0, deadline=250.0)
+    assert lost.next_dial(0.0) == SIX and not lost.expire(249.0) and lost.expire(250.0)
+    assert lost.next_dial(251.0) is None and not lost.record_connected(SIX, 251.0)
 
 
-class World:
-    """A pool, and a host that counts what reaches it."""
+class Simulation:
+    """A pool, and a host that counts the attempts that reach it."""
 
     def __init__(self, seed: int) -> None:
         self.rng, self.now = random.Random(seed), 1000.0
-        self.budget = Budget(5, 1000.0)
-        self.pool = Pool(self.budget, Bounds(links=3, streams=2, queue=8))
-        self.pool.set(ALL)
-        self.sockets: dict[int, str] = {}  # links as the system has them
-        self.whole: dict[int, int] = {}  # attempts, and how many whole copies the host got
-        self.fates: dict[int, list[Fate]] = {}
-        self.done: set[int] = set()
-        self.begun: set[int] = set()  # attempts of which something was written
-        self.serial, self.stopped = 0, False
-
-    def act(self, what: str) -> None:
+        self.budget = DialBudget(5, 1000.0)
+        self.pool = ConnectionPool(self.budget, PoolLimits(max_connections=3, max_attempts=2, max_queue=8))
+        self.pool.set_endpoints(ALL)
+        self.sockets: dict[int, str] = {}  # state of open sockets by connection number
+        self.received: dict[int, int] = {}  # attempts, and how often the host received each completely
+        self.outcomes: dict[int, list[AttemptOutcome]] = {}
+        self.finished: set[int] = set()
+        self.written: set[int] = set()  # attempts with at least one byte written
+        self.last_attempt, self.stopped = 0, False
+
+    def apply(self, event: str) -> None:
         pool, rng = self.pool, self.rng
         self.now += rng.choice((0.0, 1.0, 30.0, 300.0))
-        links = list(pool.links.values())
-        link = rng.choice(links) if links else None
-        attempt = rng.choice(list(pool.where)) if pool.where else None
-        if what == "place" and not self.stopped:
-            self.serial += 1
+        connections = list(pool.connections.values())
+        connection = rng.choice(connections) if connections else None
+        attempt = rng.choice(list(pool.assigned)) if pool.assigned else None
+        if event == "assign" and not self.stopped:
+            self.last_attempt += 1
             try:
-                pool.place(self.serial, self.now)
+                pool.assign(self.last_attempt, self.now)
             except OverflowError:
-                assert 8 <= len(pool.queue) <= 8 + 3 * 2  # what was on links may come back on top
-                self.done.add(self.serial)
-        elif what == "stood" and link is not None and link.state is Up.DIALLING:
-            pool.stood(link.number, self.now)
-        elif what == "end" and link is not None:
-            self.end(link.number)
-        elif what == "write" and isinstance(attempt, int):
+                assert 8 <= len(pool.queue) <= 8 + 3 * 2  # requeued attempts may come on top
+                self.finished.add(self.last_attempt)
+        elif event == "connected" and connection is not None and connection.state is ConnectionState.DIALLING:
+            pool.record_connected(connection.number, self.now)
+        elif event == "closed" and connection is not None:
+            self.close(connection.number)
+        elif event == "write" and isinstance(attempt, int):
             if pool.may_write(attempt):
-                assert not self.stopped  # nothing new goes to a host that drains
-                self.begun.add(attempt)
-                pool.wrote(attempt, rng.choice((Written.BEGUN, Written.WHOLE)), self.now)
-            elif pool.where[attempt].open[attempt] is Written.BEGUN:
-                pool.wrote(attempt, Written.WHOLE, self.now)
-            if pool.where[attempt].open[attempt] is Written.WHOLE and attempt not in self.done:
-                self.done.add(attempt)
-                self.whole[attempt] = self.whole.get(attempt, 0) + 1
-        elif what == "answer" and isinstance(attempt, int) and link is not None:
-            own = pool.where[attempt]
-            whole = own.open[attempt] is Written.WHOLE
-            assert pool.answered(attempt, link.number, self.now) == (own is link and whole)
-            assert not (own is link and whole) or not pool.answered(attempt, link.number, self.now)
-        elif what == "give-up" and isinstance(attempt, int):
-            pool.drop(attempt)
-            self.done.add(attempt)
-        elif what == "replace":
-            for gone in pool.set(tuple(rng.sample(ALL, rng.randrange(1, 4)))):
-                self.end(gone.number)
-        elif what == "drain":
-            self.done |= {a for a in pool.stop() if isinstance(a, int)}
+                assert not self.stopped  # nothing new is sent to a draining host
+                self.written.add(attempt)
+                pool.record_write(
+                    attempt, rng.choice((WriteProgress.PARTIAL, WriteProgress.COMPLETE)), self.now
+                )
+            elif pool.assigned[attempt].attempts[attempt] is WriteProgress.PARTIAL:
+                pool.record_write(attempt, WriteProgress.COMPLETE, self.now)
+            if (
+                pool.assigned[attempt].attempts[attempt] is WriteProgress.COMPLETE
+                and attempt not in self.finished
+            ):
+                self.finished.add(attempt)
+                self.received[attempt] = self.received.get(attempt, 0) + 1
+        elif event == "answer" and isinstance(attempt, int) and connection is not None:
+            own = pool.assigned[attempt]
+            complete = own.attempts[attempt] is WriteProgress.COMPLETE
+            assert pool.record_answer(attempt, connection.number, self.now) == (
+                own is connection and complete
+            )
+            assert not (own is connection and complete) or not pool.record_answer(
+                attempt, connection.number, self.now
+            )
+        elif event == "cancel" and isinstance(attempt, int):
+            pool.remove_attempt(attempt)
+            self.finished.add(attempt)
+        elif event == "replace":
+            for removed in pool.set_endpoints(tuple(rng.sample(ALL, rng.randrange(1, 4)))):
+                self.close(removed.number)
+        elif event == "drain":
+            self.finished |= {a for a in pool.stop() if isinstance(a, int)}
             self.stopped = True
-        elif what == "back" and self.stopped:
-            pool.takes, self.stopped = True, False
-        dial, close = pool.steps(self.now)
+        elif event == "accept" and self.stopped:
+            pool.accepting, self.stopped = True, False
+        dial, close = pool.next_steps(self.now)
         for each in dial:
             self.sockets[each.number] = "dialling"
         for each in close:
-            self.end(each.number)
-        pool.pump(self.now)
-        self.done |= {a for a in pool.no_path() if isinstance(a, int)}
+            self.close(each.number)
+        pool.assign_queued(self.now)
+        self.finished |= {a for a in pool.take_unreachable() if isinstance(a, int)}
 
-    def end(self, number: int) -> None:
+    def close(self, number: int) -> None:
         self.sockets.pop(number, None)
-        for attempt, fate in self.pool.ended(number, self.now):
+        for attempt, outcome in self.pool.record_closed(number, self.now):
             assert isinstance(attempt, int)
-            self.fates.setdefault(attempt, []).append(fate)
-            assert (fate is Fate.MAY_HAVE_RUN) == (attempt in self.whole)
-            assert (fate is Fate.AGAIN) == (attempt not in self.begun and not self.stopped)
-            if fate is not Fate.AGAIN:
-                self.done.add(attempt)
+            self.outcomes.setdefault(attempt, []).append(outcome)
+            assert (outcome is AttemptOutcome.MAY_HAVE_RUN) == (attempt in self.received)
+            assert (outcome is AttemptOutcome.REQUEUED) == (attempt not in self.written and not self.stopped)
+            if outcome is not AttemptOutcome.REQUEUED:
+                self.finished.add(attempt)
 
     def check(self) -> None:
         pool = self.pool
-        assert set(self.sockets) == set(pool.links) and self.budget.held == len(pool.links) <= 3
-        assert all(n == 1 for n in self.whole.values())  # never two whole copies
-        waiting = set(pool.queue)
-        assert len(waiting) == len(pool.queue) and not waiting & set(pool.where)
-        open_ = {a for link in pool.links.values() for a in link.open}
-        assert open_ == set(pool.where) and all(len(link.open) <= 2 for link in pool.links.values())
-        for fates in self.fates.values():
-            assert all(fate is Fate.AGAIN for fate in fates[:-1])  # once written it never goes again here
-
-
-WHAT = "place place place stood stood write write answer answer end give-up replace drain back".split()
-
-
-@FUZZ
-@given(st.lists(st.sampled_from(WHAT), min_size=60, max_size=200), st.integers(0, 10_000))
-def test_in_any_order_no_attempt_is_written_twice_and_no_descriptor_leaks(
-    steps: list[str], seed: int
-) -> None:
-    world = World(seed)
-    for step in steps:
-        world.act(step)
-        world.check()
-    # in the end every attempt is somewhere: queued, on a link, or over
-    known = {*world.pool.queue, *world.pool.where, *world.done}
-    answered = [a for a in range(1, world.serial + 1) if a not in known]
-    assert all(a in world.whole or a in world.fates for a in answered)
-    world.pool.stop()
-    world.stopped = True
-    for number in list(world.pool.links):
-        world.end(number)
-    assert world.budget.held == 0 and not world.pool.links and not world.pool.where
-
-
-def test_a_restart_of_a_host_meets_no_storm_of_dials() -> None:
-    budget = Budget(100, 10.0)
-    pools = [Pool(budget, Bounds(links=4)) for _ in range(20)]
+        assert (
+            set(self.sockets) == set(pool.connections)
+            and self.budget.descriptors == len(pool.connections) <= 3
+        )
+        assert all(n == 1 for n in self.received.values())  # never received twice
+        queued = set(pool.queue)
+        assert len(queued) == len(pool.queue) and not queued & set(pool.assigned)
+        open_attempts = {a for connection in pool.connections.values() for a in connection.attempts}
+        assert open_attempts == set(pool.assigned) and all(
+            len(connection.attempts) <= 2 for connection in pool.connections.values()
+        )
+        for outcomes in self.outcomes.values():
+            # a written attempt is never requeued
+            assert all(outcome is AttemptOutcome.REQUEUED for outcome in outcomes[:-1])
+
+
+EVENTS = (
+    "assign assign assign connected connected write write " "answer answer closed cancel replace drain accept"
+).split()
+
+
+@FUZZ_SETTINGS
+@given(st.lists(st.sampled_from(EVENTS), min_size=60, max_size=200), st.integers(0, 10_000))
+def test_no_attempt_is_written_twice_and_no_descriptor_leaks(events: list[str], seed: int) -> None:
+    simulation = Simulation(seed)
+    for event in events:
+        simulation.apply(event)
+        simulation.check()
+    # every attempt is queued, on a connection, or finished
+    known = {*simulation.pool.queue, *simulation.pool.assigned, *simulation.finished}
+    answered = [a for a in range(1, simulation.last_attempt + 1) if a not in known]
+    assert all(a in simulation.received or a in simulation.outcomes for a in answered)
+    simulation.pool.stop()
+    simulation.stopped = True
+    for number in list(simulation.pool.connections):
+        simulation.close(number)
+    assert (
+        simulation.budget.descriptors == 0
+        and not simulation.pool.connections
+        and not simulation.pool.assigned
+    )
+
+
+def test_a_host_restart_causes_no_dial_storm() -> None:
+    budget = DialBudget(100, 10.0)
+    pools = [ConnectionPool(budget, PoolLimits(max_connections=4)) for _ in range(20)]
     dials, now = 0, 0.0
     for pool in pools:
-        pool.set((FOUR,))
-        pool.place("a", 0.0)
+        pool.set_endpoints((FOUR,))
+        pool.assign("a", 0.0)
     while now < 2000.0:
         for pool in pools:
-            dial, close = pool.steps(now)
+            dial, close = pool.next_steps(now)
             dials += len(dial)
-            for link in [*dial, *close]:
-                pool.ended(link.number, now)  # refused at once
+            for connection in [*dial, *close]:
+                pool.record_closed(connection.number, now)  # refused at once
         now += 10.0
-    assert 20 <= dials <= 10 + 20 + 1 and budget.held == 0
+    assert 20 <= dials <= 10 + 20 + 1 and budget.descriptors == 0
     assert Family.V4 is FOUR.family
