--- a/harrieryoke/budgets/decide/commands.py
+++ b/harrieryoke/budgets/decide/commands.py
@@ -97,11 +97,15 @@
 
 
 class SetTerms(Struct, frozen=True, array_like=True, tag="set"):
+    """Replaces the node's quota terms."""
+
     node: str
     terms: QuotaTerms
 
 
 class SetAdmins(Struct, frozen=True, array_like=True, tag="appoint"):
+    """Replaces the node's administrators."""
+
     node: str
     admins: tuple[str, ...]
 
@@ -123,6 +127,8 @@
 
 
 class RepayLoans(Struct, frozen=True, array_like=True, tag="repay"):
+    """Repays `amount` of the node's loans, the oldest first."""
+
     node: str
     amount: int
 
@@ -191,6 +197,8 @@
 
 
 class HolderEntry(Struct, frozen=True, array_like=True, tag="act"):
+    """An operation under the fencing token of the duty's holder."""
+
     token: int
     operation: BeginTerm | StartPeriod | GrantSlice | SettleSlice
 
--- a/harrieryoke/budgets/decide/estimates.py
+++ b/harrieryoke/budgets/decide/estimates.py
@@ -18,10 +18,12 @@
     known: OrderedDict[str, tuple[float, float]] = field(default_factory=OrderedDict)  # mean, deviation
 
     def estimate(self, function: str) -> int:
+        """Returns the tokens to reserve for a call of the function."""
         found = self.known.get(function)
         return self.default_tokens if found is None else max(1, ceil(found[0] + 2 * found[1]))
 
     def record(self, function: str, tokens: int) -> None:
+        """Updates the moving averages with the tokens that a call used."""
         mean, deviation = self.known.pop(function, (float(tokens), tokens / 2))
         error = tokens - mean
         self.known[function] = mean + error / 8, deviation + (abs(error) - deviation) / 4
--- a/harrieryoke/budgets/decide/messages.py
+++ b/harrieryoke/budgets/decide/messages.py
@@ -7,7 +7,8 @@
 
 
 class SliceRequest(Struct, frozen=True, array_like=True, tag="ask"):
-    """Requests a slice. `number` rises with each new request in an invoker's life; a retry keeps it."""
+    """Requests a slice. `life` identifies one run of the invoker from start to exit. `number` rises with each
+    new request within a life; a retry keeps it."""
 
     node: str
     invoker: str
@@ -18,6 +19,8 @@
 
 
 class SliceGranted(Struct, frozen=True, array_like=True, tag="granted"):
+    """Grants a slice. `duration` counts from the time at which its request was first sent."""
+
     invoker: str
     life: int
     token: int  # of the granting holder, to which reports are sent
--- a/harrieryoke/budgets/decide/slices.py
+++ b/harrieryoke/budgets/decide/slices.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from collections.abc import Hashable
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 import msgspec
 from msgspec import Struct
@@ -54,6 +54,8 @@
 
 
 class Snapshot(Struct):
+    """The stored form of `BudgetState`."""
+
     tree: TreeState
     token: int
     slices: dict[int, Slice]
@@ -96,11 +98,12 @@
         self.tree.restore(snapshot.tree)
         self.fence, self.slices, self.timed_out = Fence(snapshot.token), snapshot.slices, set()
         self.slice_by_request = {
-            (s.invoker, s.life, s.request_number): slice_id for slice_id, s in self.slices.items()
+            (slice_.invoker, slice_.life, slice_.request_number): slice_id
+            for slice_id, slice_ in self.slices.items()
         }
-        for slice_id, s in self.slices.items():
-            if not s.ended:
-                self.timers.schedule(slice_id, now + Lease(s.duration, self.clock_drift).over())
+        for slice_id, slice_ in self.slices.items():
+            if not slice_.ended:
+                self.timers.schedule(slice_id, now + Lease(slice_.duration, self.clock_drift).over())
 
     def apply(self, index: int, entry: c.LogEntry, now: float) -> Rejection | None:
         """Applies a committed entry and returns None, or why it was rejected. The index of a `GrantSlice`
@@ -116,7 +119,7 @@
         if isinstance(entry.operation, c.BeginTerm):
             return None
         if entry.operation.number > self.tree.period:
-            for slice_id in [slice_id for slice_id, s in self.slices.items() if s.ended]:
+            for slice_id in [slice_id for slice_id, slice_ in self.slices.items() if slice_.ended]:
                 self.write_off(slice_id)
         return start_period(self.tree, entry.operation.number)
 
@@ -135,7 +138,7 @@
         if (grant.invoker, grant.life, grant.request_number) in self.slice_by_request:
             return Rejection(node.id, "asked", "a slice was already granted for this request")
         if len(self.slices) >= MAX_SLICES:
-            ended = next((slice_id for slice_id, s in self.slices.items() if s.ended), None)
+            ended = next((slice_id for slice_id, slice_ in self.slices.items() if slice_.ended), None)
             if ended is None:
                 return Rejection(node.id, "full", f"{MAX_SLICES} slices are outstanding; wait for one to end")
             self.write_off(ended)
@@ -157,37 +160,45 @@
         return None
 
     def settle_slice(self, update: c.SettleSlice) -> Rejection | None:
-        s = self.slices.get(update.slice_id)
-        if s is None:
+        slice_ = self.slices.get(update.slice_id)
+        if slice_ is None:
             return Rejection(
                 self.tree.root, "unknown", f"slice {update.slice_id} is already settled; no action is needed"
             )
         if (
-            update.spent < s.spent
-            or update.returned < s.returned
-            or update.spent + update.returned > s.amount
+            update.spent < slice_.spent
+            or update.returned < slice_.returned
+            or update.spent + update.returned > slice_.amount
         ):
             return Rejection(
-                s.node, "told", f"slice {update.slice_id}: totals must not decrease; no action is needed"
+                slice_.node,
+                "told",
+                f"slice {update.slice_id}: totals must not shrink or exceed its amount; no action needed",
             )
-        self.tree.settle(self.tree.nodes[s.node], update.spent - s.spent, update.returned - s.returned)
-        s.spent, s.returned, s.ended = update.spent, update.returned, s.ended or update.ended
-        if s.ended:
+        self.tree.settle(
+            self.tree.nodes[slice_.node], update.spent - slice_.spent, update.returned - slice_.returned
+        )
+        slice_.spent, slice_.returned, slice_.ended = (
+            update.spent,
+            update.returned,
+            slice_.ended or update.ended,
+        )
+        if slice_.ended:
             self.timers.cancel(update.slice_id)
             self.timed_out.discard(update.slice_id)
-        if s.spent + s.returned == s.amount:
+        if slice_.spent + slice_.returned == slice_.amount:
             self.remove_slice(update.slice_id)
         return None
 
     def write_off(self, slice_id: int) -> None:
         """Counts the tokens in doubt as spent and removes the slice."""
-        s = self.slices[slice_id]
-        self.tree.settle(self.tree.nodes[s.node], s.amount - s.spent - s.returned, 0)
+        slice_ = self.slices[slice_id]
+        self.tree.settle(self.tree.nodes[slice_.node], slice_.amount - slice_.spent - slice_.returned, 0)
         self.remove_slice(slice_id)
 
     def remove_slice(self, slice_id: int) -> None:
-        s = self.slices.pop(slice_id)
-        del self.slice_by_request[s.invoker, s.life, s.request_number]
+        slice_ = self.slices.pop(slice_id)
+        del self.slice_by_request[slice_.invoker, slice_.life, slice_.request_number]
         self.timers.cancel(slice_id)
         self.timed_out.discard(slice_id)
 
@@ -198,7 +209,16 @@
 
     def tokens_in_doubt(self) -> int:
         """Returns the tokens held for ended slices: within the spend limit, and not reported as spent."""
-        return sum(s.amount - s.spent - s.returned for s in self.slices.values() if s.ended)
+        return sum(
+            slice_.amount - slice_.spent - slice_.returned for slice_ in self.slices.values() if slice_.ended
+        )
+
+
+class InvokerDemand(NamedTuple):
+    """An invoker's demand for the tokens of one node."""
+
+    rate: float  # tokens per millisecond
+    reported_at: float
 
 
 class SliceGranter:
@@ -210,13 +230,14 @@
 
     def __init__(self, budgets: BudgetState, token: int, sizing: SliceSizing) -> None:
         self.budgets, self.token, self.sizing = budgets, token, sizing
-        self.demand: dict[tuple[str, str], tuple[float, float]] = {}  # node, invoker: rate, reported at
+        self.demand: dict[tuple[str, str], InvokerDemand] = {}  # key: node, invoker
         self.requesters: dict[str, set[str]] = {}  # by node
         self.spend_limits: dict[int, int] = {}  # as far as they were reported to this holder
         self.reported_spent: dict[int, int] = {}
         self.proposed: dict[Hashable, float] = {}  # proposals that may not be committed yet: proposed at
 
     def is_active(self) -> bool:
+        """Returns whether this holder has begun its term and no newer holder has."""
         return self.budgets.fence.token == self.token
 
     def propose(
@@ -280,31 +301,33 @@
     def granted_reply(self, slice_id: int) -> SliceGranted:
         """Sent once the slice is applied, and again for each retried request. An invoker that has the slice
         ignores it: only `UsageAck` raises a spend limit."""
-        s = self.budgets.slices[slice_id]
+        slice_ = self.budgets.slices[slice_id]
         return SliceGranted(
-            s.invoker,
-            s.life,
+            slice_.invoker,
+            slice_.life,
             self.token,
             slice_id,
-            s.node,
-            s.request_number,
-            s.amount,
-            self.spend_limit(slice_id, s),
-            s.duration,
+            slice_.node,
+            slice_.request_number,
+            slice_.amount,
+            self.spend_limit(slice_id, slice_),
+            slice_.duration,
         )
 
     def record_demand(self, request: SliceRequest, rate: float, now: float) -> float:
         """Returns the total rate of all recent requesters of the node, including this one."""
         key = (request.node, request.invoker)
         self.demand.pop(key, None)
-        self.demand[key] = rate, now
+        self.demand[key] = InvokerDemand(rate, now)
         self.requesters.setdefault(request.node, set()).add(request.invoker)
         while len(self.demand) > MAX_REQUESTERS:
             self.remove_requester(next(iter(self.demand)))
         oldest = now - 2 * self.sizing.max_duration
-        for invoker in [i for i in self.requesters[request.node] if self.demand[request.node, i][1] < oldest]:
+        for invoker in [
+            i for i in self.requesters[request.node] if self.demand[request.node, i].reported_at < oldest
+        ]:
             self.remove_requester((request.node, invoker))
-        return sum(self.demand[request.node, invoker][0] for invoker in self.requesters[request.node])
+        return sum(self.demand[request.node, invoker].rate for invoker in self.requesters[request.node])
 
     def remove_requester(self, key: tuple[str, str]) -> None:
         del self.demand[key]
@@ -312,31 +335,33 @@
         if not self.requesters[key[0]]:
             del self.requesters[key[0]]
 
-    def spend_limit(self, slice_id: int, s: Slice) -> int:
+    def spend_limit(self, slice_id: int, slice_: Slice) -> int:
         """Returns the limit beyond which nothing of the slice can have been taken. An earlier holder may have
         raised the limit further than the log shows: its slices count as fully spendable until their invoker
         reports to this holder."""
-        return self.spend_limits.get(slice_id, s.initial_limit if s.token == self.token else s.amount)
+        return self.spend_limits.get(
+            slice_id, slice_.initial_limit if slice_.token == self.token else slice_.amount
+        )
 
     def handle_report(self, report: UsageReport, now: float) -> list[c.HolderEntry | HolderReply]:
         out: list[c.HolderEntry | HolderReply] = []
         if report.token != self.token or not self.is_active():
             return out
         for usage in report.usages[:MAX_REPORT_ROWS]:
-            s = self.budgets.slices.get(usage.slice_id)
-            if s is None or (s.invoker, s.life) != (report.invoker, report.life):
+            slice_ = self.budgets.slices.get(usage.slice_id)
+            if slice_ is None or (slice_.invoker, slice_.life) != (report.invoker, report.life):
                 out.append(UsageAck(report.invoker, report.life, usage.slice_id, 0, settled=True))
             elif usage.final:
-                update = c.SettleSlice(usage.slice_id, usage.spent, s.amount - usage.spent, ended=True)
+                update = c.SettleSlice(usage.slice_id, usage.spent, slice_.amount - usage.spent, ended=True)
                 out += self.propose((usage.slice_id, "done"), update, now)
-            elif not s.ended and usage.slice_id not in self.budgets.timed_out:
-                out.append(self.raise_spend_limit(usage, s, report))
+            elif not slice_.ended and usage.slice_id not in self.budgets.timed_out:
+                out.append(self.raise_spend_limit(usage, slice_, report))
         return out
 
-    def raise_spend_limit(self, usage: SliceUsage, s: Slice, report: UsageReport) -> UsageAck:
-        initial_limit = s.initial_limit if s.token == self.token else 0
+    def raise_spend_limit(self, usage: SliceUsage, slice_: Slice, report: UsageReport) -> UsageAck:
+        initial_limit = slice_.initial_limit if slice_.token == self.token else 0
         spend_limit = min(
-            s.amount, max(usage.spend_limit, self.spend_limits.get(usage.slice_id, initial_limit))
+            slice_.amount, max(usage.spend_limit, self.spend_limits.get(usage.slice_id, initial_limit))
         )
         self.spend_limits[usage.slice_id] = spend_limit
         self.reported_spent[usage.slice_id] = max(
@@ -351,12 +376,12 @@
             return [] if newer else self.propose("begin", c.BeginTerm(), now)
         out: list[c.HolderEntry] = []
         for slice_id in sorted(self.budgets.expired_slices(now)):
-            s = self.budgets.slices[slice_id]
-            spent = max(s.spent, self.reported_spent.get(slice_id, 0))
+            slice_ = self.budgets.slices[slice_id]
+            spent = max(slice_.spent, self.reported_spent.get(slice_id, 0))
             update = c.SettleSlice(
                 slice_id,
                 spent,
-                max(s.returned, s.amount - max(spent, self.spend_limit(slice_id, s))),
+                max(slice_.returned, slice_.amount - max(spent, self.spend_limit(slice_id, slice_))),
                 ended=True,
             )
             out += self.propose((slice_id, "over"), update, now)
--- a/harrieryoke/budgets/decide/spender.py
+++ b/harrieryoke/budgets/decide/spender.py
@@ -14,6 +14,7 @@
 from dataclasses import dataclass, field
 from math import exp
 from random import Random
+from typing import NamedTuple
 
 from .estimates import CostEstimator
 from .messages import HolderReply, SliceDenied, SliceRequest, SliceUsage, UsageAck, UsageReport
@@ -39,15 +40,24 @@
     final: bool = False  # its final report was sent: nothing more is taken from it or charged to it
 
     def available(self) -> int:
+        """Returns the tokens that can be reserved or charged now."""
         return 0 if self.final else max(0, self.spend_limit - self.reserved - self.spent)
 
 
+class PendingRequest(NamedTuple):
+    """A slice request without a reply yet."""
+
+    number: int
+    first_sent: float
+    last_sent: float
+
+
 @dataclass(slots=True)
 class Project:
-    """`pending`: number of the request in flight, when it was first sent, and when it was last sent."""
+    """An invoker's budget for one project."""
 
     slices: dict[int, HeldSlice] = field(default_factory=dict)
-    pending: tuple[int, float, float] | None = None
+    pending: PendingRequest | None = None
     min_amount: int = 1
     debt: int = 0
     in_flight: int = 0  # calls
@@ -111,6 +121,7 @@
         self.projects: dict[str, Project] = {}
         self.project_by_slice: dict[int, str] = {}
         self.reservations: dict[Hashable, Reservation] = {}
+        # by project and idempotency key: tokens charged, tokens reserved, updated at
         self.charges_by_key: OrderedDict[tuple[str, Hashable], tuple[int, int, float]] = OrderedDict()
         self.last_request = 0
         self.holder_token = 0  # reports go to this holder
@@ -243,7 +254,9 @@
         self.follow_holder(reply.token)
         project = self.projects.get(reply.node)
         matches = (
-            project is not None and project.pending is not None and project.pending[0] == reply.request_number
+            project is not None
+            and project.pending is not None
+            and project.pending.number == reply.request_number
         )
         if isinstance(reply, SliceDenied):
             if project is not None and matches:
@@ -256,10 +269,10 @@
         if project is None or project.pending is None or not matches:
             self.unrequested.add(reply.slice_id)
             return
-        self.round_trip += 0.2 * (now - project.pending[2] - self.round_trip)
+        self.round_trip += 0.2 * (now - project.pending.last_sent - self.round_trip)
         self.project_by_slice[reply.slice_id] = reply.node
         project.slices[reply.slice_id] = HeldSlice(
-            reply.amount, project.pending[1] + reply.duration, reply.spend_limit, reply.spend_limit
+            reply.amount, project.pending.first_sent + reply.duration, reply.spend_limit, reply.spend_limit
         )
         project.pending = project.denial = None
         self.pay_debt(project)
@@ -302,7 +315,7 @@
 
     def due_request(self, name: str, project: Project, now: float) -> SliceRequest | None:
         """Returns a request for the next slice before the remaining tokens run out or expire."""
-        if project.pending is not None and now - project.pending[1] > self.sizing.min_duration:
+        if project.pending is not None and now - project.pending.first_sent > self.sizing.min_duration:
             project.pending = None  # a slice granted for it now would expire too soon
         if project.pending is None:
             rate = project.rate * exp(-max(0.0, now - project.last_call) / RATE_WINDOW)
@@ -319,15 +332,15 @@
             ):
                 return None
             self.last_request += 1
-            project.pending = self.last_request, now, now
-        elif now - project.pending[2] < self.sizing.retry_interval:
+            project.pending = PendingRequest(self.last_request, now, now)
+        elif now - project.pending.last_sent < self.sizing.retry_interval:
             return None
-        project.pending = project.pending[0], project.pending[1], now
+        project.pending = PendingRequest(project.pending.number, project.pending.first_sent, now)
         return SliceRequest(
             name,
             self.invoker,
             self.life,
-            project.pending[0],
+            project.pending.number,
             project.rate,
             project.min_amount + project.debt,
         )
--- a/harrieryoke/budgets/decide/tree.py
+++ b/harrieryoke/budgets/decide/tree.py
@@ -19,6 +19,8 @@
 
 
 class Loan(Struct, array_like=True):
+    """A loan from a sibling."""
+
     number: int  # index of its log entry: the oldest loan is repaid first
     lender: str
     amount: int
@@ -79,6 +81,8 @@
 
 
 class TreeState(Struct):
+    """The stored form of `Tree`."""
+
     owners: tuple[str, ...]
     period: int
     nodes: list[Node]
@@ -442,6 +446,7 @@
         return max(0, least), limiting_node
 
     def hold(self, node: Node, amount: int) -> Rejection | None:
+        """Holds tokens for a slice at the node and returns None, or why it was rejected."""
         if (rejection := self.grant_rejection(node)) is not None:
             return rejection
         least, limiting_node = self.available(node)
--- a/harrieryoke/paths/decide/endpoints.py
+++ b/harrieryoke/paths/decide/endpoints.py
@@ -12,6 +12,8 @@
 
 
 class Family(Enum):
+    """Address family of an endpoint."""
+
     UNIX = "unix"
     V6 = "v6"
     V4 = "v4"
@@ -22,6 +24,8 @@
 
 
 class Endpoint(NamedTuple):
+    """One of a model host's addresses."""
+
     family: Family
     host: str  # the path of a Unix socket
     port: int = 0
--- a/harrieryoke/paths/decide/pool.py
+++ b/harrieryoke/paths/decide/pool.py
@@ -27,6 +27,8 @@
 
 
 class ConnectionState(Enum):
+    """States of a connection in the pool; a closed one is removed from it."""
+
     DIALLING = "dialling"
     READY = "up"
     SUSPECT = "suspect"  # an answer is overdue: no new attempts are assigned
@@ -34,6 +36,8 @@
 
 
 class WriteProgress(Enum):
+    """How much of an attempt's request frame was written."""
+
     UNSENT = 0
     PARTIAL = 1
     COMPLETE = 2
@@ -182,6 +186,7 @@
         )
 
     def mark_suspects(self, now: float) -> None:
+        """Marks connections whose answer is overdue, and counts a failure of their endpoints."""
         for connection in self.connections.values():
             if (
                 connection.state is ConnectionState.READY
@@ -199,6 +204,7 @@
         return ready and connection is not None and connection.attempts[attempt] is WriteProgress.UNSENT
 
     def record_write(self, attempt: Hashable, progress: WriteProgress, now: float) -> None:
+        """Records write progress, which never decreases."""
         connection = self.assigned[attempt]
         if progress.value < connection.attempts[attempt].value:
             raise ValueError("write progress cannot decrease")
