--- a/harrieryoke/council/decide/lease.py
+++ b/harrieryoke/council/decide/lease.py
@@ -18,7 +18,7 @@
     duration_ms: float = 5000.0
     drift: float = 0.01
 
-    def expiry_bound_ms(self) -> float:
+    def expiry_bound(self) -> float:
         """Time on another member's clock after which the lease has expired by any clock. The holder's lease
         takes at most duration_ms / (1 - drift) of true time, in which another clock advances by at most that
         times (1 + drift).
--- a/harrieryoke/council/decide/lease_manager.py
+++ b/harrieryoke/council/decide/lease_manager.py
@@ -78,7 +78,7 @@
         ends: list[Command] = [
             EndSession(member, incarnation, sequence)
             for member, (incarnation, sequence, seen_at) in self.last_renewals.items()
-            if now - seen_at >= self.lease.expiry_bound_ms()
+            if now - seen_at >= self.lease.expiry_bound()
         ]
         commands, sessions = ends, self.duties.sessions
         settled = {
--- a/harrieryoke/council/disk.py
+++ b/harrieryoke/council/disk.py
@@ -278,7 +278,9 @@
         files = RealCouncilFolder(settings.folder)
         files_found = sorted(n for n in files.names() if n != "lock" and not n.endswith(".new"))
         if files_found:
-            detail = f"holds {len(files_found)} files, such as {files_found[0]}; a council starts in an empty folder"
+            detail = (
+                f"holds {len(files_found)} files, such as {files_found[0]}; a council needs an empty folder"
+            )
             raise StoreError(f"store.folder: {settings.folder} {detail}")
         store, replica = Store(files, settings, now_ms()), new_replica_id(name)
         try:
--- a/harrieryoke/council/part.py
+++ b/harrieryoke/council/part.py
@@ -84,7 +84,7 @@
     def reload(self, settings: CouncilSettings) -> None:
         self.settings = settings
         self.links.update_members(settings.member_addresses())
-        self.actor.push(settings)
+        self.actor.blocking_send(settings)
 
     def push_stop(self) -> None:
         """Starts handing duties over while the last calls are still answered."""
@@ -94,7 +94,7 @@
         self.push_stop()
         self.turns.stop()
         self.actor.gone.wait(self.settings.leave_ms / 1000 + STOP_SLACK_S)
-        self.actor.over = True
+        self.actor.finished = True
         self.links.stop()
         self.disk.stop(DISK_STOP_S)
 
--- a/harrieryoke/council/turns.py
+++ b/harrieryoke/council/turns.py
@@ -81,16 +81,16 @@
         self.last_refusal = ""  # why the council refused the last proposal
         self.dropped_messages = 0
         council.add_machine(DUTY, self.rounds)
-        council.watch(self.filled.set)
+        council.watch(self.message_arrived.set)
 
     # --- actor ---
 
     def run(self) -> None:
-        while not self.over:
+        while not self.finished:
             wake_times = [at for at in (self.scheduler.wake_at, self.member_turns.wake_at) if at is not None]
-            self.wait(min(wake_times) - self.clock() if wake_times else None)
-            self.filled.clear()
-            self.work()
+            self.wait_for_message(min(wake_times) - self.clock() if wake_times else None)
+            self.message_arrived.clear()
+            self.process_mailbox()
             self.propose_commands()
 
     def receive(self, message: Any) -> None:
@@ -118,13 +118,13 @@
             self.given()
 
     def post(self, message: Any) -> None:
-        if not self.tell(message) and not self.over:
+        if not self.try_send(message) and not self.finished:
             self.dropped_messages += 1
             self.log("reconcile-refused", "the turns mailbox is full")
 
     def stop(self) -> None:
-        self.over = True
-        self.filled.set()
+        self.finished = True
+        self.message_arrived.set()
 
     # --- called by the ledger ---
 
--- a/harrieryoke/net/hostlist.py
+++ b/harrieryoke/net/hostlist.py
@@ -10,7 +10,7 @@
 from .. import interface as i
 from ..core.actor import Actor, spawn
 from ..core.metrics import Metrics
-from ..core.records import Confirmed, HostName, HostPort, Listed, TaskEnded
+from ..core.records import HostName, HostPort, TaskEnded, WorkerListConfirmed, WorkersChanged
 from ..limits import Limits
 from ..log import Log
 from .bus_follower import BusFollower
@@ -83,7 +83,7 @@
         self.ports.pop(worker, None)
         self.names.pop(worker, None)
         self.entries.pop(worker, None)
-        self.entries[worker] = i.WorkerEntry(worker, drain=i.Drain.GONE)
+        self.entries[worker] = i.WorkerEntry(worker, status=i.WorkerStatus.GONE)
 
 
 class HostListActor(Actor):
@@ -95,7 +95,7 @@
         settings: i.Settings,
         limits: Limits,
         log: Log,
-        tell_module: Callable[[Listed | Confirmed], object],
+        tell_module: Callable[[WorkersChanged | WorkerListConfirmed], object],
         report: Callable[[TaskEnded], object],
         figures: Metrics,
     ) -> None:
@@ -170,7 +170,7 @@
         """The module hears how old the list is, and where its word is not discovery's last."""
         doubtful = frozenset(worker_number(id) for id in self.doubtful & self.hosts.keys())
         if not self.unnamed:
-            self.tell_module(Confirmed(i.ListConfirmed(at, doubtful)))
+            self.tell_module(WorkerListConfirmed(i.ListConfirmed(at, doubtful)))
 
     def report_bad(self, update: ListUpdate) -> None:
         """One line of the log for all that is spoilt in an event."""
@@ -229,24 +229,24 @@
         for server in in_order(servers):
             self.remember(server)
             entry = self.entry(server)
-            if entry.drain is i.Drain.GONE:
+            if entry.status is i.WorkerStatus.GONE:
                 self.starts.forget(server.id)
                 self.strike(server.id)
                 actor = None
             else:
                 self.replace(server, news)
-                actor = self.host(server, entry.drain)
+                actor = self.host(server, entry.status)
             news.say(entry, server, actor)
         self.figures.pool_size = len(self.hosts)
         self.figures.banned = len(self.banned & self.hosts.keys())
         event = i.WorkersListed(scope, tuple(news.entries.values()))
-        self.tell_module(Listed(event, news.ports, news.names))
+        self.tell_module(WorkersChanged(event, news.ports, news.names))
 
     def entry(self, server: Server) -> i.WorkerEntry:
         """One host as the module sees it."""
         drain = DRAINS[server.state]
-        if server.id in self.banned and drain is i.Drain.UP:
-            drain = i.Drain.DRAINING
+        if server.id in self.banned and drain is i.WorkerStatus.UP:
+            drain = i.WorkerStatus.DRAINING
         zones, kinds = self.settings.zones, self.settings.kinds
         zone = zones.index(server.zone) if server.zone in zones else 0
         kind = kinds.index(server.kind) if server.kind in kinds else 0
@@ -272,12 +272,12 @@
                 self.strike(id, now=True)
                 news.gone(worker_number(id))
 
-    def host(self, server: Server, drain: i.Drain) -> HostActor:
+    def host(self, server: Server, drain: i.WorkerStatus) -> HostActor:
         """The actor of a listed host; a new one where it has another address."""
         where = address(server.addr)
         if server.id in self.hosts:
             standing, actor = self.hosts[server.id]
-            if standing.address == where and not actor.over:
+            if standing.address == where and not actor.finished:
                 standing.drain = drain
                 return actor
             self.strike(server.id)
@@ -292,7 +292,7 @@
     def strike(self, id: str, now: bool = False) -> None:
         if id in self.hosts:
             standing, actor = self.hosts.pop(id)
-            standing.drain = i.Drain.GONE
-            if not actor.tell(Retire(now)):
+            standing.drain = i.WorkerStatus.GONE
+            if not actor.try_send(Retire(now)):
                 # no waiting here for a host whose mailbox is full: the others need their news
-                spawn(self.log, f"retire {id}", lambda: actor.push(Retire(now)))
+                spawn(self.log, f"retire {id}", lambda: actor.blocking_send(Retire(now)))
--- a/tests/test_council_disk.py
+++ b/tests/test_council_disk.py
@@ -436,9 +436,7 @@
     seat = Disk.bootstrap(told, "a", 500)
     assert real(tmp_path / "new").disk.replica == seat
     for folder in (tmp_path / "new", tmp_path):
-        with pytest.raises(
-            StoreError, match="holds 1 files, such as .*; a council starts in an empty folder"
-        ):
+        with pytest.raises(StoreError, match="holds 1 files, such as .*; a council needs an empty folder"):
             Disk.bootstrap(StoreSettings(str(folder)), "a", 0)
 
 
--- a/tests/test_council_faults.py
+++ b/tests/test_council_faults.py
@@ -75,7 +75,7 @@
         super().observe_sessions(now)
         for member, (incarnation, sequence, seen_at) in self.last_renewals.items():
             if now - seen_at >= self.lease.duration_ms:
-                self.last_renewals[member] = incarnation, sequence, seen_at - self.lease.expiry_bound_ms()
+                self.last_renewals[member] = incarnation, sequence, seen_at - self.lease.expiry_bound()
 
 
 class ActsAfterHandover(LeaseHolder):
