--- a/harrieryoke/council/actor.py
+++ b/harrieryoke/council/actor.py
@@ -1,9 +1,10 @@
-"""The actor of the council: it alone drives what is decided (`decide/`) by messages, the disk and the time.
+"""The council's actor: it alone drives the decision modules in `decide/` with messages, disk results and
+time.
 
-    agreement -> saves, sends, applies -> steward, holder -> offers -> agreement ... until nothing is new
+    raft -> writes, messages, committed -> lease manager, lease holder -> proposals -> raft ... until idle
 
-The clock is the one that goes on while the machine sleeps (CLOCK_BOOTTIME), in milliseconds. `acting` reads
-it in the call, so that a process which was stopped for any time does nothing on what was true before.
+Times are milliseconds of CLOCK_BOOTTIME, which continues while the machine sleeps. `acting` reads the clock
+in the call, so that a process that was suspended does not act on an outdated lease.
 """
 
 from __future__ import annotations
@@ -28,346 +29,388 @@
 from .decide.raft import Raft, Role
 from .settings import CouncilSettings
 
-BATCH = 64  # messages of one turn
-WAKES = 10  # of an idle member in a lease, at the least
-LEAVING_MS = 50.0  # between two looks whether what it waits for has come
-HANDING, LEAVING = 0.6, 0.8  # shares of the time to leave, after which the next step is taken
+MAX_MESSAGES_PER_TURN = 64
+WAKES_PER_LEASE = 10  # minimum for an idle member
+LEAVE_POLL_MS = 50.0
+# shares of the time to leave after which the next step is taken
+HANDOVER_SHARE, SESSION_END_SHARE = 0.6, 0.8
 
 
 def boot_ms() -> float:
-    """The clock of the leases: it goes on while the machine sleeps, and is one for all of its processes."""
+    """The leases' clock: it continues while the machine sleeps and is the same for all its processes."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000
 
 
-class Records(Protocol):
-    """The member's disk. It calls `disk_done` and `disk_failed`, and after the latter the former when it
-    takes records again."""
+class RecordStore(Protocol):
+    """The member's disk. It calls `records_written` and `disk_failed`; after a failure, `records_written`
+    means that it accepts records again.
+    """
 
     replica: ReplicaId
     recovered: PersistentState
 
-    def save(self, saves: list[PendingWrite]) -> None: ...
+    def save(self, writes: list[PendingWrite]) -> None: ...
 
 
-class Ways(Protocol):
-    """To the other members. Nothing here blocks; what can't be sent is lost."""
+class MessageLinks(Protocol):
+    """Connections to the other members. Never block; messages that cannot be sent are lost."""
 
-    def send(self, to: ReplicaId | None, message: Message | DutyHandover) -> None: ...
+    def send(self, recipient: ReplicaId | None, message: Message | DutyHandover) -> None: ...
 
     def send_to(self, names: Iterable[str], message: Message | DutyHandover) -> None: ...
 
 
 class CouncilActor(Actor):
-    """`acting`, `cannot`, `can`, `propose` and `ask` are for any greenlet: they read, or leave a word that
-    the actor's next turn takes. The mailbox holds `told.mailbox` messages; what a member says beyond them is
-    dropped as if lost, and counted."""
+    """`acting`, `cannot`, `can`, `propose` and `ask` may be called from any greenlet: they only read, or
+    leave a request for the actor's next turn. The mailbox holds `settings.mailbox` messages; further messages
+    of members are dropped as if lost, and counted.
+    """
 
     def __init__(
         self,
         name: str,
-        told: CouncilSettings,
-        disk: Records,
+        settings: CouncilSettings,
+        disk: RecordStore,
         log: Log,
         seed: int,
         clock: Callable[[], float] = boot_ms,
     ) -> None:
-        super().__init__("council", told.mailbox, log)
-        self.me, self.told, self.disk, self.clock = name, told, disk, clock
-        self.acts = ReplicatedState(d.DutyTable())
-        self.duties = self.acts.duties
-        self.agreement = Raft(disk.replica, told.raft_settings(), disk.recovered, seed, clock())
-        # a life that was before must never be taken for this one, whatever the seed
-        self.holder = LeaseHolder(name, secrets.randbits(62), told.weight, told.lease(), self.duties)
-        self.steward = LeaseManager(told.lease(), self.duties, told.settle_ms)
-        self.ways: Ways | None = None
-        self.watches: list[Callable[[], object]] = []
-        self.barred: dict[str, str] = {}  # by duty: why it can't be done, as its doer says
-        self.failing = ""  # why the disk takes nothing, as it says
-        self.written = 0
-        self.ill = ""  # why this member gives up its duties: failing, stalled, or not long well
-        self.ill_at = 0.0
-        self.stirring = False
-        self.leave_by: float | None = None
-        self.led_at = self.looked_at = float("-inf")
-        self.compact_at = 0
-        self.dropped = self.dropped_told = self.refused = 0
-        self.refused_why = ""
-        self.held: dict[str, int] = {}  # by duty: the token it acts under, as was told last
-        self.seen: tuple[ReplicaId | None, Configuration] = None, Configuration()
-        self.gone = Event()
-
-    # --- for any greenlet ---
+        super().__init__("council", settings.mailbox, log)
+        self.member, self.settings, self.disk, self.clock = name, settings, disk, clock
+        self.state = ReplicatedState(d.DutyTable())
+        self.duties = self.state.duties
+        self.raft = Raft(disk.replica, settings.raft_settings(), disk.recovered, seed, clock())
+        # Not from the seed: an earlier incarnation must never be taken for this one.
+        self.lease_holder = LeaseHolder(
+            name, secrets.randbits(62), settings.weight, settings.lease(), self.duties
+        )
+        self.lease_manager = LeaseManager(settings.lease(), self.duties, settings.settle_ms)
+        self.links: MessageLinks | None = None
+        self.watchers: list[Callable[[], object]] = []
+        self.unavailable: dict[str, str] = {}  # reason by duty, as reported by the duty's owner
+        self.disk_error = ""  # why the disk accepts no records, as it reported
+        self.written_sequence = 0
+        # why this member gives up its duties: disk failed, stalled, or recovered only recently
+        self.unhealthy = ""
+        self.unhealthy_at = 0.0
+        self.wake_pending = False
+        self.leave_deadline: float | None = None
+        self.last_leader_tick = self.last_lease_tick = float("-inf")
+        self.next_compaction = 0
+        self.dropped = self.dropped_logged = self.refused_count = 0
+        self.last_refusal = ""
+        self.held_tokens: dict[str, int] = {}  # token by duty, as last published
+        self.logged_leadership: tuple[ReplicaId | None, Configuration] = None, Configuration()
+        self.has_left = Event()
+
+    # --- called from any greenlet ---
 
     def acting(self, duty: str) -> int:
-        """The token to act under now; 0 for not at all."""
-        if self.finished or duty in self.barred or self.failing or self.ill:
+        """Returns the token to act under now, or 0 for none."""
+        if self.finished or duty in self.unavailable or self.disk_error or self.unhealthy:
             return 0
-        return self.holder.acting_token(duty, self.clock())
+        return self.lease_holder.acting_token(duty, self.clock())
 
-    def cannot(self, duty: str, why: str) -> None:
-        """It stops at once; the others hear why."""
-        if self.barred.get(duty) != why:
-            self.barred[duty] = why
-            self.stir()
+    def cannot(self, duty: str, reason: str) -> None:
+        """Stops acting at once; the next renewal tells the others why."""
+        if self.unavailable.get(duty) != reason:
+            self.unavailable[duty] = reason
+            self.wake()
 
     def can(self, duty: str) -> None:
-        if self.barred.pop(duty, None) is not None:
-            self.stir()
+        if self.unavailable.pop(duty, None) is not None:
+            self.wake()
 
     def propose(self, duty: str, token: int, body: bytes) -> str:
-        """An act for the agreed log. Why not, or nothing; what was taken may still be lost, and who wants it
-        repeats it."""
-        return self.put(d.FencedCommand(duty, token, body))
+        """Proposes a fenced command. Returns the reason for a refusal, or "". An accepted command may still
+        be lost: the caller repeats it.
+        """
+        return self.submit(d.FencedCommand(duty, token, body))
 
     def ask(self, duty: str, body: bytes) -> str:
-        """Of the duty's machine, as any member may."""
-        return self.put(d.UnfencedCommand(duty, body))
+        """Proposes an unfenced command for the duty's state machine, as any member may."""
+        return self.submit(d.UnfencedCommand(duty, body))
 
-    def put(self, command: d.FencedCommand | d.UnfencedCommand) -> str:
+    def submit(self, command: d.FencedCommand | d.UnfencedCommand) -> str:
         if len(command.body) > d.MAX_BODY_BYTES:
-            return f"{len(command.body)} bytes are too many: {d.MAX_BODY_BYTES} at the most"
-        if self.agreement.leader is None:
+            return f"body of {len(command.body)} bytes is too large: at most {d.MAX_BODY_BYTES} are allowed"
+        if self.raft.leader is None:
             return "no leader is known"
-        return "" if self.try_send(d.encode(command)) else "the council's mailbox is full, or it has ended"
+        return (
+            ""
+            if self.try_send(d.encode(command))
+            else "the council's mailbox is full, or the council has stopped"
+        )
 
-    def hear(self, sender: ReplicaId, message: Message | DutyHandover) -> None:
+    def deliver(self, sender: ReplicaId, message: Message | DutyHandover) -> None:
         if not self.try_send((sender, message)):
             self.dropped += 1
 
-    def disk_done(self, number: int) -> None:
-        self.written, self.failing = max(self.written, number), ""
-        self.stir()
+    def records_written(self, sequence: int) -> None:
+        self.written_sequence, self.disk_error = max(self.written_sequence, sequence), ""
+        self.wake()
 
-    def disk_failed(self, why: str) -> None:
-        self.failing = why
-        self.stir()
+    def disk_failed(self, reason: str) -> None:
+        self.disk_error = reason
+        self.wake()
 
     def leave(self, within_ms: float) -> None:
-        """Hands its duties on, then the leadership; `gone` is set when that is done, or the time is over."""
-        if self.leave_by is None:
-            self.leave_by = self.clock() + within_ms
-            self.stir()
-
-    def stir(self) -> None:
-        """Guards against a word that is lost at the mailbox's bound: one message more has always room."""
-        if not self.stirring:
-            self.stirring = True
+        """Hands over the duties, then the leadership; `has_left` is set when that is done or the time is
+        over.
+        """
+        if self.leave_deadline is None:
+            self.leave_deadline = self.clock() + within_ms
+            self.wake()
+
+    def wake(self) -> None:
+        """Not limited by the mailbox's bound, which must not drop a wake-up: there is at most one."""
+        if not self.wake_pending:
+            self.wake_pending = True
             self.mailbox.append(None)
             self.message_arrived.set()
 
-    # --- the loop ---
+    # --- loop ---
 
     def run(self) -> None:
         try:
             while not self.finished:
                 self.wait_for_message(self.idle_ms())
-                self.turn()
+                self.run_turn()
                 if self.mailbox:
-                    gevent.sleep(0)  # the calls that are served come first
-        except StateError as error:  # a state that this member can't take over: it may not go on without it
-            self.log("council-ended", f"{error}; this member does no duty until a restart")
+                    gevent.sleep(0)  # calls in progress come first
+        except StateError as error:  # the member lacks a state machine and must not continue without it
+            self.log("council-ended", f"{error}; this member holds no duty until it is restarted")
 
     def idle_ms(self) -> float:
-        a, now = self.agreement, self.clock()
-        due = a.last_heartbeat + a.settings.heartbeat_ms if a.role is Role.LEADER else a.election_deadline
-        ends = self.holder.lease_expires if self.held else due
-        most = self.told.lease_ms / WAKES if self.leave_by is None else LEAVING_MS
-        return max(0.0, min(most, due - now, ends - now))
+        raft, now = self.raft, self.clock()
+        wake_at = (
+            raft.last_heartbeat + raft.settings.heartbeat_ms
+            if raft.role is Role.LEADER
+            else raft.election_deadline
+        )
+        lease_expires = self.lease_holder.lease_expires if self.held_tokens else wake_at
+        max_idle_ms = (
+            self.settings.lease_ms / WAKES_PER_LEASE if self.leave_deadline is None else LEAVE_POLL_MS
+        )
+        return max(0.0, min(max_idle_ms, wake_at - now, lease_expires - now))
 
     def process_mailbox(self) -> None:
-        """Guards against a loop that is busy with what has come during a stall and answers no call."""
-        for _ in range(min(len(self.mailbox), BATCH)):
+        """Bounded, so that a backlog after a stall does not keep the process from answering calls."""
+        for _ in range(min(len(self.mailbox), MAX_MESSAGES_PER_TURN)):
             message = self.mailbox.popleft()
             self.space_available.set()
             self.receive(message)
 
-    def turn(self) -> None:
+    def run_turn(self) -> None:
         self.process_mailbox()
         now = self.clock()
-        self.agreement.tick(now)
-        if self.agreement.is_established_leader() and now - self.led_at >= self.told.heartbeat_ms:
-            self.led_at = now
-            self.lead(now)
-        self.bar(now)
-        if self.leave_by is not None:
-            self.go(now, self.leave_by)
-        self.tell_others(self.drain())
+        self.raft.tick(now)
+        if self.raft.is_established_leader() and now - self.last_leader_tick >= self.settings.heartbeat_ms:
+            self.last_leader_tick = now
+            self.tick_leader(now)
+        self.update_availability(now)
+        if self.leave_deadline is not None:
+            self.continue_leaving(now, self.leave_deadline)
+        self.publish_changes(self.process_ready())
 
     def receive(self, message: Any) -> None:
         now = self.clock()
         if message is None:
-            self.stirring = False
-            self.hear_disk(now)
+            self.wake_pending = False
+            self.apply_disk_results(now)
         elif isinstance(message, bytes):
-            self.offer(now, message)
+            self.propose_entry(now, message)
         elif isinstance(message, CouncilSettings):
-            self.told = message
-            self.holder.set_weight(0.0 if self.leave_by is not None else message.weight)
+            self.settings = message
+            self.lease_holder.set_weight(0.0 if self.leave_deadline is not None else message.weight)
         else:
-            sender, said = message
-            if not isinstance(said, DutyHandover):
-                self.agreement.receive(now, sender, said)
-            elif (duty := self.duties.duties.get(said.duty)) is not None and duty.holder == sender.name:
-                self.holder.accept_handover(said.duty, said.token)
-
-    def hear_disk(self, now: float) -> None:
-        if self.written > self.agreement.written_sequence or (self.agreement.disk_error and not self.failing):
-            self.agreement.records_written(now, self.written)
-        if self.failing and self.failing != self.agreement.disk_error:
-            self.agreement.disk_failed(now, self.failing)
-
-    def offer(self, now: float, data: bytes) -> None:
-        if why := self.agreement.propose(now, data):
-            self.refused, self.refused_why = self.refused + 1, why
-
-    def lead(self, now: float) -> None:
-        """The leader's file says who votes and which duties there are."""
-        if {name for name, duty in self.duties.duties.items() if not duty.retired} != set(self.told.duties):
-            self.offer(now, d.encode(d.DefineDuties(tuple(self.told.duties))))
-        step = membership.next_change(
-            self.agreement, frozenset(self.told.voters), frozenset(self.told.members)
+            sender, payload = message
+            if not isinstance(payload, DutyHandover):
+                self.raft.receive(now, sender, payload)
+            elif (duty := self.duties.duties.get(payload.duty)) is not None and duty.holder == sender.name:
+                self.lease_holder.accept_handover(payload.duty, payload.token)
+
+    def apply_disk_results(self, now: float) -> None:
+        if self.written_sequence > self.raft.written_sequence or (
+            self.raft.disk_error and not self.disk_error
+        ):
+            self.raft.records_written(now, self.written_sequence)
+        if self.disk_error and self.disk_error != self.raft.disk_error:
+            self.raft.disk_failed(now, self.disk_error)
+
+    def propose_entry(self, now: float, data: bytes) -> None:
+        if reason := self.raft.propose(now, data):
+            self.refused_count, self.last_refusal = self.refused_count + 1, reason
+
+    def tick_leader(self, now: float) -> None:
+        """The leader's settings determine the voters and the duties."""
+        if {name for name, duty in self.duties.duties.items() if not duty.retired} != set(
+            self.settings.duties
+        ):
+            self.propose_entry(now, d.encode(d.DefineDuties(tuple(self.settings.duties))))
+        change = membership.next_change(
+            self.raft, frozenset(self.settings.voters), frozenset(self.settings.members)
         )
-        if isinstance(step, ReplicaId):
-            self.agreement.transfer_leadership(now, step)
-        elif step is not None:
-            self.agreement.change_configuration(now, step)
-
-    def bar(self, now: float) -> None:
-        """Every duty is given up while the disk takes nothing, and for `settle_ms` after that: guards against
-        duties that go to and fro with a disk that takes one write in seconds."""
-        if self.agreement.is_disk_stalled():
-            slow = f"it has not taken a write for {self.told.stall_ms:.0f} ms"
-            ill = f"the disk: {self.agreement.disk_error or slow}"
-            if not self.ill:
-                self.log("council-ailing", f"{ill}; all duties are given up")
-            self.ill, self.ill_at = ill, now
-        elif self.ill and now - self.ill_at >= self.told.settle_ms:
-            self.log("council-well", "the disk takes records; duties are taken again")
-            self.ill = ""
-        for duty in self.duties.duties.keys() | self.holder.unavailable.keys() | self.barred.keys():
-            why = (self.ill or self.barred.get(duty, ""))[: d.MAX_REASON_CHARS]
-            if not why:
-                self.holder.mark_available(duty)
-            elif self.holder.unavailable.get(duty) != why:
-                self.holder.mark_unavailable(duty, why)
-
-    def drain(self) -> bool:
-        """All that is wanted done, until nothing is; whether anything was applied."""
-        assert self.ways is not None
+        if isinstance(change, ReplicaId):
+            self.raft.transfer_leadership(now, change)
+        elif change is not None:
+            self.raft.change_configuration(now, change)
+
+    def update_availability(self, now: float) -> None:
+        """Gives up all duties while the disk accepts no records, and for `settle_ms` after that: otherwise
+        duties would move back and forth with a disk that completes one write every few seconds.
+        """
+        if self.raft.is_disk_stalled():
+            slow_reason = f"no write completed for {self.settings.stall_ms:.0f} ms"
+            unhealthy = f"disk: {self.raft.disk_error or slow_reason}"
+            if not self.unhealthy:
+                self.log("council-ailing", f"{unhealthy}; giving up all duties")
+            self.unhealthy, self.unhealthy_at = unhealthy, now
+        elif self.unhealthy and now - self.unhealthy_at >= self.settings.settle_ms:
+            self.log("council-well", "the disk accepts records again; duties may be held again")
+            self.unhealthy = ""
+        for duty in (
+            self.duties.duties.keys() | self.lease_holder.unavailable.keys() | self.unavailable.keys()
+        ):
+            reason = (self.unhealthy or self.unavailable.get(duty, ""))[: d.MAX_REASON_CHARS]
+            if not reason:
+                self.lease_holder.mark_available(duty)
+            elif self.lease_holder.unavailable.get(duty) != reason:
+                self.lease_holder.mark_unavailable(duty, reason)
+
+    def process_ready(self) -> bool:
+        """Processes the pending output until there is none; returns whether anything was applied."""
+        assert self.links is not None
         applied = False
         while True:
-            out = self.agreement.take_ready()
-            if out.writes:
-                self.disk.save(out.writes)
-            for send in out.messages:
-                if send.recipient is None:
-                    self.ways.send_to(self.told.voters, send.message)  # guards against 200 that knock at 200
+            ready = self.raft.take_ready()
+            if ready.writes:
+                self.disk.save(ready.writes)
+            for outgoing in ready.messages:
+                if outgoing.recipient is None:
+                    # to voters only: 200 members sending to 200 would be too many
+                    self.links.send_to(self.settings.voters, outgoing.message)
                 else:
-                    self.ways.send(send.recipient, send.message)
-            for each in out.committed:
-                self.apply(each)
-            applied = applied or bool(out.committed)
-            # read after what was applied and before what is said: both sides of a lease rest on it
+                    self.links.send(outgoing.recipient, outgoing.message)
+            for item in ready.committed:
+                self.apply(item)
+            applied = applied or bool(ready.committed)
+            # Read after applying and before proposing: both sides of a lease depend on this order.
             now = self.clock()
-            if out.committed or now - self.looked_at >= self.told.heartbeat_ms:
-                self.looked_at = now
-                for command in self.steward.tick(now, self.agreement.is_established_leader()):
-                    self.offer(now, d.encode(command))
-            for said in self.holder.tick(now) if self.speaks() else ():
-                if isinstance(said, DutyHandover):
-                    self.ways.send_to([said.to], said)
+            if ready.committed or now - self.last_lease_tick >= self.settings.heartbeat_ms:
+                self.last_lease_tick = now
+                for command in self.lease_manager.tick(now, self.raft.is_established_leader()):
+                    self.propose_entry(now, d.encode(command))
+            for action in self.lease_holder.tick(now) if self.should_renew() else ():
+                if isinstance(action, DutyHandover):
+                    self.links.send_to([action.to], action)
                 else:
-                    self.offer(now, d.encode(said))
+                    self.propose_entry(now, d.encode(action))
             self.compact()
-            if not any(self.agreement.ready):
+            if not any(self.raft.ready):
                 return applied
 
-    def apply(self, each: Entry | Snapshot) -> None:
-        if isinstance(each, Snapshot):
-            return self.acts.load(each.data)
-        if each.data:
+    def apply(self, item: Entry | Snapshot) -> None:
+        if isinstance(item, Snapshot):
+            return self.state.load(item.data)
+        if item.data:
             try:
-                command = d.decode(each.data)
+                command = d.decode(item.data)
             except ValueError as error:
-                # void at all members of this version
-                return self.log("council-bad-entry", f"entry {each.index}: {error}")
-            self.acts.apply(each.index, command)
+                # rejected by all members of this version
+                return self.log("council-bad-entry", f"entry {item.index}: {error}")
+            self.state.apply(item.index, command)
 
-    def speaks(self) -> bool:
-        """Who shall hold nothing, and holds nothing, renews no session."""
-        if self.holder.weight > 0 or self.holder.has_left:
+    def should_renew(self) -> bool:
+        """A member that shall hold no duties and holds none does not renew its session."""
+        if self.lease_holder.weight > 0 or self.lease_holder.has_left:
             return True
-        session = self.duties.open_session(self.me, self.holder.incarnation)
+        session = self.duties.open_session(self.member, self.lease_holder.incarnation)
         return session is not None and (session.weight > 0 or self.has_duties())
 
     def has_duties(self) -> bool:
-        mine = self.me, self.holder.incarnation
+        own_session = self.member, self.lease_holder.incarnation
         return any(
-            mine in ((duty.holder, duty.holder_incarnation), (duty.successor, duty.successor_incarnation))
+            own_session
+            in ((duty.holder, duty.holder_incarnation), (duty.successor, duty.successor_incarnation))
             for duty in self.duties.duties.values()
         )
 
     def compact(self) -> None:
-        a = self.agreement
-        due = max(self.compact_at, a.snapshot.index + self.told.compact_every)
-        if a.last_applied < due or a.ready.committed or a.is_disk_stalled():
+        raft = self.raft
+        due_index = max(self.next_compaction, raft.snapshot.index + self.settings.compact_every)
+        if raft.last_applied < due_index or raft.ready.committed or raft.is_disk_stalled():
             return
         try:
-            a.compact(a.last_applied, self.acts.dump())
+            raft.compact(raft.last_applied, self.state.dump())
         except StateError as error:
-            self.compact_at = a.last_applied + self.told.compact_every
+            self.next_compaction = raft.last_applied + self.settings.compact_every
             self.log("council-no-snapshot", str(error))
 
-    # --- what changes for others ---
-
-    def tell_others(self, applied: bool) -> None:
-        now, a = self.clock(), self.agreement
-        held = {name: token for name in self.duties.duties if (token := self.holder.acting_token(name, now))}
-        changed, self.held, had = held != self.held, held, self.held
-        for name in sorted(had.keys() | held.keys()):
-            if had.get(name) != held.get(name):
-                self.tell_duty(name, held.get(name, 0), now)
-        if self.seen != (a.leader, a.configuration):
-            led = f"{a.leader.name} leads" if a.leader is not None else "nobody is heard to lead"
-            votes = ", ".join(sorted(seat.name for seat in a.configuration.voters))
-            self.log("council", f"{led} in term {a.term}; {votes or 'nobody that is known'} may vote")
-            self.seen = a.leader, a.configuration
-        if self.dropped > self.dropped_told:
-            self.log("council-behind", f"{self.dropped - self.dropped_told} messages found no room")
-            self.dropped_told = self.dropped
+    # --- notifications ---
+
+    def publish_changes(self, applied: bool) -> None:
+        now, raft = self.clock(), self.raft
+        held_tokens = {
+            name: token for name in self.duties.duties if (token := self.lease_holder.acting_token(name, now))
+        }
+        changed, self.held_tokens, previous_tokens = (
+            held_tokens != self.held_tokens,
+            held_tokens,
+            self.held_tokens,
+        )
+        for name in sorted(previous_tokens.keys() | held_tokens.keys()):
+            if previous_tokens.get(name) != held_tokens.get(name):
+                self.log_duty_change(name, held_tokens.get(name, 0), now)
+        if self.logged_leadership != (raft.leader, raft.configuration):
+            leader_text = f"{raft.leader.name} leads" if raft.leader is not None else "no known leader"
+            voters_text = ", ".join(sorted(replica.name for replica in raft.configuration.voters))
+            self.log("council", f"{leader_text} in term {raft.term}; voters: {voters_text or 'none known'}")
+            self.logged_leadership = raft.leader, raft.configuration
+        if self.dropped > self.dropped_logged:
+            self.log(
+                "council-behind",
+                f"{self.dropped - self.dropped_logged} messages dropped: the mailbox was full",
+            )
+            self.dropped_logged = self.dropped
         if applied or changed:
-            for told in self.watches:
-                told()
+            for callback in self.watchers:
+                callback()
 
-    def tell_duty(self, name: str, token: int, now: float) -> None:
+    def log_duty_change(self, name: str, token: int, now: float) -> None:
         if token:
             return self.log("duty-held", f"{name} under token {token}", duty=name, token=token)
-        why = self.holder.unavailable.get(name) or (
-            "the lease is over" if now >= self.holder.lease_expires else "handed on"
+        reason = self.lease_holder.unavailable.get(name) or (
+            "the lease expired" if now >= self.lease_holder.lease_expires else "handed over"
         )
-        self.log("duty-left", f"{name}: {why}", duty=name)
+        self.log("duty-left", f"{name}: {reason}", duty=name)
 
     # --- leaving ---
 
-    def go(self, now: float, by: float) -> None:
-        """Its duties first, one by one, while it still acts; then its session; then the leadership."""
-        self.holder.set_weight(0.0)
-        left = (by - now) / max(1.0, self.told.leave_ms)
-        alone = not any(s.open and s.weight > 0 for m, s in self.duties.sessions.items() if m != self.me)
-        if self.has_duties() and not alone and left > 1 - HANDING:
+    def continue_leaving(self, now: float, deadline: float) -> None:
+        """Gives up the duties one by one while still acting, then the session, then the leadership."""
+        self.lease_holder.set_weight(0.0)
+        remaining_share = (deadline - now) / max(1.0, self.settings.leave_ms)
+        is_alone = not any(
+            s.open and s.weight > 0 for m, s in self.duties.sessions.items() if m != self.member
+        )
+        if self.has_duties() and not is_alone and remaining_share > 1 - HANDOVER_SHARE:
             return
-        self.holder.leave()
-        if self.duties.open_session(self.me, self.holder.incarnation) is not None and left > 1 - LEAVING:
+        self.lease_holder.leave()
+        if (
+            self.duties.open_session(self.member, self.lease_holder.incarnation) is not None
+            and remaining_share > 1 - SESSION_END_SHARE
+        ):
             return
-        if self.agreement.role is Role.LEADER and left > 0:
-            heirs = [seat for seat in self.agreement.other_voters() if self.agreement.is_caught_up(seat)]
-            if heirs:
-                self.agreement.transfer_leadership(now, heirs[0])
+        if self.raft.role is Role.LEADER and remaining_share > 0:
+            candidates = [replica for replica in self.raft.other_voters() if self.raft.is_caught_up(replica)]
+            if candidates:
+                self.raft.transfer_leadership(now, candidates[0])
                 return
         if self.has_duties():
-            self.log("council-not-left", "what it held goes to others when its lease is over")
+            self.log("council-not-left", "its remaining duties move when its lease expires")
         self.finished = True
 
     def finish(self) -> None:
         super().finish()
-        self.gone.set()
+        self.has_left.set()
--- a/harrieryoke/council/part.py
+++ b/harrieryoke/council/part.py
@@ -45,18 +45,18 @@
         settings = self.settings
         self.disk = Disk(settings.store_settings(), self.member, self.log)
         self.actor = CouncilActor(self.member, settings, self.disk, self.log, self.seed)
-        self.disk.on_written, self.disk.on_failed = self.actor.disk_done, self.actor.disk_failed
-        self.actor.watches = self.watchers
+        self.disk.on_written, self.disk.on_failed = self.actor.records_written, self.actor.disk_failed
+        self.actor.watchers = self.watchers
         for duty, machine in self.machines.items():
-            self.actor.acts.add_machine(duty, machine)
+            self.actor.state.add_machine(duty, machine)
         link_settings = LinkSettings(
             settings.installation,
             settings.listen_address(self.member),
             settings.member_addresses(),
             silent_ms=settings.silent_ms,
         )
-        self.links = self.actor.ways = Links(
-            self.disk.replica, link_settings, self.log, self.seed, self.actor.hear
+        self.links = self.actor.links = Links(
+            self.disk.replica, link_settings, self.log, self.seed, self.actor.deliver
         )
 
     def start(self) -> None:
@@ -93,7 +93,7 @@
     def stop(self) -> None:
         self.push_stop()
         self.turns.stop()
-        self.actor.gone.wait(self.settings.leave_ms / 1000 + STOP_SLACK_S)
+        self.actor.has_left.wait(self.settings.leave_ms / 1000 + STOP_SLACK_S)
         self.actor.finished = True
         self.links.stop()
         self.disk.stop(DISK_STOP_S)
--- a/harrieryoke/council/status.py
+++ b/harrieryoke/council/status.py
@@ -8,23 +8,23 @@
 
 
 def status(actor: CouncilActor) -> dict[str, Any]:
-    a, holder, duties = actor.agreement, actor.holder, actor.duties
+    raft, lease_holder, duties = actor.raft, actor.lease_holder, actor.duties
     return {
-        "member": actor.me,
-        "disk_number": a.replica.disk_id,
-        "role": "ended" if actor.finished else a.role.value,
-        "term": a.term,
-        "leader": None if a.leader is None else a.leader.name,
-        "commit": a.commit_index,
-        "last": a.log.last_index(),
-        "durable": a.durable_index,
-        "snapshot": a.snapshot.index,
-        "voters": sorted(seat.name for seat in a.configuration.voters),
-        "learners": sorted(seat.name for seat in a.configuration.learners),
+        "member": actor.member,
+        "disk_number": raft.replica.disk_id,
+        "role": "ended" if actor.finished else raft.role.value,
+        "term": raft.term,
+        "leader": None if raft.leader is None else raft.leader.name,
+        "commit": raft.commit_index,
+        "last": raft.log.last_index(),
+        "durable": raft.durable_index,
+        "snapshot": raft.snapshot.index,
+        "voters": sorted(replica.name for replica in raft.configuration.voters),
+        "learners": sorted(replica.name for replica in raft.configuration.learners),
         "silent": sorted(
-            seat.name for seat in a.progress if not a.is_responsive(seat)
+            replica.name for replica in raft.progress if not raft.is_responsive(replica)
         ),  # known on the leader only
-        "knocking": sorted(seat.name for seat in a.join_requests),
+        "knocking": sorted(replica.name for replica in raft.join_requests),
         "duties": {
             name: {
                 "holder": duty.holder,
@@ -39,9 +39,9 @@
             member: {"open": session.open, "weight": session.weight, "cannot": session.unavailable}
             for member, session in duties.sessions.items()
         },
-        "lease_ms": round(max(0.0, holder.lease_expires - actor.clock())),
-        "ailing": actor.ill or actor.failing,
-        "void": dict(actor.acts.rejected),
+        "lease_ms": round(max(0.0, lease_holder.lease_expires - actor.clock())),
+        "ailing": actor.unhealthy or actor.disk_error,
+        "void": dict(actor.state.rejected),
         "mailbox": {"waiting": len(actor.mailbox), "dropped": actor.dropped},
-        "refused": {"count": actor.refused, "last": actor.refused_why},
+        "refused": {"count": actor.refused_count, "last": actor.last_refusal},
     }
--- a/harrieryoke/lab/fleet_watch.py
+++ b/harrieryoke/lab/fleet_watch.py
@@ -121,8 +121,8 @@
     def copy(self) -> None:
         """All that was agreed, as this member has it now."""
         actor = self.council.actor
-        digest = xxhash.xxh3_64_hexdigest(actor.acts.dump())
-        self.tell(["copy", self.member, actor.agreement.last_applied, digest])
+        digest = xxhash.xxh3_64_hexdigest(actor.state.dump())
+        self.tell(["copy", self.member, actor.raft.last_applied, digest])
 
     def send(self) -> None:
         self.sock.connect(self.path)
--- a/tests/council_nodes.py
+++ b/tests/council_nodes.py
@@ -1,4 +1,4 @@
-"""Real invokers with a council, each in its own process, and one who looks all the time at what they do."""
+"""Real invokers with a council, each in its own process, and observers that poll which duties they act on."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 from .scenario import ROOT, SETTINGS, free_address, listener, where
 
-PATIENCE = 20.0  # seconds until what should come soon is held to have failed
+TIMEOUT_S = 20.0
 
 
-def until(what: Callable[[], object], words: str) -> None:
-    by = time.monotonic() + PATIENCE
-    while not what():
-        assert time.monotonic() < by, f"not in time: {words}"
+def wait_until(condition: Callable[[], object], message: str) -> None:
+    by = time.monotonic() + TIMEOUT_S
+    while not condition():
+        assert time.monotonic() < by, f"not in time: {message}"
         time.sleep(0.01)
 
 
-class Look(NamedTuple):
-    """What an invoker answered at some time between `begin` and `end`, on this machine's one clock."""
+class Observation(NamedTuple):
+    """The answer of an invoker at some time between `begin` and `end`, on this machine's clock."""
 
     begin: float
     end: float
@@ -41,7 +41,9 @@
 
 
 class Node:
-    """One invoker's files and its process. Its log goes through a pipe: what limits files limits its disk."""
+    """One invoker's files and its process. Its log goes through a pipe: a file size limit then affects its
+    disk only.
+    """
 
     def __init__(self, folder: Path, name: str, table: str, ops: str, free: list[str]) -> None:
         self.folder, self.name, self.ops, self.table = folder, name, ops, table
@@ -57,48 +59,55 @@
         (folder / "config.json").write_text(json.dumps(config))
         self.write(table)
         self.env = os.environ | {"RELAY_CONFIG": str(folder / "config.json")}
-        self.lines, self.told = list[str](), dict[str, Any]()
+        self.lines, self.last_status = list[str](), dict[str, Any]()
         self.process: subprocess.Popen[str] | None = None
-        self.looks: dict[str, list[Look]] = defaultdict(list)  # by duty
-        self.over = threading.Event()
-        self.looker = threading.Thread(target=self.look)
+        self.observations: dict[str, list[Observation]] = defaultdict(list)  # by duty
+        self.stopping = threading.Event()
+        self.observer = threading.Thread(target=self.observe)
 
     def write(self, table: str) -> None:
         text = f'[ops]\nlisten = "{self.ops}"\n{table}'
         (self.folder / "operator.toml").write_text(text)
 
-    def command(self, *words: str) -> list[str]:
-        return [sys.executable, "-m", "harrieryoke", *words, "--operator", str(self.folder / "operator.toml")]
-
-    def run(self, *words: str) -> subprocess.CompletedProcess[str]:
+    def command(self, *message: str) -> list[str]:
+        return [
+            sys.executable,
+            "-m",
+            "harrieryoke",
+            *message,
+            "--operator",
+            str(self.folder / "operator.toml"),
+        ]
+
+    def run(self, *message: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
-            self.command(*words), env=self.env, cwd=ROOT, capture_output=True, text=True, check=False
+            self.command(*message), env=self.env, cwd=ROOT, capture_output=True, text=True, check=False
         )
 
     def start(self) -> None:
         self.process = subprocess.Popen(
             self.command("serve"), env=self.env, cwd=ROOT, text=True, stderr=subprocess.PIPE
         )
-        threading.Thread(target=self.hear, args=(self.process,)).start()
+        threading.Thread(target=self.read_log, args=(self.process,)).start()
 
-    def hear(self, process: subprocess.Popen[str]) -> None:
+    def read_log(self, process: subprocess.Popen[str]) -> None:
         assert process.stderr is not None
         with process.stderr:
             self.lines += process.stderr
 
-    def look(self) -> None:
-        while not self.over.wait(0.01):
+    def observe(self) -> None:
+        while not self.stopping.wait(0.01):
             begin = time.monotonic()
             try:
-                told = ask(self.ops, "GET", "/council")
+                status = ask(self.ops, "GET", "/council")
             except OpsError:
-                self.told = {}
+                self.last_status = {}
                 continue
             end = time.monotonic()
-            for duty, held in told["duties"].items():
+            for duty, held in status["duties"].items():
                 if held["acting"]:
-                    self.looks[duty].append(Look(begin, end, self.name, held["acting"]))
-            self.told = told
+                    self.observations[duty].append(Observation(begin, end, self.name, held["acting"]))
+            self.last_status = status
 
     def send(self, number: signal.Signals) -> None:
         assert self.process is not None
@@ -107,28 +116,28 @@
     def end(self, number: signal.Signals) -> int:
         assert self.process is not None
         self.send(number)
-        code = self.process.wait(PATIENCE)
-        self.told = {}
+        code = self.process.wait(TIMEOUT_S)
+        self.last_status = {}
         return code
 
-    def limit(self, size: int) -> None:
-        """Of any file that it writes: its disk takes no more."""
+    def limit_file_size(self, size: int) -> None:
+        """Limits all files that it writes, so that its disk accepts no more."""
         assert self.process is not None
         resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (size, resource.RLIM_INFINITY))
 
-    def acts(self) -> set[str]:
-        return {duty for duty, held in self.told.get("duties", {}).items() if held["acting"]}
+    def acting_duties(self) -> set[str]:
+        return {duty for duty, held in self.last_status.get("duties", {}).items() if held["acting"]}
 
 
 class Nodes:
-    """`table` is TOML of [council] without what is an invoker's own."""
+    """`table` is the TOML of the [council] table without the keys of a single invoker."""
 
     def __init__(self, folder: Path, names: str, table: str, duties: list[str]) -> None:
         free = [free_address() for _ in range(3 * len(names))]
         self.duties = duties
         members = "".join(f'"{name}" = "{free.pop()}"\n' for name in names)
-        told = f"[council]\n{table}\nduties = {json.dumps(duties)}\n[council.members]\n{members}"
-        self.nodes = {name: Node(folder / name, name, told, free.pop(), free) for name in names}
+        status = f"[council]\n{table}\nduties = {json.dumps(duties)}\n[council.members]\n{members}"
+        self.nodes = {name: Node(folder / name, name, status, free.pop(), free) for name in names}
 
     def __iter__(self) -> Iterator[Node]:
         return iter(self.nodes.values())
@@ -141,49 +150,55 @@
         assert done.returncode == 0 and "founded" in done.stdout, done.stderr
         first.start()
         for node in self:
-            node.looker.start()
+            node.observer.start()
 
-    def held(self, *without: Node) -> bool:
-        """Whether somebody acts on each duty, as was seen last."""
-        seen = [duty for node in self if node not in without for duty in node.acts()]
+    def all_held(self, *without: Node) -> bool:
+        """Whether some member acted on each duty at the last observation."""
+        seen = [duty for node in self if node not in without for duty in node.acting_duties()]
         return sorted(set(seen)) == sorted(self.duties)
 
     def leader(self) -> Node | None:
-        return next((node for node in self if node.told.get("role") == "leader"), None)
-
-    def home(self) -> bool:
-        """Whether all are there, and each duty is where it belongs."""
-        led = self.leader() if all(node.told.get("lease_ms") for node in self) else None
-        sessions = {} if led is None else led.told["sessions"]
-        able = {name: Session(0, 0, s["weight"], s["cannot"], s["open"]) for name, s in sessions.items()}
-        return sum(s.open for s in able.values()) == len(self.nodes) and all(
-            duty in self.nodes[preferred_member(duty, able) or ""].acts() for duty in self.duties
+        return next((node for node in self if node.last_status.get("role") == "leader"), None)
+
+    def all_in_place(self) -> bool:
+        """Whether all members are present and each duty is with its preferred member."""
+        leader = self.leader() if all(node.last_status.get("lease_ms") for node in self) else None
+        sessions = {} if leader is None else leader.last_status["sessions"]
+        sessions_by_name = {
+            name: Session(0, 0, s["weight"], s["cannot"], s["open"]) for name, s in sessions.items()
+        }
+        return sum(s.open for s in sessions_by_name.values()) == len(self.nodes) and all(
+            duty in self.nodes[preferred_member(duty, sessions_by_name) or ""].acting_duties()
+            for duty in self.duties
         )
 
     def stop(self) -> None:
         for node in self:
-            node.over.set()
+            node.stopping.set()
             if node.process is not None and node.process.poll() is None:
                 node.send(signal.SIGCONT)
                 node.process.kill()
                 node.process.wait()
-            if node.looker.ident is not None:
-                node.looker.join()
+            if node.observer.ident is not None:
+                node.observer.join()
             node.bus.close()
 
-    def judge(self) -> int:
-        """How often somebody was seen to act. Nobody acts under a token after another did under a newer one:
-        looks that overlap in time are in no order, and say nothing."""
+    def check_observations(self) -> int:
+        """Returns the number of observations. No member may act under a token after another acted under a
+        newer one; observations that overlap in time are not ordered and prove nothing.
+        """
         count = 0
         for duty in self.duties:
-            looks = [look for node in self for look in node.looks[duty]]
-            ended, newest = sorted(looks, key=lambda look: look.end), 0
+            observations = [observation for node in self for observation in node.observations[duty]]
+            ended, newest = sorted(observations, key=lambda observation: observation.end), 0
             done, holder = 0, dict[int, str]()
-            for look in sorted(looks):
-                while ended[done].end < look.begin:
+            for observation in sorted(observations):
+                while ended[done].end < observation.begin:
                     newest = max(newest, ended[done].token)
                     done += 1
-                assert look.token >= newest, f"{look} after token {newest}, on {duty}"
-                assert holder.setdefault(look.token, look.name) == look.name, f"two act under {look.token}"
-            count += len(looks)
+                assert observation.token >= newest, f"{observation} after token {newest}, on {duty}"
+                assert (
+                    holder.setdefault(observation.token, observation.name) == observation.name
+                ), f"two act under {observation.token}"
+            count += len(observations)
         return count
--- a/tests/council_world.py
+++ b/tests/council_world.py
@@ -1,7 +1,7 @@
-"""Members of a council on one clock, with everything that goes wrong between and in them, from one seed.
+"""Deterministic simulation of a council: members, clocks, disks and links with faults drawn from a seed.
 
-Each step is one thing that happens at one member. After it the world looks whether anything is not as
-docs/council.md promises, and raises Violation. A seed replays to the letter.
+Each step is one event at one member. After it the simulation checks the guarantees of docs/council.md and
+raises Violation if one is broken. A seed replays exactly.
 """
 
 from __future__ import annotations
@@ -52,20 +52,21 @@
 DUTIES = ("reconcile", "budget:kef", "budget:bon", "calendar:sahel")
 COMPACT_EVERY = 50  # entries
 MAX_TICK_GAP_MS = (
-    20.0  # ms at most between two turns of a member's holder and steward, beside those after entries
+    # at most, between two ticks of a member's lease holder and lease manager, besides those after entries
+    20.0
 )
 
 
 class Violation(AssertionError):
-    """Something happened that must not."""
+    """A safety guarantee was broken."""
 
 
 class NotRecovered(AssertionError):
-    """Nothing is broken any more, and yet what should be done is not."""
+    """All faults have ended, but the council has not recovered."""
 
 
 class ShortestElectionTimeout(random.Random):
-    """Makes all stand for election after the same time."""
+    """Makes all members start an election after the same time."""
 
     def random(self) -> float:
         return 0.0
@@ -73,19 +74,19 @@
 
 @dataclass
 class Components:
-    """What members are made of. Tests plant faults here."""
+    """The implementations that members use. Tests inject faults here."""
 
     raft: type[Raft] = Raft
     lease_holder: type[LeaseHolder] = LeaseHolder
     lease_manager: type[LeaseManager] = LeaseManager
     duties: type[d.DutyTable] = d.DutyTable
     fence: type[Fence] = Fence
-    keeps_replica_id: bool = False  # a member that lost its disk calls itself what it was
+    keeps_replica_id: bool = False  # a member that lost its disk keeps its old replica ID
 
 
 @dataclass
 class Member:
-    """A machine: its clock and its disk outlive the process."""
+    """A machine: its clock and its disk survive the process."""
 
     name: str
     replica: ReplicaId
@@ -97,11 +98,11 @@
     syncing: bool = False
     incarnation: int = 0
     up: bool = False
-    stalled_until: float = 0.0  # until when
+    stalled_until: float = 0.0
     disk_full_until: float = 0.0
     disk_slow_until: float = 0.0
-    next_lease_tick: float = 0.0  # when it is due
-    deferred: list[Callable[[], object]] = field(default_factory=list)  # what came during a stall
+    next_lease_tick: float = 0.0
+    deferred: list[Callable[[], object]] = field(default_factory=list)  # events that arrived during a stall
     last_applied: int = 0
     raft: Raft = field(init=False)
     duties: d.DutyTable = field(init=False)
@@ -116,9 +117,11 @@
 
 
 class World:
-    """`voters` of names a, b, ... found a council together, or a alone, who lets the others in; names from f0
-    on follow; the last `willing` of all would hold duties. `fierce`: faults are short and many, strike where
-    something was just said, and all stand for election at one time. `t` is true time in milliseconds."""
+    """The voters a, b, ... bootstrap a council together, or a alone, which lets the others join; members from
+    f0 on are learners, and the last `willing_count` of all renew sessions. With `aggressive`, faults are
+    short, frequent and timed right after messages, and all elections start at the same time. `time` is true
+    time in milliseconds.
+    """
 
     def __init__(
         self,
@@ -135,7 +138,7 @@
         self.time, self.steps, self.event_count = 0.0, 0, 0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.loss_rate, self.duplicate_rate, self.delay_rate = 0.0, 0.0, 0.0  # shares of messages
-        self.blocked_links: set[tuple[str, str]] = set()  # from, to
+        self.blocked_links: set[tuple[str, str]] = set()  # sender, receiver
         self.desired_voters = frozenset("abcdefg"[:voters])
         self.members: dict[str, Member] = {}
         self.leaders: dict[int, ReplicaId] = {}
@@ -144,9 +147,9 @@
         self.committed_entries: dict[int, Entry] = {}
         self.states: dict[int, bytes] = {}
         self.fences = {duty: self.components.fence() for duty in DUTIES}
-        self.resource_tokens = dict.fromkeys(DUTIES, 0)  # the highest token under which it was changed
-        self.acting_tokens = dict.fromkeys(DUTIES, 0)  # the highest token that anybody acted under
-        self.last_acted = dict.fromkeys(DUTIES, 0.0)  # when somebody acted last
+        self.resource_tokens = dict.fromkeys(DUTIES, 0)  # highest token of a change
+        self.acting_tokens = dict.fromkeys(DUTIES, 0)  # highest token that a member acted under
+        self.last_acted = dict.fromkeys(DUTIES, 0.0)  # time of the last action
         self.faults = 0
         names = [*sorted(self.desired_voters), *(f"f{n}" for n in range(followers))]
         self.willing = set(names[-willing_count:])
@@ -182,7 +185,7 @@
         self.time = end
 
     def run_on_member(self, member: Member, incarnation: int, action: Callable[[], object]) -> None:
-        """At that life of its process; later, where it is stalled."""
+        """Runs at that incarnation of the process; deferred while it is stalled."""
         if not member.up or member.incarnation != incarnation:
             return
         if self.time < member.stalled_until:
@@ -224,7 +227,7 @@
         self.run_on_member_after(self.rng.uniform(0, 50), member, partial(self.tick, member))
 
     def crash(self, member: Member, restart_after_ms: float | None = None, power_loss: bool = True) -> None:
-        """With `power` what is not synced goes, but for what the disk happened to write in time."""
+        """With `power_loss`, unsynced records are lost, except those that the disk happened to write."""
         if not member.up:
             return
         member.up = False
@@ -261,7 +264,7 @@
             self.tick_leader(member, now)
         for duty in DUTIES:
             if token := member.lease_holder.acting_token(duty, now):
-                # what it does on the strength of this comes to the resource now, or after a stall
+                # The resulting change reaches the resource now, or after a stall.
                 slow = self.rng.random() < 0.02
                 self.call_after(
                     self.rng.uniform(0, 4000 if slow else 5), partial(self.change_resource, duty, token)
@@ -278,7 +281,7 @@
             member.raft.change_configuration(now, change)
 
     def process_ready(self, member: Member) -> None:
-        """All that the member's machines want done, until they want nothing."""
+        """Processes the member's pending output until there is none."""
         while True:
             now = member.clock(self.time)
             out = member.raft.take_ready()
@@ -313,7 +316,7 @@
         member.lease_holder.accept_handover(action.duty, action.token)
 
     def start_sync(self, member: Member) -> None:
-        """The disk goes on while the process stalls; its word waits."""
+        """The disk continues while the process is stalled; its result is deferred."""
         write_count = len(member.pending_writes)
         duration_ms = (
             self.rng.uniform(1, 6) if self.time >= member.disk_slow_until else self.rng.uniform(100, 900)
@@ -395,7 +398,7 @@
                     raise Violation(f"two entries {entry.index} of term {entry.term}, or two before it")
 
     def check_append_response(self, member: Member, response: AppendEntriesResponse) -> None:
-        """At once, since what comes of it takes a long tail, an election and a crash."""
+        """Checked at once: the consequences show only after further entries, an election and a crash."""
         leader = next(
             (
                 other.raft
@@ -417,7 +420,9 @@
             )
 
     def check_session_end(self, name: str, incarnation: int, sequence: int) -> None:
-        """Its session has ended. At once, since two act only if the holder hears of its word, not of that."""
+        """A session has ended. Checked at once: two members act only if the holder learns of its renewal and
+        not of the end.
+        """
         machine = self.members[name]
         if (
             machine.up
@@ -484,7 +489,7 @@
     # --- faults ---
 
     def inject_fault(self) -> None:
-        """One fault, of any kind, that ends by itself."""
+        """Injects one fault of any kind, which ends by itself."""
         self.faults += 1
         rng, member = self.rng, self.rng.choice(list(self.members.values()))
         leaders = [other for other in self.members.values() if other.up and other.raft.role is Role.LEADER]
@@ -549,7 +554,7 @@
                 self.desired_voters = self.desired_voters - {removed} | {added}
 
         elif kind == 16 and leaders:
-            # what an operator may ask for and mostly does not get
+            # A change that an operator may request and that is mostly refused.
             voters = rng.sample(
                 sorted(member.raft.configuration.replicas()),
                 rng.randint(0, len(member.raft.configuration.replicas())),
@@ -561,7 +566,7 @@
                 )
 
     def may_lose_disk(self, member: Member) -> bool:
-        """No majority's disks may go: all others that vote anywhere stand on theirs."""
+        """Never loses a majority of disks: all other voters of any configuration must still have theirs."""
         there = {other.replica for other in self.members.values()}
         return all(
             len(other.raft.configuration.voters - {member.replica} - there) == 0
@@ -587,8 +592,8 @@
             self.start(member)
 
     def run_with_faults(self, ms: float) -> None:
-        """Faults for so long; then none, and all must be well again."""
-        gap = 60 if self.aggressive else 400  # ms in the mean
+        """Injects faults for `duration_ms`, then none, and checks that the council recovers."""
+        gap = 60 if self.aggressive else 400  # mean, in ms
         self.run(2000)
         end = self.time + ms
         while self.time < end:
--- a/tests/test_acts.py
+++ b/tests/test_acts.py
@@ -1,4 +1,4 @@
-"""Acts and requests reach the duty's machine, and nothing else does."""
+"""Fenced and unfenced commands reach the duty's state machine, and no others do."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RecordedCommands:
-    """Takes any text but an empty one."""
+    """Accepts any body but an empty one."""
 
     def __init__(self) -> None:
         self.commands: list[tuple[int, int, bytes]] = []
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -1,4 +1,4 @@
-"""The council's machines: histories from seeds, and each rule by itself."""
+"""The council's decision modules: simulated histories from seeds, and single rules."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     raft = voter(A)
     raft.receive(0.0, B, RequestVote(7, 0, 0))
     out = raft.take_ready()
-    assert not out.messages and len(out.writes) == 2  # the term, the vote
+    assert not out.messages and len(out.writes) == 2  # the term and the vote
     raft.records_written(1.0, out.writes[0].sequence)
     assert not raft.take_ready().messages
     raft.records_written(2.0, out.writes[1].sequence)
@@ -100,7 +100,7 @@
 
 
 def test_one_that_lives_is_not_put_out_while_another_is_dead() -> None:
-    """The two left, of whom one is dead, would agree on nothing; with its disk lost, never again."""
+    """With one of the two remaining voters dead there is no quorum; if its disk is lost, there never is."""
     world = World(3, 3, 1)
     world.run(4000)
     leader = world.leader()
@@ -111,7 +111,7 @@
     assert "respond" in leader.raft.change_configuration(
         leader.clock(world.time), Configuration(voters - {live})
     )
-    # one that has just begun to lead has heard nothing of the dead either
+    # A new leader has not heard from the dead voter either.
     leader.raft.transfer_leadership(leader.clock(world.time), live)
     successor = world.members[live.name]
     while not successor.raft.is_established_leader():
@@ -137,7 +137,7 @@
 
 
 def longest_gap(world: World, ms: float) -> float:
-    """The longest time in the next `ms` in which nobody acted on a duty that somebody acts on now."""
+    """Returns the longest time within the next `ms` without action on a duty that a member acts on now."""
     longest, since = 0.0, dict.fromkeys(DUTIES, world.time)
     end = world.time + ms
     while world.time < end:
@@ -200,7 +200,7 @@
     for index, command in enumerate([*first, d.GrantDuty("x", "a", 1), d.AssignSuccessor("x", 4, "b", 2)], 1):
         assert duties.apply(index, d.decode(d.encode(command)))
     assert [duties.admit_token("x", token) for token in (3, 4, 5, 4)] == [False, True, True, False]
-    assert not duties.apply(6, d.EndSession("a", 1, 0))  # a later word came in between
+    assert not duties.apply(6, d.EndSession("a", 1, 0))  # a later renewal has been applied
     assert duties.apply(7, d.RenewSession("a", 1, 2, 1.0, released={"x": 4}))
     assert (duties.duties["x"].holder, duties.duties["x"].token) == ("b", 5)
     assert not duties.apply(8, d.RenewSession("a", 1, 2, 1.0))
--- a/tests/test_council_faults.py
+++ b/tests/test_council_faults.py
@@ -1,4 +1,4 @@
-"""Planted faults: the simulator finds each. What it would not find it does not guard against."""
+"""Injected faults: the simulation must detect each of them."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class VotesForAnyLog(Raft):
-    """Votes for one whose log lacks what is agreed."""
+    """Votes for a candidate whose log lacks committed entries."""
 
     def handle_request_vote(self, sender: ReplicaId, member: RequestVote) -> None:
         super().handle_request_vote(
@@ -48,7 +48,7 @@
 
 
 class SkipsLogMatching(Raft):
-    """Says yes without looking at the term before."""
+    """Accepts entries without comparing the previous term."""
 
     def handle_append_entries(self, leader: ReplicaId, member: AppendEntries) -> None:
         term = self.log.term_at(member.prev_log_index)
@@ -104,7 +104,7 @@
 
 
 class ResumesImmediately(LeaseHolder):
-    """What it once could not do it does again before the others have heard so."""
+    """Acts again on a duty before the others have learned that it is available."""
 
     def mark_available(self, name: str) -> None:
         super().mark_available(name)
@@ -156,12 +156,13 @@
 
 
 def request_two_votes(world: World, how: str) -> None:
-    """c votes in term 50, crashes, with a full disk or to an empty one, and is asked by another in that
-    term."""
+    """c votes in term 50 and crashes, with a full disk or losing its disk, and is then asked by another
+    candidate in that term.
+    """
     world.run(3000)
     a, b, c = (world.members[name] for name in "abc")
     world.block_links({("a", "c"), ("b", "c")}, 60_000)
-    world.run(1000)  # it hears no leader any more
+    world.run(1000)  # it no longer hears a leader
     request = RequestVote(50, 1 << 20, 50)
     c.disk_full_until = world.time + (600 if how == "full" else 0)
     world.run_on_member(c, c.incarnation, partial(world.receive, c, a.replica, request))
@@ -169,7 +170,7 @@
     if how == "lost":
         world.lose_disk(c, 10)
         world.run(100)
-        # its leader let it in again before
+        # as if its leader had already let the new replica join
         c.raft.configurations = list(b.raft.configurations)
     else:
         world.crash(c, 10)
@@ -195,7 +196,7 @@
 
 
 def isolate_slow_holder(components: Components) -> None:
-    """A holder whose clock is slow hears nobody; the clocks of all others are fast."""
+    """A holder with a slow clock is isolated, and the clocks of all others are fast."""
     world = World(3, 3, 1, components)
     world.run(6000)
     leader = world.leader()
@@ -226,8 +227,9 @@
 
 
 def crash_leader_with_slow_disk(components: Components) -> None:
-    """It says something to one voter while its disk is slow, loses what it did not write, and then has only
-    the other to talk to."""
+    """The leader sends to one voter while its disk is slow, loses what it has not written, and can then reach
+    only the other voter.
+    """
     world = World(5, 3, 0, components)
     world.run(4000)
     leader = world.leader()
@@ -235,14 +237,14 @@
     world.blocked_links |= links_of(world, isolated)
     leader.disk_slow_until = world.time + 5000
     world.run(350)
-    leader.disk_full_until = world.time + 20  # what is not written goes
+    leader.disk_full_until = world.time + 20  # unwritten records are lost
     world.crash(leader, 30)
     world.blocked_links = links_of(world, reachable)
     world.run(4000)
 
 
 def isolated_leader_removes_others(components: Components) -> None:
-    """A leader that is cut off wants to be the only voter."""
+    """An isolated leader tries to become the only voter."""
     world = World(5, 3, 0, components)
     world.run(4000)
     leader = world.leader()
@@ -250,7 +252,8 @@
     configuration = Configuration(
         frozenset({leader.replica}), leader.raft.configuration.voters - {leader.replica}
     )
-    # with what is due after it, so that it is on its way before the leader wants anything else
+    # Together with the processing after it, so that the proposal is sent before the leader proposes anything
+    # else.
     world.run_on_member(
         leader,
         leader.incarnation,
@@ -260,7 +263,7 @@
 
 
 def resume_before_release(components: Components) -> None:
-    """A holder that hears nobody gives up what it does, and a moment later would do it."""
+    """A holder that receives nothing marks a duty unavailable, and available again a moment later."""
     world = World(5, 3, 0, components)
     world.run(6000)
     leader = world.leader()
@@ -293,7 +296,7 @@
 
 
 def isolate_inbound(components: Components) -> tuple[int, int]:
-    """Terms before and after one voter heard nobody for 10 s."""
+    """Returns the terms before and after one voter received nothing for 10 s."""
     world = World(2, 5, components=components)
     world.run(3000)
     leader = world.leader()
--- a/tests/test_council_ledger.py
+++ b/tests/test_council_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger's turns where the operator's file has a council."""
+"""The ledger's turns if the operator's file has a council."""
 
 from __future__ import annotations
 
--- a/tests/test_council_link.py
+++ b/tests/test_council_link.py
@@ -1,4 +1,4 @@
-"""The council's links on real sockets of the loopback: who is heard, what is bounded, what is lost."""
+"""The council's links on loopback sockets: which peers are accepted, what is bounded, what is lost."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from harrieryoke.log import Log
 from harrieryoke.wire.frames import Decoder, encode
 
-HIVES = "sfax-hives"
+INSTALLATION = "sfax-hives"
 
 
 def until(done: Callable[[], object], seconds: float = 5.0) -> None:
@@ -29,7 +29,7 @@
         gevent.sleep(0.002)
 
 
-class Lines(Log):
+class RecordedLog(Log):
     def __init__(self) -> None:
         super().__init__()
         self.lines: list[str] = []
@@ -42,46 +42,46 @@
 
 
 class Member:
-    """Links, what they heard and what they logged."""
+    """A member's links, received messages and log."""
 
-    def __init__(self, seat: ReplicaId, told: LinkSettings) -> None:
-        self.seat, self.log = seat, Lines()
-        self.heard: list[tuple[ReplicaId, Message | DutyHandover]] = []
-        self.links = Links(seat, told, self.log, 7, lambda *said: self.heard.append(said))
+    def __init__(self, replica: ReplicaId, settings: LinkSettings) -> None:
+        self.replica, self.log = replica, RecordedLog()
+        self.received: list[tuple[ReplicaId, Message | DutyHandover]] = []
+        self.links = Links(replica, settings, self.log, 7, lambda *message: self.received.append(message))
 
-    def said(self) -> list[Message | DutyHandover]:
-        return [message for _, message in self.heard]
+    def messages(self) -> list[Message | DutyHandover]:
+        return [message for _, message in self.received]
 
     def status(self, name: str) -> Any:
         return self.links.status()[name]
 
 
 class Fleet:
-    """Each member has a host of its own, 127.0.1.N, and a port that was free."""
+    """Each member has a host of its own, 127.0.1.N, and a free port."""
 
     def __init__(self) -> None:
         self.members: dict[str, tuple[str, int]] = {}
         self.running: list[Member] = []
         self.socks: list[Any] = []
 
-    def known(self, *names: str) -> None:
+    def add_members(self, *names: str) -> None:
         for name in names:
-            sock = self.listening(f"127.0.1.{len(self.members) + 1}", 0)
+            sock = self.open_listener(f"127.0.1.{len(self.members) + 1}", 0)
             self.members[name] = sock.getsockname()
             sock.close()
 
-    def told(self, name: str, **other: Any) -> LinkSettings:
+    def link_settings(self, name: str, **other: Any) -> LinkSettings:
         short: dict[str, Any] = {"retry_ms": 5.0, "max_retry_ms": 40.0, "write_ms": 500.0}
-        short |= {"installation": HIVES, "listen": self.members[name], "members": dict(self.members)}
+        short |= {"installation": INSTALLATION, "listen": self.members[name], "members": dict(self.members)}
         return LinkSettings(**(short | other))
 
     def start(self, name: str, disk: int = 1, **other: Any) -> Member:
-        made = Member(ReplicaId(name, disk), self.told(name, **other))
+        made = Member(ReplicaId(name, disk), self.link_settings(name, **other))
         made.links.start()
         self.running.append(made)
         return made
 
-    def listening(self, host: str, port: int) -> Any:
+    def open_listener(self, host: str, port: int) -> Any:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -90,31 +90,33 @@
         self.socks.append(sock)
         return sock
 
-    def plays(self, name: str) -> Any:
-        """A listener at that member's address, for the test to answer as it likes."""
-        return self.listening(*self.members[name])
+    def listen_as(self, name: str) -> Any:
+        """Listens at that member's address, for the test to answer."""
+        return self.open_listener(*self.members[name])
 
-    def welcome(self, listener: Any, seat: ReplicaId) -> Any:
+    def welcome(self, listener: Any, replica: ReplicaId) -> Any:
         sock, _ = listener.accept()
         self.socks.append(sock)
         sock.recv(4096)
         sock.sendall(
-            encode(pb.Frame(welcome=pb.Welcome(version=1, seat=pb.Seat(name=seat.name, disk=seat.disk_id))))
+            encode(
+                pb.Frame(welcome=pb.Welcome(version=1, seat=pb.Seat(name=replica.name, disk=replica.disk_id)))
+            )
         )
         return sock
 
-    def dial(self, to: str, seat: ReplicaId, **change: Any) -> Any:
-        """By hand, with a hello that may be changed."""
-        source = (self.members.get(seat.name, ("127.0.0.1", 0))[0], 0)
+    def dial(self, to: str, replica: ReplicaId, **change: Any) -> Any:
+        """Connects by hand, with changes to the Hello."""
+        source = (self.members.get(replica.name, ("127.0.0.1", 0))[0], 0)
         sock = socket.create_connection(self.members[to], 2.0, source)
         self.socks.append(sock)
-        (frame,) = Decoder(pb.Frame, 4096).feed(encode_hello(seat, self.told(to), to))
+        (frame,) = Decoder(pb.Frame, 4096).feed(encode_hello(replica, self.link_settings(to), to))
         for field, value in change.items():
             setattr(frame.hello, field, value)
         sock.sendall(encode(frame))
         return sock
 
-    def end(self) -> None:
+    def stop(self) -> None:
         for member in self.running:
             member.links.stop(0)
         for sock in self.socks:
@@ -124,9 +126,9 @@
 @pytest.fixture
 def fleet() -> Iterator[Fleet]:
     made = Fleet()
-    made.known("a", "b", "c")
+    made.add_members("a", "b", "c")
     yield made
-    made.end()
+    made.stop()
 
 
 def answer(sock: Any) -> pb.Frame:
@@ -150,13 +152,17 @@
 
 def test_members_hear_each_other_in_order(fleet: Fleet) -> None:
     a, b, c = fleet.start("a", 1), fleet.start("b", 2), fleet.start("c", 3)
-    for one in offers(0, 100):
-        a.links.send(b.seat, one)
+    for message in offers(0, 100):
+        a.links.send(b.replica, message)
     b.links.send(None, JoinRequest())
     b.links.send_to(["a", "b", "c"], DutyHandover("a", "reconcile", 9))
-    until(lambda: len(b.heard) == 100 and len(a.heard) == 2 and len(c.heard) == 2)
-    assert b.heard == [(a.seat, one) for one in offers(0, 100)]
-    assert a.heard == c.heard == [(b.seat, JoinRequest()), (b.seat, DutyHandover("a", "reconcile", 9))]
+    until(lambda: len(b.received) == 100 and len(a.received) == 2 and len(c.received) == 2)
+    assert b.received == [(a.replica, message) for message in offers(0, 100)]
+    assert (
+        a.received
+        == c.received
+        == [(b.replica, JoinRequest()), (b.replica, DutyHandover("a", "reconcile", 9))]
+    )
     assert a.status("b") == {
         "connected": True,
         "queued": 0,
@@ -201,14 +207,14 @@
     a.links.send_to(["b"], JoinRequest())
     until(lambda: why in a.status("b")["refused"])
     times = refuser.log.totals["council-refused"]
-    # it dials again after a pause, with the same end: told once at both sides
+    # It retries after a delay with the same result: logged once on both sides.
     tries: list[float] = []
     dialled = a.links.peers["b"].connect
     a.links.peers["b"].connect = lambda: tries.append(1) or dialled()  # type: ignore[method-assign,func-returns-value]
     until(lambda: len(tries) == 3)
     assert times == refuser.log.totals["council-refused"] == a.log.totals["council-refused"] == 1
     assert why in refuser.log.of("council-refused")[0] and why in a.log.of("council-refused")[0]
-    assert not b.heard and not c.heard and a.status("b")["queued"] == 1
+    assert not b.received and not c.received and a.status("b")["queued"] == 1
 
 
 def test_versions_are_agreed_or_refused(fleet: Fleet) -> None:
@@ -219,7 +225,7 @@
 
 
 def test_a_refused_member_pauses_long_and_a_broken_one_does_not(fleet: Fleet) -> None:
-    a, b = fleet.start("a", retry_ms=1.0, max_retry_ms=400.0), fleet.plays("b")
+    a, b = fleet.start("a", retry_ms=1.0, max_retry_ms=400.0), fleet.listen_as("b")
     a.links.send_to(["b"], JoinRequest())
     for _ in range(3):
         sock, _ = b.accept()
@@ -233,7 +239,7 @@
 
 
 def test_somebody_else_at_a_members_address_gets_nothing(fleet: Fleet) -> None:
-    a, b = fleet.start("a"), fleet.plays("b")
+    a, b = fleet.start("a"), fleet.listen_as("b")
     a.links.send_to(["b"], JoinRequest())
     sock = fleet.welcome(b, ReplicaId("c", 1))
     assert closed(sock)
@@ -252,7 +258,7 @@
     other = fleet.dial("b", ReplicaId("a", 2))
     assert answer(other).HasField("welcome") and closed(again)
     other.sendall(encode(pb.Frame(knock=pb.Knock())))
-    until(lambda: b.heard == [(ReplicaId("a", 2), JoinRequest())])
+    until(lambda: b.received == [(ReplicaId("a", 2), JoinRequest())])
 
 
 # --- what can't be read ---
@@ -271,27 +277,27 @@
         ),
     ],
 )
-def test_bad_bytes_end_the_connection_and_are_told(fleet: Fleet, bytes_: bytes, told: str) -> None:
+def test_bad_bytes_end_the_connection_and_are_told(fleet: Fleet, bytes_: bytes, settings: str) -> None:
     b, c = fleet.start("b", write_ms=50.0), fleet.start("c")
     sock = fleet.dial("b", ReplicaId("a", 1))
     assert answer(sock).HasField("welcome")
     sock.sendall(bytes_)
-    c.links.send(b.seat, JoinRequest())  # others are heard meanwhile
-    until(lambda: b.heard)
+    c.links.send(b.replica, JoinRequest())  # others are served meanwhile
+    until(lambda: b.received)
     assert closed(sock)
-    assert told in b.log.of("council-bad-frame")[0]
-    assert b.heard == [(c.seat, JoinRequest())] and list(b.links.listener.welcomed) == ["c"]
+    assert settings in b.log.of("council-bad-frame")[0]
+    assert b.received == [(c.replica, JoinRequest())] and list(b.links.listener.welcomed) == ["c"]
 
 
 def test_strangers_hold_no_place_for_long(fleet: Fleet) -> None:
     a, b = fleet.start("a"), fleet.start("b", max_incoming=3, hello_ms=300.0)
     silent = [socket.create_connection(fleet.members["b"], 2.0) for _ in range(5)]
-    a.links.send(b.seat, JoinRequest())
-    until(lambda: b.heard)
+    a.links.send(b.replica, JoinRequest())
+    until(lambda: b.received)
     assert not a.log.lines, "it had to dial again"
     assert closed(silent[0]) and len(b.links.listener.connections) <= 3
-    assert closed(silent[4])  # its time for a hello is over
-    assert [one.replica for one in b.links.listener.connections] == [a.seat]
+    assert closed(silent[4])  # its time for a Hello is over
+    assert [message.replica for message in b.links.listener.connections] == [a.replica]
 
 
 # --- what is bounded ---
@@ -299,29 +305,30 @@
 
 def test_who_does_not_read_blocks_nobody_and_loses_the_oldest(fleet: Fleet) -> None:
     a, c = fleet.start("a", max_queued_messages=20, write_ms=100.0), fleet.start("c")
-    listener = fleet.plays("b")
+    listener = fleet.listen_as("b")
     a.links.send_to(["b"], JoinRequest())
     deaf = fleet.welcome(listener, ReplicaId("b", 1))
     until(lambda: a.status("b")["connected"])
     way = a.links.peers["b"].sock
-    way.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)  # else it takes them all
+    way.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)  # otherwise it buffers them all
     assert way.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) == 100
-    way.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 0)  # one that reads a little now and then
+    # as for a peer that reads a little now and then
+    way.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 0)
     ran: list[int] = []
     gevent.spawn(ran.append, 1)
-    for one in offers(0, 200, 100_000):
-        a.links.send(ReplicaId("b", 1), one)
+    for message in offers(0, 200, 100_000):
+        a.links.send(ReplicaId("b", 1), message)
     assert not ran, "a sender waited"
     assert a.status("b")["queued"] == 20 and a.status("b")["dropped"] == 180
-    a.links.send(c.seat, JoinRequest())
-    until(lambda: c.heard)
-    until(lambda: a.log.of("council-lost") == ["council-lost b: write timed out"])  # in the midst of a frame
+    a.links.send(c.replica, JoinRequest())
+    until(lambda: c.received)
+    until(lambda: a.log.of("council-lost") == ["council-lost b: write timed out"])  # in the middle of a frame
     deaf.close()
     listener.close()
     b = fleet.start("b")
-    until(lambda: b.said()[-1:] == offers(199, 200, 100_000))
-    # what was written into the deaf one is gone, and no more than that
-    assert b.said() == offers(200 - len(b.heard), 200, 100_000)
+    until(lambda: b.messages()[-1:] == offers(199, 200, 100_000))
+    # Only what was written to the stalled peer is lost.
+    assert b.messages() == offers(200 - len(b.received), 200, 100_000)
     status = a.status("b")
     assert status["sent"] + status["dropped"] == 201 and status["queued"] == 0
     assert 181 <= status["dropped"] <= 190
@@ -329,8 +336,8 @@
 
 def test_the_queue_is_bounded_in_bytes_too(fleet: Fleet) -> None:
     a = fleet.start("a", max_queued_bytes=1000)
-    for one in offers(0, 5, 300):
-        a.links.send_to(["b"], one)
+    for message in offers(0, 5, 300):
+        a.links.send_to(["b"], message)
     a.links.send_to(["c"], ForwardProposal(bytes(1001)))
     assert (a.status("b")["queued"], a.status("b")["dropped"]) == (3, 2)
     assert (a.status("c")["queued"], a.status("c")["dropped"]) == (0, 1)
@@ -353,30 +360,30 @@
 
 def test_a_cut_link_is_dialled_again(fleet: Fleet) -> None:
     a, b = fleet.start("a"), fleet.start("b")
-    a.links.send(b.seat, TimeoutNow(1))
-    until(lambda: b.heard)
+    a.links.send(b.replica, TimeoutNow(1))
+    until(lambda: b.received)
     b.links.listener.welcomed["a"].sock.shutdown(socket.SHUT_RDWR)
     until(lambda: not a.status("b")["connected"])
     assert a.log.of("council-lost")
-    a.links.send(b.seat, TimeoutNow(2))
-    until(lambda: len(b.heard) == 2)
-    assert b.said() == [TimeoutNow(1), TimeoutNow(2)] and a.log.of("council-reached")
+    a.links.send(b.replica, TimeoutNow(2))
+    until(lambda: len(b.received) == 2)
+    assert b.messages() == [TimeoutNow(1), TimeoutNow(2)] and a.log.of("council-reached")
 
 
 def test_one_that_dials_is_dialled_at_once(fleet: Fleet) -> None:
     a = fleet.start("a", retry_ms=60_000.0, max_retry_ms=60_000.0)
     a.links.send_to(["b"], TimeoutNow(1))
     until(lambda: "refused" in a.status("b")["lost"])
-    a.links.peers["b"].settings = fleet.told("a")  # the pause has begun; what comes after it is short
+    a.links.peers["b"].settings = fleet.link_settings("a")  # the delay has begun; later ones are short
     b = fleet.start("b")
-    b.links.send(a.seat, TimeoutNow(2))
-    until(lambda: a.heard and b.heard)
+    b.links.send(a.replica, TimeoutNow(2))
+    until(lambda: a.received and b.received)
 
 
 def test_a_restart_with_another_disk_gets_nothing_of_the_old_seat(fleet: Fleet) -> None:
     a, old = fleet.start("a"), fleet.start("b", 1)
-    a.links.send(old.seat, TimeoutNow(1))
-    until(lambda: old.heard)
+    a.links.send(old.replica, TimeoutNow(1))
+    until(lambda: old.received)
     old.links.stop()
     until(lambda: not a.status("b")["connected"])
     a.links.send(ReplicaId("b", 1), TimeoutNow(2))
@@ -384,39 +391,39 @@
     a.links.send_to(["b"], TimeoutNow(4))
     a.links.send(ReplicaId("b", 1), TimeoutNow(5))
     new = fleet.start("b", 2)
-    until(lambda: a.status("b")["queued"] == 0 and len(new.heard) == 2)
-    assert new.said() == [TimeoutNow(3), TimeoutNow(4)] and a.status("b")["dropped"] == 2
+    until(lambda: a.status("b")["queued"] == 0 and len(new.received) == 2)
+    assert new.messages() == [TimeoutNow(3), TimeoutNow(4)] and a.status("b")["dropped"] == 2
 
 
 def test_a_machine_that_went_without_a_word_is_found_under_its_new_seat(fleet: Fleet) -> None:
-    a, listener = fleet.start("a"), fleet.plays("b")
+    a, listener = fleet.start("a"), fleet.listen_as("b")
     a.links.send_to(["b"], TimeoutNow(1))
-    fleet.welcome(listener, ReplicaId("b", 1))  # and this connection stays as it is
+    fleet.welcome(listener, ReplicaId("b", 1))  # this connection stays open
     until(lambda: a.status("b")["sent"] == 1)
     listener.close()
     b = fleet.start("b", 2)
-    a.links.send(b.seat, TimeoutNow(2))
+    a.links.send(b.replica, TimeoutNow(2))
 
     def again() -> bool:
-        a.links.send(b.seat, TimeoutNow(3))
-        return bool(b.heard)
+        a.links.send(b.replica, TimeoutNow(3))
+        return bool(b.received)
 
     until(again)
-    assert set(b.said()) <= {TimeoutNow(2), TimeoutNow(3)}
+    assert set(b.messages()) <= {TimeoutNow(2), TimeoutNow(3)}
 
 
 def test_an_idle_link_is_closed_and_costs_no_greenlet(fleet: Fleet) -> None:
     a, b = fleet.start("a", idle_ms=30.0), fleet.start("b")
     for at in (1, 2):
-        a.links.send(b.seat, TimeoutNow(at))
-        until(lambda at=at: len(b.heard) == at)  # type: ignore[misc]
+        a.links.send(b.replica, TimeoutNow(at))
+        until(lambda at=at: len(b.received) == at)  # type: ignore[misc]
         until(lambda: not a.links.peers["b"].running and not b.links.listener.connections)
         assert not a.status("b")["connected"]
     assert a.log.lines == b.log.lines == []
 
 
 class Pauses:
-    """Stands for the event that a pause waits for: notes when it would end, and ends the ninth at once."""
+    """Replaces the retry event: records when each wait would end, and stops the link at the ninth."""
 
     def __init__(self, peer: Any, times: list[float]) -> None:
         self.peer, self.times = peer, times
@@ -426,18 +433,18 @@
 
     def wait(self, seconds: float) -> bool:
         self.times.append(self.times[-1] + seconds)
-        self.peer.over = len(self.times) > 8
+        self.peer.stopped = len(self.times) > 8
         return False
 
 
 def test_forty_that_lost_one_member_do_not_dial_in_step() -> None:
-    """Real dials to a port where nobody listens, by forty members with one seed; their pauses are noted."""
+    """Dials a port without a listener from forty members with one seed; their delays are recorded."""
     fleet, times = Fleet(), dict[str, list[float]]()
-    fleet.known("gone")
+    fleet.add_members("gone")
     members = fleet.members | {f"n{at}": ("127.0.0.1", 1 + at) for at in range(40)}
     for name in members.keys() - {"gone"}:
-        told = LinkSettings(HIVES, ("127.0.0.1", 0), members)
-        peer = Member(ReplicaId(name, 1), told).links.peers["gone"]
+        settings = LinkSettings(INSTALLATION, ("127.0.0.1", 0), members)
+        peer = Member(ReplicaId(name, 1), settings).links.peers["gone"]
         times[name] = [0.0]
 
         peer.retry_now = Pauses(peer, times[name])
@@ -454,12 +461,12 @@
 
 def test_what_is_queued_goes_out_before_the_end(fleet: Fleet) -> None:
     a, b = fleet.start("a"), fleet.start("b")
-    a.links.send(b.seat, TimeoutNow(1))
-    until(lambda: b.heard)
-    for one in offers(0, 50):
-        a.links.send(b.seat, one)
+    a.links.send(b.replica, TimeoutNow(1))
+    until(lambda: b.received)
+    for message in offers(0, 50):
+        a.links.send(b.replica, message)
     a.links.stop()
-    until(lambda: len(b.heard) == 51)
-    a.links.send(b.seat, TimeoutNow(2))
+    until(lambda: len(b.received) == 51)
+    a.links.send(b.replica, TimeoutNow(2))
     gevent.sleep(0)
     assert not a.links.peers["b"].running
--- a/tests/test_council_part.py
+++ b/tests/test_council_part.py
@@ -1,4 +1,4 @@
-"""The council as a running part: its actor, its settings, real disks and links, real processes."""
+"""The council as a running part: its actor, its settings, real disks and links, and real processes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from harrieryoke.plugins.bench import Quiet
 
 from .council_nodes import Nodes
-from .council_nodes import until as seen
+from .council_nodes import wait_until as seen
 from .scenario import free_address
 
 DUTIES = ["reconcile", "budget:kef", "budget:bon", "calendar:sahel"]
@@ -41,58 +41,60 @@
 PATIENCE = 15.0  # seconds until what should come soon is held to have failed
 
 
-def until(what: Callable[[], object]) -> None:
+def until(condition: Callable[[], object]) -> None:
     by = boot_ms() + 1000 * PATIENCE
-    while not what():
+    while not condition():
         assert boot_ms() < by, "not in time"
         gevent.sleep(0.005)
 
 
 def settings(names: str = "abc", voters: str = "abc", **changes: object) -> CouncilSettings:
-    members = {name: f"127.0.0.1:{7801 + n}" for n, name in enumerate(names)}
-    told = CouncilSettings("hives", members, list(voters), DUTIES, **(TIMES | changes))  # type: ignore[arg-type]
-    told.check()
-    return told
+    member_addresses = {name: f"127.0.0.1:{7801 + n}" for n, name in enumerate(names)}
+    council_settings = CouncilSettings("hives", member_addresses, list(voters), DUTIES, **(TIMES | changes))  # type: ignore[arg-type]
+    council_settings.check()
+    return council_settings
 
 
-class Memory:
-    """A disk that takes a moment, or nothing."""
+class MemoryDisk:
+    """A disk that takes a moment, or fails."""
 
-    def __init__(self, name: str, number: int, first: bool) -> None:
+    def __init__(self, name: str, number: int, is_first: bool) -> None:
         self.replica = ReplicaId(name, number)
-        self.recovered = replay_records([bootstrap_snapshot([self.replica])]) if first else PersistentState()
-        self.full, self.waiting = False, list[PendingWrite]()
-        self.done: Callable[[int], object] = lambda number: None
-        self.failed: Callable[[str], object] = lambda why: None
+        self.recovered = (
+            replay_records([bootstrap_snapshot([self.replica])]) if is_first else PersistentState()
+        )
+        self.failing, self.queued = False, list[PendingWrite]()
+        self.on_written: Callable[[int], object] = lambda number: None
+        self.on_failed: Callable[[str], object] = lambda why: None
 
     def save(self, saves: list[PendingWrite]) -> None:
-        self.waiting += saves
+        self.queued += saves
         gevent.spawn_later(0.001, self.sync)
 
     def sync(self) -> None:
-        if self.full:
-            self.failed("no space left")
+        if self.failing:
+            self.on_failed("no space left")
             gevent.spawn_later(0.02, self.sync)
-        elif self.waiting:
-            number, self.waiting = self.waiting[-1].sequence, []
-            self.done(number)
+        elif self.queued:
+            number, self.queued = self.queued[-1].sequence, []
+            self.on_written(number)
 
 
-class Town:
-    """Members whose messages take a moment, and one who looks all the time whether two act on one duty."""
+class LocalMembers:
+    """Members whose messages take a moment; checks that no two members act on one duty."""
 
     def __init__(self, names: str, voters: str, **changes: object) -> None:
-        told = settings(names, voters, **changes)
-        self.disks = {name: Memory(name, n + 1, n == 0) for n, name in enumerate(names)}
-        self.actors = {n: CouncilActor(n, told, self.disks[n], Quiet(), ord(n)) for n in names}
+        council_settings = settings(names, voters, **changes)
+        self.disks = {name: MemoryDisk(name, n + 1, n == 0) for n, name in enumerate(names)}
+        self.actors = {n: CouncilActor(n, council_settings, self.disks[n], Quiet(), ord(n)) for n in names}
         self.fences = {duty: Fence() for duty in DUTIES}
         for name, actor in self.actors.items():
-            actor.ways, disk = Paths(self, name), self.disks[name]
-            disk.done, disk.failed = actor.disk_done, actor.disk_failed
+            actor.links, disk = LocalLinks(self, name), self.disks[name]
+            disk.on_written, disk.on_failed = actor.records_written, actor.disk_failed
             actor.start()
 
-    def deliver(self, sender: str, to: str, message: Message | DutyHandover) -> None:
-        gevent.spawn_later(0.001, self.actors[to].hear, self.actors[sender].agreement.replica, message)
+    def deliver(self, sender: str, recipient: str, message: Message | DutyHandover) -> None:
+        gevent.spawn_later(0.001, self.actors[recipient].deliver, self.actors[sender].raft.replica, message)
 
     def holders(self, duty: str) -> dict[str, int]:
         found = {name: token for name, a in self.actors.items() if (token := a.acting(duty))}
@@ -104,130 +106,136 @@
         return all([self.holders(duty) for duty in DUTIES])
 
     def leader(self) -> CouncilActor:
-        """Where two think they lead, the later; where none does, the first."""
+        """If two lead, the later one; if none does, the first."""
         return max(
             self.actors.values(),
-            key=lambda a: (a.agreement.is_established_leader(), a.agreement.term, not a.finished),
+            key=lambda a: (a.raft.is_established_leader(), a.raft.term, not a.finished),
         )
 
 
-class Paths:
-    def __init__(self, town: Town, me: str) -> None:
-        self.town, self.me = town, me
+class LocalLinks:
+    def __init__(self, members: LocalMembers, name: str) -> None:
+        self.members, self.name = members, name
 
-    def send(self, to: ReplicaId | None, message: Message | DutyHandover) -> None:
-        for name in self.town.actors.keys() - {self.me}:
-            if to is None or to == self.town.disks[name].replica:
-                self.town.deliver(self.me, name, message)
+    def send(self, recipient: ReplicaId | None, message: Message | DutyHandover) -> None:
+        for name in self.members.actors.keys() - {self.name}:
+            if recipient is None or recipient == self.members.disks[name].replica:
+                self.members.deliver(self.name, name, message)
 
     def send_to(self, names: Iterable[str], message: Message | DutyHandover) -> None:
         for name in names:
-            self.town.deliver(self.me, name, message)
+            self.members.deliver(self.name, name, message)
 
 
 @pytest.fixture
-def town() -> Iterator[Town]:
-    made = Town("abcd", "abc")
-    until(lambda: made.all_held() and len(made.leader().agreement.configuration.voters) == 3)
+def town() -> Iterator[LocalMembers]:
+    made = LocalMembers("abcd", "abc")
+    until(lambda: made.all_held() and len(made.leader().raft.configuration.voters) == 3)
     yield made
     for actor in made.actors.values():
         actor.finished = True
         actor.message_arrived.set()
 
 
-def settled(town: Town) -> dict[str, str]:
-    """Who holds what, when all are there and each duty is where it belongs."""
-    until(lambda: len(town.leader().duties.sessions) == len(town.actors))
-    wanted = {duty: preferred_member(duty, town.leader().duties.sessions) for duty in DUTIES}
-    until(lambda: all(list(town.holders(duty)) == [wanted[duty]] for duty in DUTIES))
+def settled_holders(members: LocalMembers) -> dict[str, str]:
+    """Returns the holder of each duty once all members are present and each duty is with its preferred
+    member.
+    """
+    until(lambda: len(members.leader().duties.sessions) == len(members.actors))
+    wanted = {duty: preferred_member(duty, members.leader().duties.sessions) for duty in DUTIES}
+    until(lambda: all(list(members.holders(duty)) == [wanted[duty]] for duty in DUTIES))
     return {duty: name for duty, name in wanted.items() if name is not None}
 
 
-def holder(town: Town, leads: bool) -> tuple[CouncilActor, list[str]]:
-    """A voter with duties, which leads or does not."""
-    held, led = settled(town), town.leader().agreement
-    name = next(n for n in held.values() if n in "abc" and (leads or n != led.replica.name))
-    if leads and name != led.replica.name:
-        led.transfer_leadership(boot_ms(), town.disks[name].replica)
-        until(lambda: town.leader().me == name)
-    return town.actors[name], [duty for duty in DUTIES if held[duty] == name]
+def holder_of_duties(members: LocalMembers, leads: bool) -> tuple[CouncilActor, list[str]]:
+    """Returns a voter with duties that is the leader, or that is not."""
+    held, leader = settled_holders(members), members.leader().raft
+    name = next(n for n in held.values() if n in "abc" and (leads or n != leader.replica.name))
+    if leads and name != leader.replica.name:
+        leader.transfer_leadership(boot_ms(), members.disks[name].replica)
+        until(lambda: members.leader().member == name)
+    return members.actors[name], [duty for duty in DUTIES if held[duty] == name]
 
 
 @pytest.mark.parametrize("leads", [False, True])
-def test_a_member_whose_disk_takes_nothing_gives_up_until_it_is_well(town: Town, leads: bool) -> None:
-    actor, mine = holder(town, leads)
-    name = actor.me
-    town.disks[name].full = True
-    until(lambda: actor.failing)
+def test_a_member_whose_disk_takes_nothing_gives_up_until_it_is_well(
+    members: LocalMembers, leads: bool
+) -> None:
+    actor, mine = holder_of_duties(members, leads)
+    name = actor.member
+    members.disks[name].failing = True
+    until(lambda: actor.disk_error)
     assert not any(actor.acting(duty) for duty in DUTIES)
-    until(lambda: town.all_held())
-    assert town.leader().me != name and "no space left" in status(actor)["ailing"]
-    if not leads:  # its words still reach the leader: the others see why
-        until(lambda: "no space left" in town.leader().duties.sessions[name].unavailable.get(mine[0], ""))
+    until(lambda: members.all_held())
+    assert members.leader().member != name and "no space left" in status(actor)["ailing"]
+    if not leads:  # its renewals still reach the leader, so the others see the reason
+        until(lambda: "no space left" in members.leader().duties.sessions[name].unavailable.get(mine[0], ""))
     well = boot_ms()
-    town.disks[name].full = False
-    until(lambda: all(list(town.holders(duty)) == [name] for duty in mine))
+    members.disks[name].failing = False
+    until(lambda: all(list(members.holders(duty)) == [name] for duty in mine))
     assert boot_ms() - well >= TIMES["settle_ms"]  # not with its first write
     assert not status(actor)["ailing"]
 
 
 @pytest.mark.parametrize("leads", [False, True])
-def test_who_leaves_hands_its_duties_on_while_it_still_acts(town: Town, leads: bool) -> None:
-    actor, _ = holder(town, leads)
+def test_who_leaves_hands_its_duties_on_while_it_still_acts(members: LocalMembers, leads: bool) -> None:
+    actor, _ = holder_of_duties(members, leads)
     longest, last = 0.0, boot_ms()
     actor.leave(TIMES["leave_ms"])
-    while not actor.gone.is_set():
-        if town.all_held():
+    while not actor.has_left.is_set():
+        if members.all_held():
             last = boot_ms()
         longest = max(longest, boot_ms() - last)
         gevent.sleep(0.002)
-    assert town.all_held() and longest < TIMES["lease_ms"] / 2
-    assert actor.agreement.role is not Role.LEADER
-    until(lambda: not town.leader().duties.sessions[actor.me].open)
+    assert members.all_held() and longest < TIMES["lease_ms"] / 2
+    assert actor.raft.role is not Role.LEADER
+    until(lambda: not members.leader().duties.sessions[actor.member].open)
 
 
-def test_it_stops_in_the_same_step_and_after_a_stall_does_nothing_on_what_was_true(town: Town) -> None:
-    held = settled(town)
-    actor = town.actors[held["reconcile"]]
+def test_it_stops_in_the_same_step_and_after_a_stall_does_nothing_on_what_was_true(
+    members: LocalMembers,
+) -> None:
+    held = settled_holders(members)
+    actor = members.actors[held["reconcile"]]
     actor.cannot("reconcile", "behind")
     assert not actor.acting("reconcile")
     actor.can("reconcile")
     token = actor.acting("reconcile")
     actor.disk_failed("no space left")
     assert token and not actor.acting("reconcile")
-    actor.disk_done(0)
+    actor.records_written(0)
     assert actor.acting("reconcile") == token
-    actor.clock = lambda: boot_ms() + TIMES["lease_ms"]  # no turn, no message: only the time that was lost
+    actor.clock = lambda: boot_ms() + TIMES["lease_ms"]  # no turn and no message: only time has passed
     assert not actor.acting("reconcile")
 
 
 def test_who_shall_hold_nothing_says_nothing_and_who_drains_keeps_what_nobody_takes() -> None:
-    town = Town("a", "a")
-    until(town.all_held)
-    actor = town.actors["a"]
+    members = LocalMembers("a", "a")
+    until(members.all_held)
+    actor = members.actors["a"]
     actor.blocking_send(settings("a", "a", weight=0.0))
     until(lambda: actor.duties.sessions["a"].weight == 0)
-    assert town.all_held()
+    assert members.all_held()
     actor.finished = True
-    quiet = Town("a", "a", weight=0.0)
+    quiet = LocalMembers("a", "a", weight=0.0)
     until(lambda: quiet.actors["a"].duties.duties)
-    assert quiet.actors["a"].holder.last_sequence == 0
+    assert quiet.actors["a"].lease_holder.last_sequence == 0
     quiet.actors["a"].finished = True
 
 
 def test_the_mailbox_is_bounded_and_the_disk_is_heard_all_the_same() -> None:
-    actor = CouncilActor("a", settings(mailbox=64), Memory("a", 1, True), Quiet(), 1)
+    actor = CouncilActor("a", settings(mailbox=64), MemoryDisk("a", 1, True), Quiet(), 1)
     for _ in range(70):
-        actor.hear(ReplicaId("b", 2), JoinRequest())
-    actor.agreement.leader = actor.agreement.replica
+        actor.deliver(ReplicaId("b", 2), JoinRequest())
+    actor.raft.leader = actor.raft.replica
     assert actor.dropped == 6 and "full" in actor.propose("reconcile", 1, b"x")
     actor.disk_failed("no space left")
     actor.disk_failed("no space left")
     assert len(actor.mailbox) == 65
     while actor.mailbox:
         actor.process_mailbox()
-    assert actor.agreement.disk_error == "no space left" and not actor.propose("reconcile", 1, b"x")
-    assert "too many" in actor.propose("reconcile", 1, b"x" * (MAX_BODY_BYTES + 1))
+    assert actor.raft.disk_error == "no space left" and not actor.propose("reconcile", 1, b"x")
+    assert "too large" in actor.propose("reconcile", 1, b"x" * (MAX_BODY_BYTES + 1))
 
 
 @pytest.mark.parametrize(
@@ -268,8 +276,8 @@
 # --- real disks and links, in this process ---
 
 
-class Tally:
-    """A duty's machine."""
+class RecordedBodies:
+    """The state machine of a duty."""
 
     def __init__(self) -> None:
         self.bodies: list[bytes] = []
@@ -288,21 +296,21 @@
         self.bodies = data.split()
 
 
-class Parts:
+class RunningParts:
     def __init__(self, folder: Path, names: str) -> None:
         self.addresses = {name: free_address() for name in names}
-        self.folder, self.parts, self.tallies = folder, dict[str, CouncilPart](), dict[str, Tally]()
+        self.folder, self.parts, self.tallies = folder, dict[str, CouncilPart](), dict[str, RecordedBodies]()
 
-    def told(self, name: str, members: str, voters: str = "abc") -> CouncilSettings:
+    def settings(self, name: str, members: str, voters: str = "abc") -> CouncilSettings:
         table = settings("abc", "abc", folder=str(self.folder / name), compact_every=16)
         table.members = {member: self.addresses[member] for member in members}
         table.voters = list(voters)
         return table
 
     def start(self, name: str, members: str, voters: str = "abc") -> CouncilPart:
-        part = self.parts[name] = CouncilPart(self.told(name, members, voters), name, Quiet(), ord(name))
-        tally = self.tallies[name] = Tally()
-        part.add_machine("reconcile", tally)
+        part = self.parts[name] = CouncilPart(self.settings(name, members, voters), name, Quiet(), ord(name))
+        recorded = self.tallies[name] = RecordedBodies()
+        part.add_machine("reconcile", recorded)
         part.open()
         part.start()
         return part
@@ -314,9 +322,9 @@
 
 
 @pytest.fixture
-def parts(tmp_path: Path) -> Iterator[Parts]:
-    made = Parts(tmp_path, "abcd")
-    Disk.bootstrap(made.told("a", "abc").store_settings(), "a", 1000)
+def parts(tmp_path: Path) -> Iterator[RunningParts]:
+    made = RunningParts(tmp_path, "abcd")
+    Disk.bootstrap(made.settings("a", "abc").store_settings(), "a", 1000)
     for name in "abc":
         made.start(name, "abc")
     until(made.held)
@@ -326,15 +334,15 @@
         part.stop()
 
 
-def agree(parts: Parts, name: str, first: int, last: int) -> None:
-    """Asks until all are in the log; one that is lost is repeated."""
-    tally = parts.tallies[name].bodies
+def commit_bodies(parts: RunningParts, name: str, first: int, last: int) -> None:
+    """Proposes each body until it is in the log; a lost one is repeated."""
+    recorded = parts.tallies[name].bodies
     for n in range(first, last):
         body = b"%d" % n
-        while body not in tally:
+        while body not in recorded:
             parts.parts[name].ask("reconcile", body)
             by = boot_ms() + 500
-            while body not in tally and boot_ms() < by:
+            while body not in recorded and boot_ms() < by:
                 gevent.sleep(0.001)
 
 
@@ -345,21 +353,21 @@
         CouncilPart(settings(), "x", Quiet(), 1)
 
 
-def test_a_member_comes_back_with_what_was_agreed_and_a_new_one_gets_it(parts: Parts) -> None:
+def test_a_member_comes_back_with_what_was_agreed_and_a_new_one_gets_it(parts: RunningParts) -> None:
     assert min(duty.token for duty in parts.parts["a"].actor.duties.duties.values() if duty.holder) > 1000
-    agree(parts, "b", 0, 40)
-    until(lambda: parts.parts["c"].actor.agreement.snapshot.index > 1016)
+    commit_bodies(parts, "b", 0, 40)
+    until(lambda: parts.parts["c"].actor.raft.snapshot.index > 1016)
     parts.parts.pop("c").stop()
-    agree(parts, "b", 40, 60)
+    commit_bodies(parts, "b", 40, 60)
     parts.start("c", "abc")
     until(lambda: parts.tallies["c"].bodies == parts.tallies["b"].bodies and parts.held())
-    for name in "abc":  # a new voter in the place of one, by a file that is read anew
-        parts.parts[name].reload(parts.told(name, "abcd", "abd"))
+    for name in "abc":  # replaces one voter by a new one through a reloaded file
+        parts.parts[name].reload(parts.settings(name, "abcd", "abd"))
     new = parts.start("d", "abcd", "abd")
     until(lambda: new.status()["voters"] == ["a", "b", "d"])
     until(lambda: parts.tallies["d"].bodies == parts.tallies["b"].bodies)
     until(lambda: new.status()["sessions"].keys() == set("abcd") and parts.held())
-    assert new.actor.agreement.snapshot.index > 1000
+    assert new.actor.raft.snapshot.index > 1000
 
 
 # --- real processes ---
@@ -374,9 +382,9 @@
     made = Nodes(tmp_path, "abc", TABLE, DUTIES)
     try:
         made.start()
-        seen(lambda: made.held() and made.home(), "each duty is where it belongs")
+        seen(lambda: made.all_held() and made.all_in_place(), "each duty is where it belongs")
         yield made
-        assert made.judge() > 0
+        assert made.check_observations() > 0
         for node in made:
             assert "greenlet-died" not in "".join(node.lines), node.lines
     finally:
@@ -384,37 +392,40 @@
 
 
 def test_processes_that_stall_die_lose_their_disk_fill_it_and_leave(nodes: Nodes) -> None:
-    stalled = next(node for node in nodes if node.acts() and node is not nodes.leader())
+    stalled = next(node for node in nodes if node.acting_duties() and node is not nodes.leader())
     stalled.send(signal.SIGSTOP)
-    seen(lambda: nodes.held(stalled), "a stalled one's duties are held by others")
+    seen(lambda: nodes.all_held(stalled), "a stalled one's duties are held by others")
     stalled.send(signal.SIGCONT)
-    seen(nodes.home, "it takes them back")
+    seen(nodes.all_in_place, "it takes them back")
 
     dead = nodes.leader()
     assert dead is not None
     dead.end(signal.SIGKILL)
-    seen(lambda: nodes.leader() and nodes.held(dead), "the others go on without the leader")
+    seen(lambda: nodes.leader() and nodes.all_held(dead), "the others go on without the leader")
     shutil.rmtree(dead.folder / "council-data")
     dead.start()
-    seen(lambda: nodes.home() and dead.told.get("voters") == ["a", "b", "c"], "it votes with a new disk")
-    assert len({node.told["disk_number"] for node in nodes}) == 3
-
-    full = next(node for node in nodes if node.acts())
-    full.limit(16)
-    seen(lambda: nodes.held(full), "others hold what it gave up")
-    assert "File too large" in full.told["ailing"] and not full.acts()
-    full.limit(-1)
-    seen(nodes.home, "it takes them back when it is well")
-
-    drained = next(node for node in nodes if node.acts())
+    seen(
+        lambda: nodes.all_in_place() and dead.last_status.get("voters") == ["a", "b", "c"],
+        "it votes with a new disk",
+    )
+    assert len({node.last_status["disk_number"] for node in nodes}) == 3
+
+    full = next(node for node in nodes if node.acting_duties())
+    full.limit_file_size(16)
+    seen(lambda: nodes.all_held(full), "others hold what it gave up")
+    assert "File too large" in full.last_status["ailing"] and not full.acting_duties()
+    full.limit_file_size(-1)
+    seen(nodes.all_in_place, "it takes them back when it is well")
+
+    drained = next(node for node in nodes if node.acting_duties())
     drained.write(drained.table.replace("[council]", "[council]\nweight = 0.0"))
     drained.send(signal.SIGHUP)
-    seen(lambda: nodes.held(drained) and not drained.acts(), "a new file drains it")
+    seen(lambda: nodes.all_held(drained) and not drained.acting_duties(), "a new file drains it")
     assert not any("reload-failed" in line or "restart is needed" in line for line in drained.lines)
 
-    leaving = next(node for node in nodes if node.acts())
-    mine = leaving.acts()
+    leaving = next(node for node in nodes if node.acting_duties())
+    mine = leaving.acting_duties()
     assert leaving.end(signal.SIGTERM) == 0
     lines = "".join(leaving.lines)
-    assert all(f"duty-left {duty}: handed on" in lines for duty in mine) and "not-left" not in lines
-    seen(lambda: nodes.held(leaving), "others hold what it left")
+    assert all(f"duty-left {duty}: handed over" in lines for duty in mine) and "not-left" not in lines
+    seen(lambda: nodes.all_held(leaving), "others hold what it left")
--- a/tests/test_council_sizes.py
+++ b/tests/test_council_sizes.py
@@ -1,5 +1,7 @@
-"""The council at 5, 40 and 200 members: what it says, and how long a duty is without a holder. A larger run:
-`python -m tests.test_council_sizes MEMBERS SEED FAILURES`."""
+"""Councils of 5, 40 and 200 members: message rates, and how long a duty has no holder.
+
+For a larger run: `python -m tests.test_council_sizes MEMBERS SEED FAILURES`.
+"""
 
 from __future__ import annotations
 
@@ -9,12 +11,13 @@
 
 from .council_world import DUTIES, LEASE, Member, World
 
-SIZES = {5: (3, 5), 40: (5, 10), 200: (7, 20)}  # members: voters, and how many would hold duties
+SIZES = {5: (3, 5), 40: (5, 10), 200: (7, 20)}  # by members: voters, and members that hold duties
 
 
 class MeasuredWorld(World):
-    """`messages` that were sent; of each duty since when its holder is to go, and of each time that took,
-    in true milliseconds."""
+    """Counts the messages sent; records since when each duty awaits a new holder, and how long that took in
+    true milliseconds.
+    """
 
     def __init__(self, members: int, seed: int) -> None:
         voters, willing_count = SIZES[members]
@@ -41,7 +44,7 @@
         ]
 
     def expect_handover(self, member: Member) -> None:
-        """What it holds is to be another's."""
+        """The duties that it holds must get another holder."""
         for duty in DUTIES:
             if token := member.lease_holder.acting_token(duty, member.clock(self.time)):
                 self.awaited[duty] = self.time, token
@@ -70,7 +73,7 @@
         self.run(LEASE.duration_ms)
 
     def rates(self, ms: float) -> tuple[float, float]:
-        """Entries and messages a second in that time."""
+        """Returns entries and messages per second during that time."""
         entries, messages = max(self.committed_entries), self.message_count
         self.run(ms)
         return (max(self.committed_entries) - entries) * 1000 / ms, (
--- a/tests/test_council_wire.py
+++ b/tests/test_council_wire.py
@@ -1,4 +1,4 @@
-"""The council's frames: every message comes back as it was, and of bad bytes comes WireError."""
+"""Council frames: every message survives a round trip, and invalid bytes raise only WireError."""
 
 from __future__ import annotations
 
@@ -16,51 +16,51 @@
 from harrieryoke.wire.frames import Decoder, WireError, encode
 
 FUZZ = settings(max_examples=300, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
-COUNT = st.integers(0, (1 << 63) - 1)
-NAME = st.text(st.characters(exclude_categories=["Cs"]), min_size=1, max_size=200)
+NUMBERS = st.integers(0, (1 << 63) - 1)
+NAMES = st.text(st.characters(exclude_categories=["Cs"]), min_size=1, max_size=200)
 DATA = st.binary(max_size=100)
 
 
 @st.composite
 def members(draw: st.DrawFn) -> m.Configuration:
-    names = draw(st.lists(NAME, min_size=1, max_size=12, unique=True))
-    seats = [m.ReplicaId(name, draw(st.integers(0, (1 << 64) - 1))) for name in names]
-    voters = draw(st.integers(1, min(7, len(seats))))
-    return m.Configuration(frozenset(seats[:voters]), frozenset(seats[voters:]))
+    names = draw(st.lists(NAMES, min_size=1, max_size=12, unique=True))
+    replicas = [m.ReplicaId(name, draw(st.integers(0, (1 << 64) - 1))) for name in names]
+    voters = draw(st.integers(1, min(7, len(replicas))))
+    return m.Configuration(frozenset(replicas[:voters]), frozenset(replicas[voters:]))
 
 
 @st.composite
 def append(draw: st.DrawFn) -> m.AppendEntries:
     prev = draw(st.integers(0, 1 << 62))
-    terms = sorted(draw(st.lists(COUNT, min_size=2, max_size=6)))
+    terms = sorted(draw(st.lists(NUMBERS, min_size=2, max_size=6)))
     entries = []
     for at, term in enumerate(terms[1:-1]):
         changes = draw(st.booleans())
-        told = (b"", draw(members())) if changes else (draw(DATA), None)
-        entries.append(m.Entry(prev + 1 + at, term, *told))
-    return m.AppendEntries(terms[-1], prev, terms[0], tuple(entries), draw(COUNT))
+        content = (b"", draw(members())) if changes else (draw(DATA), None)
+        entries.append(m.Entry(prev + 1 + at, term, *content))
+    return m.AppendEntries(terms[-1], prev, terms[0], tuple(entries), draw(NUMBERS))
 
 
 @st.composite
 def piece(draw: st.DrawFn) -> m.InstallSnapshot:
-    term, data, offset = draw(COUNT), draw(DATA), draw(st.integers(0, 1 << 40))
-    head = m.Snapshot(draw(COUNT), draw(st.integers(0, term)), draw(members()))
+    term, data, offset = draw(NUMBERS), draw(DATA), draw(st.integers(0, 1 << 40))
+    head = m.Snapshot(draw(NUMBERS), draw(st.integers(0, term)), draw(members()))
     return m.InstallSnapshot(term, head, offset, offset + len(data) + draw(st.integers(0, 1 << 40)), data)
 
 
-ALL: dict[type, st.SearchStrategy[m.Message | DutyHandover]] = {
-    m.RequestVote: st.builds(m.RequestVote, COUNT, COUNT, COUNT, st.booleans(), st.booleans()),
-    m.RequestVoteResponse: st.builds(m.RequestVoteResponse, COUNT, st.booleans(), st.booleans()),
+STRATEGIES: dict[type, st.SearchStrategy[m.Message | DutyHandover]] = {
+    m.RequestVote: st.builds(m.RequestVote, NUMBERS, NUMBERS, NUMBERS, st.booleans(), st.booleans()),
+    m.RequestVoteResponse: st.builds(m.RequestVoteResponse, NUMBERS, st.booleans(), st.booleans()),
     m.AppendEntries: append(),
-    m.AppendEntriesResponse: st.builds(m.AppendEntriesResponse, COUNT, st.booleans(), COUNT, COUNT),
+    m.AppendEntriesResponse: st.builds(m.AppendEntriesResponse, NUMBERS, st.booleans(), NUMBERS, NUMBERS),
     m.InstallSnapshot: piece(),
-    m.InstallSnapshotResponse: st.builds(m.InstallSnapshotResponse, COUNT, COUNT, COUNT),
-    m.TimeoutNow: st.builds(m.TimeoutNow, COUNT),
+    m.InstallSnapshotResponse: st.builds(m.InstallSnapshotResponse, NUMBERS, NUMBERS, NUMBERS),
+    m.TimeoutNow: st.builds(m.TimeoutNow, NUMBERS),
     m.ForwardProposal: st.builds(m.ForwardProposal, st.binary(min_size=1, max_size=100)),
     m.JoinRequest: st.just(m.JoinRequest()),
-    DutyHandover: st.builds(DutyHandover, NAME, NAME, st.integers(1, (1 << 63) - 1)),
+    DutyHandover: st.builds(DutyHandover, NAMES, NAMES, st.integers(1, (1 << 63) - 1)),
 }
-ANY = st.one_of(*ALL.values())
+ANY_MESSAGE = st.one_of(*STRATEGIES.values())
 
 
 def read(data: bytes) -> list[m.Message | DutyHandover]:
@@ -68,30 +68,32 @@
 
 
 def test_each_message_has_its_frame() -> None:
-    assert set(ALL) == {*m.Message.__args__, DutyHandover}
-    assert len(pb.Frame.DESCRIPTOR.oneofs_by_name["said"].fields) == len(ALL) + 3  # hello, welcome, refused
+    assert set(STRATEGIES) == {*m.Message.__args__, DutyHandover}
+    assert (
+        len(pb.Frame.DESCRIPTOR.oneofs_by_name["said"].fields) == len(STRATEGIES) + 3
+    )  # hello, welcome, refused
     assert [f.name for f in fields(DutyHandover)] == [f.name for f in pb.Passed.DESCRIPTOR.fields]
 
 
 @FUZZ
-@given(st.lists(ANY, min_size=1, max_size=5), st.integers(1, 40))
-def test_what_is_said_comes_back_however_it_is_cut(said: list[m.Message | DutyHandover], cut: int) -> None:
+@given(st.lists(ANY_MESSAGE, min_size=1, max_size=5), st.integers(1, 40))
+def test_what_is_said_comes_back_however_it_is_cut(message: list[m.Message | DutyHandover], cut: int) -> None:
     data, decoder, heard = (
-        b"".join(encode(to_wire(one)) for one in said),
+        b"".join(encode(to_wire(message)) for message in message),
         Decoder(pb.Frame, MAX_FRAME_BYTES),
         [],
     )
     for at in range(0, len(data), cut):
         heard += [from_wire(frame) for frame in decoder.feed(data[at : at + cut])]
-    assert heard == said
+    assert heard == message
 
 
 @FUZZ
-@given(ANY, st.data())
+@given(ANY_MESSAGE, st.data())
 def test_broken_bytes_raise_nothing_but_wire_errors(
-    said: m.Message | DutyHandover, data: st.DataObject
+    message: m.Message | DutyHandover, data: st.DataObject
 ) -> None:
-    broken = bytearray(encode(to_wire(said)))
+    broken = bytearray(encode(to_wire(message)))
     for _ in range(data.draw(st.integers(1, 4))):
         at = data.draw(st.integers(0, len(broken) - 1))
         how = data.draw(st.sampled_from(["change", "remove", "add"]))
@@ -103,7 +105,7 @@
             del broken[at:]
     with suppress(WireError):
         for heard in read(bytes(broken)):
-            assert read(encode(to_wire(heard))) == [heard]  # what was taken is a message like any other
+            assert read(encode(to_wire(heard))) == [heard]  # whatever is accepted is a valid message
 
 
 @FUZZ
@@ -115,27 +117,27 @@
 
 
 SEATS = [pb.Seat(name=f"n{at}", disk=at) for at in range(9)]
-ONE = pb.Members(voters=SEATS[:1])
-HIGH = 1 << 63
+ONE_VOTER = pb.Members(voters=SEATS[:1])
+TOO_HIGH = 1 << 63
 
 
 @pytest.mark.parametrize(
     ("frame", "where"),
     [
         (pb.Frame(hello=pb.Hello()), "hello"),
-        (pb.Frame(vote=pb.Vote(term=HIGH)), "vote.term"),
-        (pb.Frame(ack=pb.Ack(index=HIGH)), "ack.index"),
-        (pb.Frame(ask_vote=pb.AskVote(last_index=HIGH)), "ask_vote.last_index"),
-        (pb.Frame(piece_ack=pb.PieceAck(want=HIGH)), "piece_ack.want"),
-        (pb.Frame(now=pb.Now(term=HIGH)), "now.term"),
+        (pb.Frame(vote=pb.Vote(term=TOO_HIGH)), "vote.term"),
+        (pb.Frame(ack=pb.Ack(index=TOO_HIGH)), "ack.index"),
+        (pb.Frame(ask_vote=pb.AskVote(last_index=TOO_HIGH)), "ask_vote.last_index"),
+        (pb.Frame(piece_ack=pb.PieceAck(want=TOO_HIGH)), "piece_ack.want"),
+        (pb.Frame(now=pb.Now(term=TOO_HIGH)), "now.term"),
         (pb.Frame(offer=pb.Offer()), "offer.data"),
         (pb.Frame(passed=pb.Passed(to="a", duty="d")), "passed.token"),
-        (pb.Frame(passed=pb.Passed(to="a", duty="d", token=HIGH)), "passed.token"),
+        (pb.Frame(passed=pb.Passed(to="a", duty="d", token=TOO_HIGH)), "passed.token"),
         (pb.Frame(passed=pb.Passed(to="a", token=1)), "passed.duty"),
         (pb.Frame(passed=pb.Passed(to="a" * 201, duty="d", token=1)), "passed.to"),
         (pb.Frame(append=pb.Append(term=1, prev_term=2)), "append.prev_term"),
         (
-            pb.Frame(append=pb.Append(term=1, prev=HIGH - 1, entries=[pb.Entry(index=HIGH)])),
+            pb.Frame(append=pb.Append(term=1, prev=TOO_HIGH - 1, entries=[pb.Entry(index=TOO_HIGH)])),
             "entries[0].index",
         ),
         (pb.Frame(append=pb.Append(term=3, prev=4, entries=[pb.Entry(index=6)])), "append.entries[0].index"),
@@ -147,7 +149,7 @@
         ),
         (pb.Frame(append=pb.Append(term=3, entries=[pb.Entry(index=1, term=4)])), "append.entries[0].term"),
         (
-            pb.Frame(append=pb.Append(term=3, entries=[pb.Entry(index=1, data=b"x", members=ONE)])),
+            pb.Frame(append=pb.Append(term=3, entries=[pb.Entry(index=1, data=b"x", members=ONE_VOTER)])),
             "append.entries[0].data",
         ),
         (
@@ -168,12 +170,12 @@
             ),
             "piece.snapshot.members: duplicate member name",
         ),
-        (pb.Frame(piece=pb.Piece(snapshot=pb.Snapshot(term=1, members=ONE))), "piece.snapshot.term"),
-        (pb.Frame(piece=pb.Piece(snapshot=pb.Snapshot(members=ONE), data=b"x")), "piece.offset"),
+        (pb.Frame(piece=pb.Piece(snapshot=pb.Snapshot(term=1, members=ONE_VOTER))), "piece.snapshot.term"),
+        (pb.Frame(piece=pb.Piece(snapshot=pb.Snapshot(members=ONE_VOTER), data=b"x")), "piece.offset"),
     ],
 )
-def test_a_value_out_of_its_range_is_named(frame: pb.Frame, where: str) -> None:
-    with pytest.raises(WireError, match=re.escape(where)):
+def test_a_value_out_of_its_range_is_named(frame: pb.Frame, path: str) -> None:
+    with pytest.raises(WireError, match=re.escape(path)):
         read(encode(frame))
 
 
--- a/tests/test_interleave_council.py
+++ b/tests/test_interleave_council.py
@@ -1,5 +1,6 @@
-"""Every order of a few steps of the council's machines: an act against the end of a lease, a renewal against
-an `End`, handing on, a disk against what is said, a leader that resigns; and faults planted in each."""
+"""All interleavings of a few steps: an action against the end of a lease, a renewal against `EndSession`,
+handing over, a disk against outgoing messages, and a leader that steps down; each also with injected faults.
+"""
 
 from __future__ import annotations
 
@@ -30,13 +31,14 @@
 from .interleave import Failed, Wait, World, explore, replay, shape
 from .test_council_faults import AcknowledgesWholeLog, EndsRenewedSession, NoFence
 
-LEASE = Lease(1000.0, 0.0)  # one clock for all
+LEASE = Lease(1000.0, 0.0)  # all members share a clock
 A, B, C = ReplicaId("a", 1), ReplicaId("b", 2), ReplicaId("c", 3)
 
 
 def shortest(make: Callable[[], World], failure: str, preemptions: int | None = None) -> list[str]:
-    """The shortest schedule of those with the fewest preemptions in which the fault shows; played again, it
-    shows in the same way."""
+    """Returns the shortest schedule with the fewest preemptions that shows the fault; a replay must fail in
+    the same way.
+    """
     with pytest.raises(Failed, match=failure) as found:
         explore(make, preemptions)
     assert replay(make, found.value.schedule) == found.value.failure
@@ -47,10 +49,11 @@
 
 
 class LeaseScenario(World):
-    """a's word was said at 0 and is old, its next one was said at 600; b's was said at 700, which it is now.
-    The agreed log is a list that a, b and the leader s apply each at its own pace. `case`: a's next word is
-    still on its way while its lease `ends`; or x is to be `passed` on to b; and b says that it can't, and
-    then that it can again (`wavers`)."""
+    """a holds x, b could. a's renewal of 0 is old, its next one was sent at 600; b's at 700, which is now.
+    The committed log is a list that a, b and the leader s each apply at their own pace. `case`: a's next
+    renewal is still on its way while its lease `ends`; x is to be `passed` to b; or b marks x unavailable and
+    then available again (`wavers`).
+    """
 
     def __init__(self, case: str, components: Components) -> None:
         self.now, self.log = 0.0, list[d.Command]()
@@ -66,7 +69,7 @@
         self.renewals, self.handovers = list[d.RenewSession](), list[DutyHandover]()
         self.token, self.resource_token = 0, 0
         self.log.append(d.DefineDuties(("x",)))
-        for at, name in enumerate("asa"):  # asked for at 0, granted at 0, heard at 300
+        for at, name in enumerate("asa"):  # requested at 0, granted at 0, applied by a at 300
             self.now = (0.0, 0.0, 300.0)[at]
             self.catch_up(name)
         self.now = 700.0
@@ -125,7 +128,7 @@
         self.applied_count[name] += 1
 
     def catch_up(self, name: str) -> None:
-        """All that is said arrives, all that is agreed is applied; then it has its turn."""
+        """Delivers all renewals, applies the whole log, then ticks."""
         while self.renewals:
             self.deliver_renewal()
         while self.applied_count[name] < len(self.log):
@@ -140,7 +143,7 @@
         for action in self.lease_holders[name].tick(self.now):
             if isinstance(action, DutyHandover):
                 self.handovers.append(action)
-            elif self.now < 1000.0:  # what is said then is lost
+            elif self.now < 1000.0:  # a later renewal is lost
                 self.renewals.append(action)
 
     def deliver_renewal(self) -> None:
@@ -183,7 +186,7 @@
 
 
 class ActsBeforeHandover(LeaseHolder):
-    """Acts as heir before the holder has said that it stopped."""
+    """Acts as the successor before the holder has stopped."""
 
     def acting_token(self, name: str, now: float) -> int:
         duty = self.duties.duties.get(name)
@@ -193,7 +196,7 @@
 
 
 class ActsBeforeAgreement(LeaseHolder):
-    """Acts on what it was told, whatever is agreed."""
+    """Acts on a handover whether or not it is committed."""
 
     def acting_token(self, name: str, now: float) -> int:
         return super().acting_token(name, now) or (
@@ -214,13 +217,15 @@
 
 # --- a voter's disk against what it says ---
 
-OLD_ENTRIES = [Entry(1, 1), Entry(2, 1, b"old"), Entry(3, 1, b"old")]  # on c's disk; agreed is the first only
-NEW_ENTRIES = [Entry(1, 1), Entry(2, 5, b"new"), Entry(3, 5, b"new")]  # of a, who leads in term 5
+# on c's disk; only the first is committed
+OLD_ENTRIES = [Entry(1, 1), Entry(2, 1, b"old"), Entry(3, 1, b"old")]
+NEW_ENTRIES = [Entry(1, 1), Entry(2, 5, b"new"), Entry(3, 5, b"new")]  # of a, the leader in term 5
 
 
 class DiskScenario(World):
-    """The voter c hears `heard`, each from its sender, in any order. Its disk writes a record a step and says
-    so in the next; once the power may go."""
+    """The voter c receives `messages`, each from its sender, in any order. Its disk writes one record per
+    step and reports it in the next; the power may fail once.
+    """
 
     def __init__(self, raft_type: type[Raft], messages: dict[str, tuple[ReplicaId, Message]]) -> None:
         self.raft_type = raft_type
@@ -294,7 +299,7 @@
 
 
 class OmitsVote(Raft):
-    """Writes the term, not whom it voted for in it."""
+    """Writes the term, but not the vote."""
 
     def write_hard_state(self) -> None:
         vote, self.voted_for = self.voted_for, None
@@ -306,8 +311,9 @@
 
 
 class StepDownScenario(World):
-    """a leads; an entry is offered to it, its disk fails and takes records again. Links keep their order; the
-    others' disks write at once."""
+    """a leads; an entry is proposed to it, its disk fails and recovers. Links keep their order; the disks of
+    the others write at once.
+    """
 
     def __init__(self, raft_type: type[Raft]) -> None:
         replicas = {"a": A, "b": B, "c": C}
@@ -331,7 +337,7 @@
             "client": [
                 ("offer", lambda: self.run_and_process("a", lambda: self.members["a"].propose(0.0, b"x")))
             ],
-            "disk": [("fails", self.fail_disk), ("takes", lambda: setattr(self, "failing", False))],
+            "disk": [("fails", self.fail_disk), ("takes", lambda: setattr(self, "disk_failing", False))],
             "write": self.repeat(
                 lambda: self.pending_writes["a"] and not self.disk_failing,
                 partial(self.finish_writes, "a"),
@@ -449,7 +455,7 @@
 
 
 def test_an_heir_that_acts_before_that_is_agreed_is_found() -> None:
-    """It had said in between that it can't, and the duty went back."""
+    """In between it was unavailable, and the duty went back."""
     schedule = shortest(
         lambda: LeaseScenario("wavers", Components(lease_holder=ActsBeforeAgreement)), "two act"
     )
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -1,4 +1,6 @@
-"""Reconciliation in turns: the agreed machine against a plain model, and many members at one period's end."""
+"""Reconciliation in turns: the replicated state machine against a plain model, and many members at the end of
+a period.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +27,7 @@
 
 
 class RoundsAgainstModel(RuleBasedStateMachine):
-    """The model keeps a line of rounds and looks through all of it for each question."""
+    """The model keeps a list of rounds and scans it for each question."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -38,10 +40,9 @@
         ):
             self.patch.setattr(r, name, value)
         self.rounds, self.index = r.ReconciliationRounds(), 0
-        self.line: list[
-            list[int | str]
-        ] = []  # member, period, mark, tries, turn: in the order of their places
-        self.over: list[tuple[str, int, int, bool]] = []  # member, period, mark, done: the oldest first
+        self.line: list[list[int | str]] = []  # member, period, request ID, tries, turn: in queue order
+        # member, period, request ID, whether completed: oldest first
+        self.over: list[tuple[str, int, int, bool]] = []
 
     def teardown(self) -> None:
         self.patch.undo()
@@ -70,7 +71,7 @@
         assert self.say(r.GrantTurn(member, period, most)) == good
         if has is not None and good:
             has[4] = self.index
-            self.line.sort(key=lambda each: each[0] == member)  # behind the others, in the order they had
+            self.line.sort(key=lambda each: each[0] == member)  # behind the others, keeping their order
 
     @rule(
         member=NAMES, period=PERIODS, how=st.sampled_from(["done", "back", "give", "last"]), old=st.booleans()
@@ -128,8 +129,8 @@
 TestRounds = RoundsAgainstModel.TestCase
 
 
-LAG = 12.0  # ms at the most, from a member to the log and back
-WORK = 60.0  # ms at the most, of one turn
+LAG = 12.0  # at most, from a member to the log and back, in ms
+WORK = 60.0  # at most, for one turn, in ms
 PERIOD = 7
 TURN_SETTINGS = TurnSettings(
     at_once=3, turn_ms=2000.0, tries=3, again_ms=500.0, spread_ms=1000.0, repeat_ms=200.0
@@ -137,7 +138,7 @@
 
 
 class Node:
-    """A member's process, with its copy of what is agreed."""
+    """A member's process with its copy of the replicated state."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         self.fleet, self.name, self.applied, self.up, self.isolated = fleet, name, 0, True, False
@@ -169,7 +170,7 @@
             self.fleet.at(self.next_wake, self.step)
 
     def work(self, period: int, turn: int, messages: int) -> None:
-        """A turn is so many messages to the collector."""
+        """A turn consists of a number of messages to the collector."""
         self.fleet.working.discard(self.name)
         if not self.up or not self.member_turns.holds(self.fleet.t, period, turn):
             return
@@ -184,7 +185,7 @@
 
 
 class Fleet:
-    """`count` members and two more that hold the duty, h0 first, on one log that takes all it is offered."""
+    """`count` members and two that hold the duty, h0 first, on one log that accepts everything."""
 
     def __init__(self, count: int, seed: int, loss: float = 0.0) -> None:
         self.rng, self.loss, self.t, self.serial = random.Random(seed), loss, 0.0, 0
@@ -238,7 +239,7 @@
             node.step()
 
     def ended(self, member: str) -> bool | None:
-        """Whether it is done; None while it is not over."""
+        """Whether the round was completed; None while it has not ended."""
         end = self.nodes[1].rounds.ended.get((member, PERIOD))
         return None if end is None else end.counts is not None
 
@@ -246,7 +247,9 @@
         return len(self.nodes[1].rounds.ended) == len(self.members)
 
     def bound(self) -> float:
-        """Milliseconds for all: a turn is given, heard of, done, and its end heard of, by way of the log."""
+        """Returns the time limit for all rounds in ms: a turn is granted, learned of, completed, and its end
+        learned of through the log.
+        """
         return (
             TURN_SETTINGS.spread_ms
             + -(-len(self.members) // TURN_SETTINGS.at_once) * (WORK + 4 * LAG)
@@ -267,10 +270,10 @@
     assert all(len(node.started_turns) == 1 and fleet.ended(node.name) for node in fleet.members)
     entries = len(fleet.log)
     fleet.run(600_000.0)
-    assert len(fleet.log) == entries and not fleet.events  # and then nobody has anything to do
+    assert len(fleet.log) == entries and not fleet.events  # nothing is left to do
     for data in fleet.log[:entries]:
         if isinstance(command := d.decode(data), d.UnfencedCommand):
-            fleet.append(command)  # what comes once more, late
+            fleet.append(command)  # a late duplicate
     fleet.run(600_000.0)
     assert not fleet.nodes[1].rounds.open and all(len(node.started_turns) == 1 for node in fleet.members)
 
@@ -282,7 +285,7 @@
     fleet.end_period()
     fleet.run(60_000.0, lambda: len(new_holder.rounds.ended) >= count // 2)
     assert new_holder.rounds.running
-    old_holder.isolated = True  # it hears nothing and goes on conducting: what it says comes late
+    old_holder.isolated = True  # it receives nothing and continues granting: its commands arrive late
     for at in range(20):
         fleet.at(
             fleet.t + 50 * at,
@@ -315,7 +318,7 @@
     dead.up = False
     fleet.working.discard(dead.name)
     fleet.run(60_000.0, lambda: len(fleet.nodes[1].rounds.ended) >= 39)
-    # the others have one place less
+    # the others have one turn less
     assert (
         fleet.t - began
         <= TURN_SETTINGS.spread_ms + -(-39 // (TURN_SETTINGS.at_once - 1)) * (WORK + 4 * LAG) + 4 * LAG
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -1,4 +1,4 @@
-"""Ledgers that reconcile in turns: with a collector that keeps a fence, and a council in one place."""
+"""Ledgers reconciling in turns, with an emulated collector that checks fencing tokens and a local council."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class AllMachines:
-    """The machines of all members, as one."""
+    """Applies each command to the state machines of all members."""
 
     def __init__(self) -> None:
         self.machines = list[StateMachine]()
@@ -50,7 +50,7 @@
 
 
 class LocalCouncil:
-    """A council that agrees at once. `holder` conducts."""
+    """A council that commits at once. `holder` grants turns."""
 
     def __init__(self) -> None:
         self.state, self.machines, self.index, self.holder = (
@@ -76,7 +76,7 @@
 
 
 class MemberView:
-    """The council as one member sees it."""
+    """The council as seen by one member."""
 
     def __init__(self, council: LocalCouncil, name: str) -> None:
         self.council, self.name = council, name
@@ -128,7 +128,7 @@
         self.part.start()
 
     def end_period(self, count: int) -> int:
-        """Its period."""
+        """Returns the period."""
         now = now_ms()
         for number in range(count):
             call = Call(f"{number:016x}", 0, "f" * 16, now + 1000, memory=400, received_at=now - 50)
@@ -163,7 +163,8 @@
     until(lambda: len(members[0].turns.rounds.ended) == 3)
     ended = members[2].turns.rounds.ended
     assert sum(end.counts.sent for end in ended.values() if end.counts) == 5
-    until(lambda: collector.figures()["entries"] >= 180)  # a repair has no answer: the last may be on its way
+    # a repair has no answer, and the last one may still be on its way
+    until(lambda: collector.figures()["entries"] >= 180)
     figures = collector.figures()
     assert (figures["entries"], figures["duplicates"], collector.counts["older"]) == (180, 0, 0)
     tokens = {name: fence.token for (name, _), fence in collector.fences.items()}
@@ -184,7 +185,7 @@
     member.request_turn(period)
     until(lambda: member.part.link is not None and member.part.link.reconciler.stopped)
     assert collector.counts["older"] and not collector.counts["repaired"] and not member.result()
-    until(lambda: not member.turns.member_turns.pending)  # given up as often as the pace has it
+    until(lambda: not member.turns.member_turns.pending)  # revoked as often as the settings allow
     assert member.turns.status()["failed"] == 1
     fence.token = 0
     collector.down()
@@ -201,13 +202,13 @@
 def test_what_comes_of_an_older_turn_changes_nothing_at_the_collector() -> None:
     collector = EmulatedCollector(random.Random(3))
     entry = pb.Entry(instance="a", epoch=1, number=1, kind=pb.USE, period=7).SerializeToString()
-    assert not collector.sketch("a", pb.Reconcile(period=7, seed=1)).newer  # nobody gives turns yet
+    assert not collector.sketch("a", pb.Reconcile(period=7, seed=1)).newer  # no turns have been granted yet
     assert not collector.sketch("a", pb.Reconcile(period=7, seed=1, token=9)).newer
     for token in (0, 4, 8):
         watcher = collector.sketch("a", pb.Reconcile(period=7, seed=1, token=token))
         assert (watcher.newer, watcher.token, watcher.data) == (9, token, b"")
         collector.repair("a", pb.Repair(period=7, entries=[entry], token=token))
     assert not collector.raw() and collector.counts["older"] == 6
-    collector.repair("a", pb.Repair(period=8, entries=[entry], token=4))  # another period's turn
+    collector.repair("a", pb.Repair(period=8, entries=[entry], token=4))  # a turn of another period
     assert [codec.wire_id(data) for data in collector.raw("a")] == [codec.wire_id(entry)]
     collector.down()
