--- a/tests/council_nodes.py
+++ b/tests/council_nodes.py
@@ -69,19 +69,19 @@
         text = f'[ops]\nlisten = "{self.ops}"\n{table}'
         (self.folder / "operator.toml").write_text(text)
 
-    def command(self, *message: str) -> list[str]:
+    def command(self, *arguments: str) -> list[str]:
         return [
             sys.executable,
             "-m",
             "harrieryoke",
-            *message,
+            *arguments,
             "--operator",
             str(self.folder / "operator.toml"),
         ]
 
-    def run(self, *message: str) -> subprocess.CompletedProcess[str]:
+    def run(self, *arguments: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
-            self.command(*message), env=self.env, cwd=ROOT, capture_output=True, text=True, check=False
+            self.command(*arguments), env=self.env, cwd=ROOT, capture_output=True, text=True, check=False
         )
 
     def start(self) -> None:
@@ -136,8 +136,8 @@
         free = [free_address() for _ in range(3 * len(names))]
         self.duties = duties
         members = "".join(f'"{name}" = "{free.pop()}"\n' for name in names)
-        status = f"[council]\n{table}\nduties = {json.dumps(duties)}\n[council.members]\n{members}"
-        self.nodes = {name: Node(folder / name, name, status, free.pop(), free) for name in names}
+        settings = f"[council]\n{table}\nduties = {json.dumps(duties)}\n[council.members]\n{members}"
+        self.nodes = {name: Node(folder / name, name, settings, free.pop(), free) for name in names}
 
     def __iter__(self) -> Iterator[Node]:
         return iter(self.nodes.values())
--- a/tests/council_world.py
+++ b/tests/council_world.py
@@ -51,10 +51,8 @@
 SETTLE_MS = 800.0
 DUTIES = ("reconcile", "budget:kef", "budget:bon", "calendar:sahel")
 COMPACT_EVERY = 50  # entries
-MAX_TICK_GAP_MS = (
-    # at most, between two ticks of a member's lease holder and lease manager, besides those after entries
-    20.0
-)
+# between two ticks of a member's lease holder and lease manager, besides those after entries
+MAX_TICK_GAP_MS = 20.0
 
 
 class Violation(AssertionError):
@@ -382,10 +380,10 @@
     def receive(self, member: Member, sender: ReplicaId, message: Message) -> None:
         member.raft.receive(member.clock(self.time), sender, message)
 
-    # --- what must hold ---
+    # --- checks ---
 
-    def check_writes(self, member: Member, saves: list[PendingWrite]) -> None:
-        for write in saves:
+    def check_writes(self, member: Member, writes: list[PendingWrite]) -> None:
+        for write in writes:
             entry = write.record
             if isinstance(entry, Entry):
                 previous_term = member.raft.log.term_at(entry.index - 1)
@@ -416,7 +414,7 @@
             return
         if member.raft.log.term_at(response.index) not in (None, leader.log.term_at(response.index)):
             raise Violation(
-                f"{member.name} says that it has the leader's entry {response.index}, and has another"
+                f"{member.name} acknowledged the leader's entry {response.index}, but has another"
             )
 
     def check_session_end(self, name: str, incarnation: int, sequence: int) -> None:
@@ -430,7 +428,7 @@
             and machine.lease_holder.renewal_times.get(sequence, 0.0) + LEASE.duration_ms
             > machine.clock(self.time)
         ):
-            raise Violation(f"the session of {name} ends though its word {sequence} counts still")
+            raise Violation(f"the session of {name} ended although its renewal {sequence} is still valid")
 
     def apply(self, member: Member, item: Entry | Snapshot) -> None:
         if isinstance(item, Snapshot):
@@ -439,7 +437,7 @@
             if item.index != member.last_applied + 1:
                 raise Violation(f"{member.name} applies {item.index} after {member.last_applied}")
             if self.committed_entries.setdefault(item.index, item) != item:
-                raise Violation(f"{member.name} applies another entry {item.index} than was agreed")
+                raise Violation(f"{member.name} applies another entry {item.index} than was committed")
             if item.data:
                 command = d.decode(item.data)
                 ended = command if isinstance(command, d.EndSession) else None
@@ -453,16 +451,16 @@
             raise Violation(f"two states after entry {item.index}")
 
     def check_invariants(self, member: Member) -> None:
-        a, now = member.raft, member.clock(self.time)
-        if a.role is Role.LEADER and self.leaders.get(a.term) != member.replica:
-            if a.term in self.leaders:
-                raise Violation(f"two leaders in term {a.term}")
-            self.leaders[a.term] = member.replica
-            for index in range(a.log.base_index + 1, max(self.committed_entries, default=0) + 1):
+        raft, now = member.raft, member.clock(self.time)
+        if raft.role is Role.LEADER and self.leaders.get(raft.term) != member.replica:
+            if raft.term in self.leaders:
+                raise Violation(f"two leaders in term {raft.term}")
+            self.leaders[raft.term] = member.replica
+            for index in range(raft.log.base_index + 1, max(self.committed_entries, default=0) + 1):
                 if index in self.committed_entries and (
-                    index > a.log.last_index() or a.log.entry(index) != self.committed_entries[index]
+                    index > raft.log.last_index() or raft.log.entry(index) != self.committed_entries[index]
                 ):
-                    raise Violation(f"the leader of term {a.term} lacks the agreed entry {index}")
+                    raise Violation(f"the leader of term {raft.term} lacks the committed entry {index}")
         for duty in DUTIES:
             token = member.lease_holder.acting_token(duty, now)
             if not token:
@@ -592,7 +590,7 @@
             self.start(member)
 
     def run_with_faults(self, ms: float) -> None:
-        """Injects faults for `duration_ms`, then none, and checks that the council recovers."""
+        """Injects faults for `ms`, then none, and checks that the council recovers."""
         gap = 60 if self.aggressive else 400  # mean, in ms
         self.run(2000)
         end = self.time + ms
@@ -609,13 +607,15 @@
             member for member in self.members.values() if member.up and member.raft.is_established_leader()
         ]
         if not leading:
-            raise NotRecovered("nobody leads, though nothing is broken")
+            raise NotRecovered("no leader, although all faults have ended")
         return max(leading, key=lambda member: member.raft.term)
 
     def check_recovered(self) -> None:
         leader = self.leader()
         if {replica.name for replica in leader.raft.configuration.voters} != self.desired_voters:
-            raise NotRecovered(f"{leader.raft.configuration} vote, not {sorted(self.desired_voters)}")
+            raise NotRecovered(
+                f"{leader.raft.configuration} are the voters, not {sorted(self.desired_voters)}"
+            )
         for duty in DUTIES:
             if self.time - self.last_acted[duty] > 2 * LEASE.duration_ms:
                 raise NotRecovered(f"nobody acts on {duty}")
--- a/tests/test_acts.py
+++ b/tests/test_acts.py
@@ -41,7 +41,7 @@
     return state, machine
 
 
-def test_an_act_counts_under_the_dutys_token_and_a_request_without_one() -> None:
+def test_a_fenced_command_needs_the_dutys_token_and_an_unfenced_one_none() -> None:
     state, machine = make_state()
     cases: list[tuple[d.FencedCommand | d.UnfencedCommand, str]] = [
         (d.FencedCommand("x", 3, b"one"), ""),
@@ -60,7 +60,7 @@
     assert machine.commands == [(10, 3, b"one"), (16, 0, b"two")]
 
 
-def test_all_are_dumped_together_and_none_is_lost_on_the_way() -> None:
+def test_the_dump_holds_all_state_machines() -> None:
     state, _ = make_state()
     state.apply(4, d.FencedCommand("x", 3, b"one"))
     other = ReplicatedState(d.DutyTable())
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -29,7 +29,7 @@
     assert world.faults > 5 and world.steps > 2000
 
 
-def test_a_seed_replays_to_the_letter() -> None:
+def test_a_seed_replays_exactly() -> None:
     ends = []
     for _ in range(2):
         world = World(5, 3, 1)
@@ -45,7 +45,7 @@
     return Raft(replica, SETTINGS, replay_records([bootstrap_snapshot([A, B, C])]), 1, 0.0)
 
 
-def test_a_vote_leaves_only_when_it_is_written() -> None:
+def test_a_vote_is_sent_only_after_it_is_written() -> None:
     raft = voter(A)
     raft.receive(0.0, B, RequestVote(7, 0, 0))
     out = raft.take_ready()
@@ -53,20 +53,20 @@
     raft.records_written(1.0, out.writes[0].sequence)
     assert not raft.take_ready().messages
     raft.records_written(2.0, out.writes[1].sequence)
-    assert [send.message for send in raft.take_ready().messages] == [RequestVoteResponse(7, True)]
+    assert [outgoing.message for outgoing in raft.take_ready().messages] == [RequestVoteResponse(7, True)]
 
 
-def test_an_offer_leaves_though_the_disk_takes_nothing() -> None:
+def test_a_proposal_is_forwarded_while_the_disk_fails() -> None:
     raft = voter(A)
     raft.receive(0.0, B, AppendEntries(7, 0, 0, (), 0))
     raft.take_ready()
     assert not raft.propose(1.0, b"it can't be done here")
-    assert [send.message for send in raft.take_ready().messages] == [
+    assert [outgoing.message for outgoing in raft.take_ready().messages] == [
         ForwardProposal(b"it can't be done here")
     ]
 
 
-def test_who_is_in_takes_no_room_at_the_door() -> None:
+def test_members_do_not_use_join_request_slots() -> None:
     world = World(3, 3, 1)
     world.run(4000)
     raft = world.leader().raft
@@ -78,7 +78,7 @@
     assert ReplicaId("late", 1) in raft.join_requests
 
 
-def test_changes_that_no_majority_could_bear_are_refused() -> None:
+def test_unsafe_configuration_changes_are_refused() -> None:
     world = World(3, 3, 1)
     world.run(4000)
     leader = world.leader()
@@ -99,7 +99,7 @@
     assert "previous" in raft.change_configuration(now, Configuration(raft.configuration.voters - {other}))
 
 
-def test_one_that_lives_is_not_put_out_while_another_is_dead() -> None:
+def test_a_live_voter_is_not_removed_while_another_is_dead() -> None:
     """With one of the two remaining voters dead there is no quorum; if its disk is lost, there never is."""
     world = World(3, 3, 1)
     world.run(4000)
@@ -124,7 +124,7 @@
     )
 
 
-def test_a_lost_disk_comes_back_as_another_seat() -> None:
+def test_a_lost_disk_returns_as_a_new_replica() -> None:
     world = World(4, 3, 0)
     world.run(4000)
     member = world.members["b"]
@@ -152,7 +152,7 @@
     return longest
 
 
-def test_draining_leaves_a_gap_of_one_way_and_a_crash_one_of_a_lease_and_an_election() -> None:
+def test_a_drain_costs_one_message_delay_and_a_crash_one_lease_and_election() -> None:
     world = World(6, 3, 2)
     world.run(6000)
     world.check_recovered()
@@ -172,7 +172,7 @@
     assert 300.0 < longest_gap(world, 5000.0) < 2.5 * 1000.0
 
 
-def test_who_cannot_says_why_and_another_does_it() -> None:
+def test_an_unavailable_duty_moves_to_another_member() -> None:
     world = World(8, 3, 0)
     world.run(6000)
     member = next(
@@ -187,7 +187,7 @@
     assert leader.duties.duties["reconcile"].holder not in ("", member.name)
 
 
-def test_the_fence_and_the_entries_under_a_token() -> None:
+def test_fencing_of_changes_and_of_entries() -> None:
     fence = Fence()
     assert [fence.admit(token) for token in (0, 5, 7, 6, 7)] == [False, True, True, False, True]
     assert fence.rejected == 2
@@ -209,7 +209,7 @@
     assert again.dump() == duties.dump()
 
 
-def test_the_spread_follows_weights_and_moves_little() -> None:
+def test_rendezvous_hashing_follows_weights_and_moves_few_duties() -> None:
     names = [f"budget:{n}" for n in range(2000)]
     three = {member: d.Session(1, 1, w, {}) for member, w in (("a", 1.0), ("b", 1.0), ("c", 2.0))}
     before = {name: preferred_member(name, three) for name in names}
--- a/tests/test_council_faults.py
+++ b/tests/test_council_faults.py
@@ -41,23 +41,24 @@
 class VotesForAnyLog(Raft):
     """Votes for a candidate whose log lacks committed entries."""
 
-    def handle_request_vote(self, sender: ReplicaId, member: RequestVote) -> None:
+    def handle_request_vote(self, sender: ReplicaId, message: RequestVote) -> None:
         super().handle_request_vote(
-            sender, RequestVote(member.term, 1 << 40, 1 << 40, member.pre_vote, member.leadership_transfer)
+            sender,
+            RequestVote(message.term, 1 << 40, 1 << 40, message.pre_vote, message.leadership_transfer),
         )
 
 
 class SkipsLogMatching(Raft):
     """Accepts entries without comparing the previous term."""
 
-    def handle_append_entries(self, leader: ReplicaId, member: AppendEntries) -> None:
-        term = self.log.term_at(member.prev_log_index)
+    def handle_append_entries(self, leader: ReplicaId, message: AppendEntries) -> None:
+        term = self.log.term_at(message.prev_log_index)
         super().handle_append_entries(
             leader,
-            member
+            message
             if term is None
             else AppendEntries(
-                member.term, member.prev_log_index, term, member.entries, member.leader_commit
+                message.term, message.prev_log_index, term, message.entries, message.leader_commit
             ),
         )
 
@@ -117,10 +118,10 @@
 
 
 class AcknowledgesWholeLog(Raft):
-    def send(self, to: ReplicaId | None, message: Message, after_sequence: int = 0) -> None:
+    def send(self, recipient: ReplicaId | None, message: Message, after_sequence: int = 0) -> None:
         if isinstance(message, AppendEntriesResponse) and message.success:
             message = AppendEntriesResponse(message.term, True, self.log.last_index())
-        super().send(to, message, after_sequence)
+        super().send(recipient, message, after_sequence)
 
 
 class EndsRenewedSession(d.DutyTable):
@@ -134,17 +135,17 @@
 
 FAULTS = {
     "a vote for a shorter log": Components(raft=VotesForAnyLog),
-    "entries taken behind others": Components(raft=SkipsLogMatching),
-    "a lease counted from the answer": Components(lease_holder=MeasuresLeaseFromResponse),
-    "a holder that passes on and acts": Components(lease_holder=ActsAfterHandover),
+    "entries appended after a mismatch": Components(raft=SkipsLogMatching),
+    "a lease measured from the response": Components(lease_holder=MeasuresLeaseFromResponse),
+    "a holder that acts after the handover": Components(lease_holder=ActsAfterHandover),
     "no fence": Components(fence=NoFence),
-    "an ack of a tail that is not the leader's": Components(raft=AcknowledgesWholeLog),
-    "an end that no renewal stops": Components(duties=EndsRenewedSession),
+    "an acknowledgement of entries that are not the leader's": Components(raft=AcknowledgesWholeLog),
+    "a session that ends despite a renewal": Components(duties=EndsRenewedSession),
 }
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_random_schedules_find(name: str) -> None:
+def test_random_schedules_detect(name: str) -> None:
     for seed in range(60):
         with suppress(NotRecovered):
             try:
@@ -187,10 +188,10 @@
         ("lost", Components(keeps_replica_id=True)),
     ],
 )
-def test_no_seat_votes_twice(how: str, fault: Components) -> None:
+def test_no_replica_votes_twice(how: str, fault: Components) -> None:
     world = World(1)
     request_two_votes(world, how)
-    assert any(seat.name == "c" and term == 50 for seat, term in world.votes)
+    assert any(replica.name == "c" and term == 50 for replica, term in world.votes)
     with pytest.raises(Violation, match="voted twice"):
         request_two_votes(World(1, components=fault), how)
 
@@ -212,7 +213,7 @@
     world.run(3000)
 
 
-def test_clocks_of_different_rates_leave_one_holder(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_clock_drift_leaves_one_holder(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(council_world, "LEASE", Lease(1000.0, 0.2))
     isolate_slow_holder(Components())
     with pytest.raises(Violation, match="act on"):
@@ -282,14 +283,14 @@
 
 
 @pytest.mark.parametrize(
-    ("play", "fault"),
+    ("scenario", "fault"),
     [
         (crash_leader_with_slow_disk, Components(raft=CountsOwnUnwrittenEntries)),
         (isolated_leader_removes_others, Components(raft=UncheckedConfigurationChange)),
         (resume_before_release, Components(lease_holder=ResumesImmediately)),
     ],
 )
-def test_a_schedule_made_for_it_finds(scenario: Callable[[Components], None], fault: Components) -> None:
+def test_a_targeted_schedule_detects(scenario: Callable[[Components], None], fault: Components) -> None:
     scenario(Components())
     with pytest.raises(Violation):
         scenario(fault)
@@ -311,8 +312,8 @@
     return before, world.leader().raft.term
 
 
-def test_one_behind_a_broken_link_disturbs_nobody() -> None:
-    before, after_sequence = isolate_inbound(Components())
-    assert before == after_sequence
-    before, after_sequence = isolate_inbound(Components(raft=NoPreVote))
-    assert before < after_sequence
+def test_a_member_behind_a_broken_link_does_not_disrupt() -> None:
+    before, after = isolate_inbound(Components())
+    assert before == after
+    before, after = isolate_inbound(Components(raft=NoPreVote))
+    assert before < after
--- a/tests/test_council_ledger.py
+++ b/tests/test_council_ledger.py
@@ -42,11 +42,11 @@
     return made.ledger.link.reconciler.turns
 
 
-def test_a_period_waits_for_its_turn_where_the_council_has_the_duty(tmp_path: Path) -> None:
+def test_a_period_waits_for_its_turn_if_the_council_has_the_duty(tmp_path: Path) -> None:
     assert isinstance(turns(tmp_path, '"reconcile"'), TurnsActor)
     assert isinstance(turns(tmp_path, '"calendar:kef"'), Alone)
 
 
-def test_a_pace_that_can_not_be_kept_is_named(tmp_path: Path) -> None:
+def test_an_invalid_turn_setting_is_named(tmp_path: Path) -> None:
     with pytest.raises(ValueError, match=r"council\.reconcile\.at_once"):
         turns(tmp_path, '"reconcile"', at_once=0)
--- a/tests/test_council_link.py
+++ b/tests/test_council_link.py
@@ -150,7 +150,7 @@
 # --- who is heard ---
 
 
-def test_members_hear_each_other_in_order(fleet: Fleet) -> None:
+def test_messages_between_members_arrive_in_order(fleet: Fleet) -> None:
     a, b, c = fleet.start("a", 1), fleet.start("b", 2), fleet.start("c", 3)
     for message in offers(0, 100):
         a.links.send(b.replica, message)
@@ -200,7 +200,9 @@
         ),
     ],
 )
-def test_who_is_no_member_here_is_refused_in_words(fleet: Fleet, here: Any, there: Any, why: str) -> None:
+def test_a_peer_that_is_no_member_is_refused_with_a_reason(
+    fleet: Fleet, here: Any, there: Any, why: str
+) -> None:
     a, b = fleet.start("a", **here(fleet)), fleet.start("b", **there(fleet))
     c = fleet.start("c")
     refuser = c if "this is 'c'" in why else b
@@ -217,14 +219,14 @@
     assert not b.received and not c.received and a.status("b")["queued"] == 1
 
 
-def test_versions_are_agreed_or_refused(fleet: Fleet) -> None:
+def test_versions_are_negotiated_or_refused(fleet: Fleet) -> None:
     fleet.start("b")
     assert answer(fleet.dial("b", ReplicaId("a", 1), version=5)).welcome.version == 1
     assert "versions 2 to 5" in answer(fleet.dial("b", ReplicaId("a", 1), version=5, least=2)).refused.why
     assert "versions 1 to 0" in answer(fleet.dial("b", ReplicaId("a", 1), version=0)).refused.why
 
 
-def test_a_refused_member_pauses_long_and_a_broken_one_does_not(fleet: Fleet) -> None:
+def test_a_refused_member_retries_later_than_a_disconnected_one(fleet: Fleet) -> None:
     a, b = fleet.start("a", retry_ms=1.0, max_retry_ms=400.0), fleet.listen_as("b")
     a.links.send_to(["b"], JoinRequest())
     for _ in range(3):
@@ -238,7 +240,7 @@
     assert time.monotonic() - began > 0.15
 
 
-def test_somebody_else_at_a_members_address_gets_nothing(fleet: Fleet) -> None:
+def test_a_wrong_member_at_an_address_receives_nothing(fleet: Fleet) -> None:
     a, b = fleet.start("a"), fleet.listen_as("b")
     a.links.send_to(["b"], JoinRequest())
     sock = fleet.welcome(b, ReplicaId("c", 1))
@@ -247,7 +249,7 @@
     assert "expected 'b', but 'c' answered" in a.log.of("council-bad-frame")[0]
 
 
-def test_one_of_two_disks_is_heard_under_a_name(fleet: Fleet) -> None:
+def test_only_one_disk_is_accepted_per_member(fleet: Fleet) -> None:
     b = fleet.start("b", silent_ms=150.0)
     first, again = fleet.dial("b", ReplicaId("a", 1)), None
     assert answer(first).HasField("welcome")
@@ -265,7 +267,7 @@
 
 
 @pytest.mark.parametrize(
-    ("bytes_", "told"),
+    ("bytes_", "expected"),
     [
         (encode(pb.Frame(vote=pb.Vote(term=1 << 63))), "a at 127.0.1.1: vote.term"),
         (b"\xff\xff\xff\x7f", f"a at 127.0.1.1: a frame of more than {MAX_FRAME_BYTES} bytes"),
@@ -277,7 +279,9 @@
         ),
     ],
 )
-def test_bad_bytes_end_the_connection_and_are_told(fleet: Fleet, bytes_: bytes, settings: str) -> None:
+def test_invalid_bytes_close_the_connection_and_are_logged(
+    fleet: Fleet, bytes_: bytes, expected: str
+) -> None:
     b, c = fleet.start("b", write_ms=50.0), fleet.start("c")
     sock = fleet.dial("b", ReplicaId("a", 1))
     assert answer(sock).HasField("welcome")
@@ -285,11 +289,11 @@
     c.links.send(b.replica, JoinRequest())  # others are served meanwhile
     until(lambda: b.received)
     assert closed(sock)
-    assert settings in b.log.of("council-bad-frame")[0]
+    assert expected in b.log.of("council-bad-frame")[0]
     assert b.received == [(c.replica, JoinRequest())] and list(b.links.listener.welcomed) == ["c"]
 
 
-def test_strangers_hold_no_place_for_long(fleet: Fleet) -> None:
+def test_silent_connections_are_evicted(fleet: Fleet) -> None:
     a, b = fleet.start("a"), fleet.start("b", max_incoming=3, hello_ms=300.0)
     silent = [socket.create_connection(fleet.members["b"], 2.0) for _ in range(5)]
     a.links.send(b.replica, JoinRequest())
@@ -297,23 +301,23 @@
     assert not a.log.lines, "it had to dial again"
     assert closed(silent[0]) and len(b.links.listener.connections) <= 3
     assert closed(silent[4])  # its time for a Hello is over
-    assert [message.replica for message in b.links.listener.connections] == [a.replica]
+    assert [connection.replica for connection in b.links.listener.connections] == [a.replica]
 
 
 # --- what is bounded ---
 
 
-def test_who_does_not_read_blocks_nobody_and_loses_the_oldest(fleet: Fleet) -> None:
+def test_a_peer_that_does_not_read_blocks_nobody_and_loses_the_oldest(fleet: Fleet) -> None:
     a, c = fleet.start("a", max_queued_messages=20, write_ms=100.0), fleet.start("c")
     listener = fleet.listen_as("b")
     a.links.send_to(["b"], JoinRequest())
     deaf = fleet.welcome(listener, ReplicaId("b", 1))
     until(lambda: a.status("b")["connected"])
-    way = a.links.peers["b"].sock
-    way.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)  # otherwise it buffers them all
-    assert way.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) == 100
+    connection = a.links.peers["b"].sock
+    connection.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)  # otherwise it buffers them all
+    assert connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) == 100
     # as for a peer that reads a little now and then
-    way.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 0)
+    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 0)
     ran: list[int] = []
     gevent.spawn(ran.append, 1)
     for message in offers(0, 200, 100_000):
@@ -343,7 +347,7 @@
     assert (a.status("c")["queued"], a.status("c")["dropped"]) == (0, 1)
 
 
-def test_what_can_go_nowhere_is_told_once(fleet: Fleet) -> None:
+def test_an_undeliverable_message_is_logged_once(fleet: Fleet) -> None:
     a = fleet.start("a")
     a.links.send_to(["b"], ForwardProposal(bytes(MAX_FRAME_BYTES)))
     for _ in range(3):
@@ -358,7 +362,7 @@
 # --- links that break, members that restart ---
 
 
-def test_a_cut_link_is_dialled_again(fleet: Fleet) -> None:
+def test_a_broken_link_reconnects(fleet: Fleet) -> None:
     a, b = fleet.start("a"), fleet.start("b")
     a.links.send(b.replica, TimeoutNow(1))
     until(lambda: b.received)
@@ -370,7 +374,7 @@
     assert b.messages() == [TimeoutNow(1), TimeoutNow(2)] and a.log.of("council-reached")
 
 
-def test_one_that_dials_is_dialled_at_once(fleet: Fleet) -> None:
+def test_an_incoming_connection_ends_the_retry_delay(fleet: Fleet) -> None:
     a = fleet.start("a", retry_ms=60_000.0, max_retry_ms=60_000.0)
     a.links.send_to(["b"], TimeoutNow(1))
     until(lambda: "refused" in a.status("b")["lost"])
@@ -380,7 +384,7 @@
     until(lambda: a.received and b.received)
 
 
-def test_a_restart_with_another_disk_gets_nothing_of_the_old_seat(fleet: Fleet) -> None:
+def test_a_new_disk_receives_nothing_for_the_old_replica(fleet: Fleet) -> None:
     a, old = fleet.start("a"), fleet.start("b", 1)
     a.links.send(old.replica, TimeoutNow(1))
     until(lambda: old.received)
@@ -395,7 +399,7 @@
     assert new.messages() == [TimeoutNow(3), TimeoutNow(4)] and a.status("b")["dropped"] == 2
 
 
-def test_a_machine_that_went_without_a_word_is_found_under_its_new_seat(fleet: Fleet) -> None:
+def test_a_host_that_vanished_is_reached_under_its_new_replica(fleet: Fleet) -> None:
     a, listener = fleet.start("a"), fleet.listen_as("b")
     a.links.send_to(["b"], TimeoutNow(1))
     fleet.welcome(listener, ReplicaId("b", 1))  # this connection stays open
@@ -412,7 +416,7 @@
     assert set(b.messages()) <= {TimeoutNow(2), TimeoutNow(3)}
 
 
-def test_an_idle_link_is_closed_and_costs_no_greenlet(fleet: Fleet) -> None:
+def test_an_idle_link_is_closed_and_uses_no_greenlet(fleet: Fleet) -> None:
     a, b = fleet.start("a", idle_ms=30.0), fleet.start("b")
     for at in (1, 2):
         a.links.send(b.replica, TimeoutNow(at))
@@ -437,7 +441,7 @@
         return False
 
 
-def test_forty_that_lost_one_member_do_not_dial_in_step() -> None:
+def test_forty_members_do_not_retry_in_step() -> None:
     """Dials a port without a listener from forty members with one seed; their delays are recorded."""
     fleet, times = Fleet(), dict[str, list[float]]()
     fleet.add_members("gone")
@@ -459,7 +463,7 @@
     assert min(gaps) >= 2.5 and max(gaps) <= 7.5  # max_retry_ms is kept
 
 
-def test_what_is_queued_goes_out_before_the_end(fleet: Fleet) -> None:
+def test_queued_messages_are_sent_before_stopping(fleet: Fleet) -> None:
     a, b = fleet.start("a"), fleet.start("b")
     a.links.send(b.replica, TimeoutNow(1))
     until(lambda: b.received)
--- a/tests/test_council_part.py
+++ b/tests/test_council_part.py
@@ -25,7 +25,7 @@
 from harrieryoke.plugins.bench import Quiet
 
 from .council_nodes import Nodes
-from .council_nodes import wait_until as seen
+from .council_nodes import wait_until as wait_for_nodes
 from .scenario import free_address
 
 DUTIES = ["reconcile", "budget:kef", "budget:bon", "calendar:sahel"]
@@ -38,11 +38,11 @@
     "settle_ms": 400.0,
     "leave_ms": 1500.0,
 }
-PATIENCE = 15.0  # seconds until what should come soon is held to have failed
+TIMEOUT_S = 15.0
 
 
 def until(condition: Callable[[], object]) -> None:
-    by = boot_ms() + 1000 * PATIENCE
+    by = boot_ms() + 1000 * TIMEOUT_S
     while not condition():
         assert boot_ms() < by, "not in time"
         gevent.sleep(0.005)
@@ -64,11 +64,11 @@
             replay_records([bootstrap_snapshot([self.replica])]) if is_first else PersistentState()
         )
         self.failing, self.queued = False, list[PendingWrite]()
-        self.on_written: Callable[[int], object] = lambda number: None
-        self.on_failed: Callable[[str], object] = lambda why: None
+        self.on_written: Callable[[int], object] = lambda sequence: None
+        self.on_failed: Callable[[str], object] = lambda reason: None
 
-    def save(self, saves: list[PendingWrite]) -> None:
-        self.queued += saves
+    def save(self, writes: list[PendingWrite]) -> None:
+        self.queued += writes
         gevent.spawn_later(0.001, self.sync)
 
     def sync(self) -> None:
@@ -76,8 +76,8 @@
             self.on_failed("no space left")
             gevent.spawn_later(0.02, self.sync)
         elif self.queued:
-            number, self.queued = self.queued[-1].sequence, []
-            self.on_written(number)
+            sequence, self.queued = self.queued[-1].sequence, []
+            self.on_written(sequence)
 
 
 class LocalMembers:
@@ -128,7 +128,7 @@
 
 
 @pytest.fixture
-def town() -> Iterator[LocalMembers]:
+def members() -> Iterator[LocalMembers]:
     made = LocalMembers("abcd", "abc")
     until(lambda: made.all_held() and len(made.leader().raft.configuration.voters) == 3)
     yield made
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize("leads", [False, True])
-def test_a_member_whose_disk_takes_nothing_gives_up_until_it_is_well(
+def test_a_member_with_a_failing_disk_gives_up_its_duties_until_it_recovers(
     members: LocalMembers, leads: bool
 ) -> None:
     actor, mine = holder_of_duties(members, leads)
@@ -170,15 +170,17 @@
     assert members.leader().member != name and "no space left" in status(actor)["ailing"]
     if not leads:  # its renewals still reach the leader, so the others see the reason
         until(lambda: "no space left" in members.leader().duties.sessions[name].unavailable.get(mine[0], ""))
-    well = boot_ms()
+    recovered_at = boot_ms()
     members.disks[name].failing = False
     until(lambda: all(list(members.holders(duty)) == [name] for duty in mine))
-    assert boot_ms() - well >= TIMES["settle_ms"]  # not with its first write
+    assert boot_ms() - recovered_at >= TIMES["settle_ms"]  # not with its first write
     assert not status(actor)["ailing"]
 
 
 @pytest.mark.parametrize("leads", [False, True])
-def test_who_leaves_hands_its_duties_on_while_it_still_acts(members: LocalMembers, leads: bool) -> None:
+def test_a_leaving_member_hands_over_its_duties_while_it_still_acts(
+    members: LocalMembers, leads: bool
+) -> None:
     actor, _ = holder_of_duties(members, leads)
     longest, last = 0.0, boot_ms()
     actor.leave(TIMES["leave_ms"])
@@ -192,7 +194,7 @@
     until(lambda: not members.leader().duties.sessions[actor.member].open)
 
 
-def test_it_stops_in_the_same_step_and_after_a_stall_does_nothing_on_what_was_true(
+def test_a_member_stops_at_once_and_after_a_stall(
     members: LocalMembers,
 ) -> None:
     held = settled_holders(members)
@@ -209,7 +211,7 @@
     assert not actor.acting("reconcile")
 
 
-def test_who_shall_hold_nothing_says_nothing_and_who_drains_keeps_what_nobody_takes() -> None:
+def test_zero_weight_sends_no_renewals_and_keeps_duties_without_a_taker() -> None:
     members = LocalMembers("a", "a")
     until(members.all_held)
     actor = members.actors["a"]
@@ -223,7 +225,7 @@
     quiet.actors["a"].finished = True
 
 
-def test_the_mailbox_is_bounded_and_the_disk_is_heard_all_the_same() -> None:
+def test_the_mailbox_is_bounded_except_for_disk_results() -> None:
     actor = CouncilActor("a", settings(mailbox=64), MemoryDisk("a", 1, True), Quiet(), 1)
     for _ in range(70):
         actor.deliver(ReplicaId("b", 2), JoinRequest())
@@ -260,12 +262,12 @@
         ({"store": {"sync": "often"}}, "council.store: store.sync"),
     ],
 )
-def test_a_wrong_key_of_the_table_is_named(changes: dict[str, object], key: str) -> None:
+def test_an_invalid_key_of_the_table_is_named(changes: dict[str, object], key: str) -> None:
     with pytest.raises(CouncilError, match=key):
         replace(settings(), **changes).check()
 
 
-def test_what_a_new_table_may_change_at_once() -> None:
+def test_the_keys_that_a_reload_changes() -> None:
     old, new = settings(), settings("abcd", "abd", lease_ms=3000.0, weight=2.0)
     got = old.with_reloadable_keys(new, "a")
     assert (got.voters, got.weight, got.lease_ms) == (["a", "b", "d"], 2.0, 1200.0) and "d" in got.members
@@ -299,7 +301,11 @@
 class RunningParts:
     def __init__(self, folder: Path, names: str) -> None:
         self.addresses = {name: free_address() for name in names}
-        self.folder, self.parts, self.tallies = folder, dict[str, CouncilPart](), dict[str, RecordedBodies]()
+        self.folder, self.parts, self.recorded_bodies = (
+            folder,
+            dict[str, CouncilPart](),
+            dict[str, RecordedBodies](),
+        )
 
     def settings(self, name: str, members: str, voters: str = "abc") -> CouncilSettings:
         table = settings("abc", "abc", folder=str(self.folder / name), compact_every=16)
@@ -309,7 +315,7 @@
 
     def start(self, name: str, members: str, voters: str = "abc") -> CouncilPart:
         part = self.parts[name] = CouncilPart(self.settings(name, members, voters), name, Quiet(), ord(name))
-        recorded = self.tallies[name] = RecordedBodies()
+        recorded = self.recorded_bodies[name] = RecordedBodies()
         part.add_machine("reconcile", recorded)
         part.open()
         part.start()
@@ -336,7 +342,7 @@
 
 def commit_bodies(parts: RunningParts, name: str, first: int, last: int) -> None:
     """Proposes each body until it is in the log; a lost one is repeated."""
-    recorded = parts.tallies[name].bodies
+    recorded = parts.recorded_bodies[name].bodies
     for n in range(first, last):
         body = b"%d" % n
         while body not in recorded:
@@ -346,26 +352,26 @@
                 gevent.sleep(0.001)
 
 
-def test_a_configuration_is_checked_without_a_touch_of_the_folder(tmp_path: Path) -> None:
+def test_a_configuration_check_does_not_touch_the_folder(tmp_path: Path) -> None:
     CouncilPart(settings(folder=str(tmp_path / "a")), "a", Quiet(), 1)
     assert not (tmp_path / "a").exists()
     with pytest.raises(CouncilError, match="council.name: x"):
         CouncilPart(settings(), "x", Quiet(), 1)
 
 
-def test_a_member_comes_back_with_what_was_agreed_and_a_new_one_gets_it(parts: RunningParts) -> None:
+def test_a_restarted_and_a_new_member_receive_the_committed_entries(parts: RunningParts) -> None:
     assert min(duty.token for duty in parts.parts["a"].actor.duties.duties.values() if duty.holder) > 1000
     commit_bodies(parts, "b", 0, 40)
     until(lambda: parts.parts["c"].actor.raft.snapshot.index > 1016)
     parts.parts.pop("c").stop()
     commit_bodies(parts, "b", 40, 60)
     parts.start("c", "abc")
-    until(lambda: parts.tallies["c"].bodies == parts.tallies["b"].bodies and parts.held())
+    until(lambda: parts.recorded_bodies["c"].bodies == parts.recorded_bodies["b"].bodies and parts.held())
     for name in "abc":  # replaces one voter by a new one through a reloaded file
         parts.parts[name].reload(parts.settings(name, "abcd", "abd"))
     new = parts.start("d", "abcd", "abd")
     until(lambda: new.status()["voters"] == ["a", "b", "d"])
-    until(lambda: parts.tallies["d"].bodies == parts.tallies["b"].bodies)
+    until(lambda: parts.recorded_bodies["d"].bodies == parts.recorded_bodies["b"].bodies)
     until(lambda: new.status()["sessions"].keys() == set("abcd") and parts.held())
     assert new.actor.raft.snapshot.index > 1000
 
@@ -382,7 +388,7 @@
     made = Nodes(tmp_path, "abc", TABLE, DUTIES)
     try:
         made.start()
-        seen(lambda: made.all_held() and made.all_in_place(), "each duty is where it belongs")
+        wait_for_nodes(lambda: made.all_held() and made.all_in_place(), "each duty is where it belongs")
         yield made
         assert made.check_observations() > 0
         for node in made:
@@ -391,20 +397,20 @@
         made.stop()
 
 
-def test_processes_that_stall_die_lose_their_disk_fill_it_and_leave(nodes: Nodes) -> None:
+def test_processes_that_stall_crash_lose_their_disk_fill_it_and_leave(nodes: Nodes) -> None:
     stalled = next(node for node in nodes if node.acting_duties() and node is not nodes.leader())
     stalled.send(signal.SIGSTOP)
-    seen(lambda: nodes.all_held(stalled), "a stalled one's duties are held by others")
+    wait_for_nodes(lambda: nodes.all_held(stalled), "the duties of a stalled member are held by others")
     stalled.send(signal.SIGCONT)
-    seen(nodes.all_in_place, "it takes them back")
+    wait_for_nodes(nodes.all_in_place, "it takes them back")
 
     dead = nodes.leader()
     assert dead is not None
     dead.end(signal.SIGKILL)
-    seen(lambda: nodes.leader() and nodes.all_held(dead), "the others go on without the leader")
+    wait_for_nodes(lambda: nodes.leader() and nodes.all_held(dead), "the others go on without the leader")
     shutil.rmtree(dead.folder / "council-data")
     dead.start()
-    seen(
+    wait_for_nodes(
         lambda: nodes.all_in_place() and dead.last_status.get("voters") == ["a", "b", "c"],
         "it votes with a new disk",
     )
@@ -412,15 +418,15 @@
 
     full = next(node for node in nodes if node.acting_duties())
     full.limit_file_size(16)
-    seen(lambda: nodes.all_held(full), "others hold what it gave up")
+    wait_for_nodes(lambda: nodes.all_held(full), "others hold what it gave up")
     assert "File too large" in full.last_status["ailing"] and not full.acting_duties()
     full.limit_file_size(-1)
-    seen(nodes.all_in_place, "it takes them back when it is well")
+    wait_for_nodes(nodes.all_in_place, "it takes them back after recovery")
 
     drained = next(node for node in nodes if node.acting_duties())
     drained.write(drained.table.replace("[council]", "[council]\nweight = 0.0"))
     drained.send(signal.SIGHUP)
-    seen(lambda: nodes.all_held(drained) and not drained.acting_duties(), "a new file drains it")
+    wait_for_nodes(lambda: nodes.all_held(drained) and not drained.acting_duties(), "a new file drains it")
     assert not any("reload-failed" in line or "restart is needed" in line for line in drained.lines)
 
     leaving = next(node for node in nodes if node.acting_duties())
@@ -428,4 +434,4 @@
     assert leaving.end(signal.SIGTERM) == 0
     lines = "".join(leaving.lines)
     assert all(f"duty-left {duty}: handed over" in lines for duty in mine) and "not-left" not in lines
-    seen(lambda: nodes.all_held(leaving), "others hold what it left")
+    wait_for_nodes(lambda: nodes.all_held(leaving), "others hold what it left")
--- a/tests/test_council_sizes.py
+++ b/tests/test_council_sizes.py
@@ -85,7 +85,7 @@
     return sorted(durations)[min(int(len(durations) * fraction), len(durations) - 1)]
 
 
-def test_a_failure_costs_less_than_two_and_a_half_leases_and_draining_300_ms() -> None:
+def test_a_failure_takes_less_than_two_and_a_half_leases_and_a_drain_300_ms() -> None:
     world = MeasuredWorld(5, 1)
     world.run(4000)
     for _ in range(10):
--- a/tests/test_council_wire.py
+++ b/tests/test_council_wire.py
@@ -67,7 +67,7 @@
     return [from_wire(frame) for frame in Decoder(pb.Frame, MAX_FRAME_BYTES).feed(data)]
 
 
-def test_each_message_has_its_frame() -> None:
+def test_each_message_has_a_frame() -> None:
     assert set(STRATEGIES) == {*m.Message.__args__, DutyHandover}
     assert (
         len(pb.Frame.DESCRIPTOR.oneofs_by_name["said"].fields) == len(STRATEGIES) + 3
@@ -77,15 +77,17 @@
 
 @FUZZ
 @given(st.lists(ANY_MESSAGE, min_size=1, max_size=5), st.integers(1, 40))
-def test_what_is_said_comes_back_however_it_is_cut(message: list[m.Message | DutyHandover], cut: int) -> None:
+def test_messages_round_trip_however_the_bytes_are_split(
+    messages: list[m.Message | DutyHandover], cut: int
+) -> None:
     data, decoder, heard = (
-        b"".join(encode(to_wire(message)) for message in message),
+        b"".join(encode(to_wire(message)) for message in messages),
         Decoder(pb.Frame, MAX_FRAME_BYTES),
         [],
     )
     for at in range(0, len(data), cut):
         heard += [from_wire(frame) for frame in decoder.feed(data[at : at + cut])]
-    assert heard == message
+    assert heard == messages
 
 
 @FUZZ
@@ -110,7 +112,7 @@
 
 @FUZZ
 @given(st.binary(max_size=300))
-def test_noise_raises_nothing_but_wire_errors(noise: bytes) -> None:
+def test_random_bytes_raise_nothing_but_wire_errors(noise: bytes) -> None:
     for data in (noise, encode(pb.Frame()) + noise, bytes([len(noise) & 127]) + noise):
         with suppress(WireError):
             read(data)
@@ -122,7 +124,7 @@
 
 
 @pytest.mark.parametrize(
-    ("frame", "where"),
+    ("frame", "path"),
     [
         (pb.Frame(hello=pb.Hello()), "hello"),
         (pb.Frame(vote=pb.Vote(term=TOO_HIGH)), "vote.term"),
@@ -174,12 +176,12 @@
         (pb.Frame(piece=pb.Piece(snapshot=pb.Snapshot(members=ONE_VOTER), data=b"x")), "piece.offset"),
     ],
 )
-def test_a_value_out_of_its_range_is_named(frame: pb.Frame, path: str) -> None:
+def test_a_value_out_of_range_is_named(frame: pb.Frame, path: str) -> None:
     with pytest.raises(WireError, match=re.escape(path)):
         read(encode(frame))
 
 
-def test_a_frame_is_refused_by_its_length_alone() -> None:
+def test_a_frame_is_rejected_by_its_length() -> None:
     decoder = Decoder(pb.Frame, 1000)
     with pytest.raises(WireError, match="more than 1000"):
         list(decoder.feed(b"\xe9\x07"))
--- a/tests/test_interleave_council.py
+++ b/tests/test_interleave_council.py
@@ -51,8 +51,8 @@
 class LeaseScenario(World):
     """a holds x, b could. a's renewal of 0 is old, its next one was sent at 600; b's at 700, which is now.
     The committed log is a list that a, b and the leader s each apply at their own pace. `case`: a's next
-    renewal is still on its way while its lease `ends`; x is to be `passed` to b; or b marks x unavailable and
-    then available again (`wavers`).
+    renewal is still on its way at the `expiry` of its lease; x moves to b by a `handover`; or b marks x
+    unavailable and then available again (`flapping`).
     """
 
     def __init__(self, case: str, components: Components) -> None:
@@ -78,7 +78,7 @@
         self.now = 600.0
         self.tick("a")
         self.now = 700.0
-        if case != "ends":
+        if case != "expiry":
             for name in "sab":
                 self.catch_up(name)
         self.threads = {
@@ -88,22 +88,22 @@
                 lambda: self.change_resource(self.token_of_b()),
                 "act",
             ),
-            "word": self.repeat(lambda: self.renewals, self.deliver_renewal, "arrives"),
-            **{f"copy-{name}": self.apply_log(name) for name in ("ab" if case == "passed" else "abs")},
+            "renewal": self.repeat(lambda: self.renewals, self.deliver_renewal, "arrives"),
+            **{f"copy-{name}": self.apply_log(name) for name in ("ab" if case == "handover" else "abs")},
         }
-        if case == "ends":
+        if case == "expiry":
             self.threads["clock"] = [("at-1000", lambda: setattr(self, "now", 1000.0))]
             self.threads["s"] = self.repeat(
-                lambda: self.last_tick["s"] < self.now, lambda: self.tick("s"), "turn"
+                lambda: self.last_tick["s"] < self.now, lambda: self.tick("s"), "tick"
             )
             return
-        self.threads["leader"] = [("heir", lambda: self.log.append(d.AssignSuccessor("x", 3, "b", 1)))]
-        self.threads["passed"] = self.repeat(lambda: self.handovers, self.deliver_handover, "arrives")
-        if case == "wavers":
+        self.threads["leader"] = [("successor", lambda: self.log.append(d.AssignSuccessor("x", 3, "b", 1)))]
+        self.threads["handover"] = self.repeat(lambda: self.handovers, self.deliver_handover, "arrives")
+        if case == "flapping":
             b = self.lease_holders["b"]
             self.threads["b"] = [
-                ("cannot", lambda: self.run_and_tick(partial(b.mark_unavailable, "x", "behind"))),
-                ("can", lambda: self.run_and_tick(partial(b.mark_available, "x"))),
+                ("unavailable", lambda: self.run_and_tick(partial(b.mark_unavailable, "x", "behind"))),
+                ("available", lambda: self.run_and_tick(partial(b.mark_available, "x"))),
             ]
             del self.threads["a"]
 
@@ -215,7 +215,7 @@
         return super().tick(now)
 
 
-# --- a voter's disk against what it says ---
+# --- a voter's disk against its outgoing messages ---
 
 # on c's disk; only the first is committed
 OLD_ENTRIES = [Entry(1, 1), Entry(2, 1, b"old"), Entry(3, 1, b"old")]
@@ -232,7 +232,7 @@
         self.disk: list[PersistentRecord] = [bootstrap_snapshot([A, B, C]), *OLD_ENTRIES]
         self.start()
         self.votes, self.responses = set[tuple[int, ReplicaId | None]](), list[OutgoingMessage]()
-        self.threads = {name: [("hear", partial(self.receive, *what))] for name, what in messages.items()}
+        self.threads = {name: [("receive", partial(self.receive, *what))] for name, what in messages.items()}
         self.threads |= {"disk": self.write_to_disk(), "power": [("cut", self.start)]}
 
     def start(self) -> None:
@@ -269,7 +269,7 @@
                 written = replay_records(self.disk).log.entries[: outgoing.message.index]
                 assert (
                     written == NEW_ENTRIES[: outgoing.message.index]
-                ), "an ack of what is not durable, or not the leader's"
+                ), "acknowledged what is not durable, or not the leader's"
 
     def check(self) -> None:
         assert len({term for term, _ in self.votes}) == len(self.votes), "two votes in a term"
@@ -286,7 +286,7 @@
 
 VOTE_REQUESTS = {"a": (A, RequestVote(6, 3, 5)), "b": (B, RequestVote(6, 3, 5))}
 APPEND_REQUESTS: dict[str, tuple[ReplicaId, Message]] = {
-    "beat": (A, AppendEntries(5, 1, 1, (), 1)),
+    "heartbeat": (A, AppendEntries(5, 1, 1, (), 1)),
     "first": (A, AppendEntries(5, 1, 1, (NEW_ENTRIES[1],), 1)),
     "second": (A, AppendEntries(5, 2, 5, (NEW_ENTRIES[2],), 1)),
     "both": (A, AppendEntries(5, 1, 1, (NEW_ENTRIES[1], NEW_ENTRIES[2]), 2)),
@@ -294,7 +294,7 @@
 
 
 class SendsBeforeWriting(Raft):
-    def send_after_write(self, after: int, message: OutgoingMessage) -> None:
+    def send_after_write(self, after_sequence: int, message: OutgoingMessage) -> None:
         super().send_after_write(0, message)
 
 
@@ -335,16 +335,16 @@
         assert self.members["a"].is_established_leader()
         self.threads = {
             "client": [
-                ("offer", lambda: self.run_and_process("a", lambda: self.members["a"].propose(0.0, b"x")))
+                ("propose", lambda: self.run_and_process("a", lambda: self.members["a"].propose(0.0, b"x")))
             ],
-            "disk": [("fails", self.fail_disk), ("takes", lambda: setattr(self, "disk_failing", False))],
+            "disk": [("fails", self.fail_disk), ("recovers", lambda: setattr(self, "disk_failing", False))],
             "write": self.repeat(
                 lambda: self.pending_writes["a"] and not self.disk_failing,
                 partial(self.finish_writes, "a"),
                 "a",
             ),
             **{
-                f"to-{n}": self.repeat(partial(self.in_transit.get, n), partial(self.receive, n), "hear")
+                f"to-{n}": self.repeat(partial(self.in_transit.get, n), partial(self.receive, n), "receive")
                 for n in replicas
             },
         }
@@ -380,16 +380,18 @@
                     self.in_transit[other].append((member.replica, outgoing.message))
         for item in ready.committed:
             assert isinstance(item, Entry)
-            assert self.committed_entries.setdefault(item.index, item) == item, "two are agreed"
+            assert (
+                self.committed_entries.setdefault(item.index, item) == item
+            ), "two entries committed at an index"
             replica_count = sum(item in replay_records(disk).log.entries for disk in self.disks.values())
-            assert replica_count > 1, "agreed, and not durable at a majority"
+            assert replica_count > 1, "committed, but not durable at a majority"
         if name != "a":
             self.finish_writes(name)
         if member.role is Role.LEADER:
-            assert self.leaders.setdefault(member.term, name) == name, "two lead"
+            assert self.leaders.setdefault(member.term, name) == name, "two leaders in a term"
             assert all(
                 item in member.log.entries for item in self.committed_entries.values()
-            ), "agreed, and lost"
+            ), "committed, but lost"
 
     def key(self) -> Hashable:
         return shape(
@@ -413,8 +415,8 @@
 # --- the tests ---
 
 
-@pytest.mark.parametrize(("case", "states"), [("ends", 1500), ("passed", 100), ("wavers", 2500)])
-def test_no_order_lets_two_act_or_a_late_act_through(case: str, states: int) -> None:
+@pytest.mark.parametrize(("case", "states"), [("expiry", 1500), ("handover", 100), ("flapping", 2500)])
+def test_no_interleaving_lets_two_members_act_or_a_late_change_through(case: str, states: int) -> None:
     counts = explore(lambda: LeaseScenario(case, Components()))
     assert counts.whole and counts.states > states
 
@@ -423,75 +425,75 @@
     ("case", "fault", "failure", "schedule"),
     [
         (
-            "ends",
+            "expiry",
             Components(fence=NoFence),
             "changed under 3 after 6",
-            "a:check clock:at-1000 s:turn copy-b:apply copy-s:apply copy-s:apply copy-b:apply b:act a:act",
+            "a:check clock:at-1000 s:tick copy-b:apply copy-s:apply copy-s:apply copy-b:apply b:act a:act",
         ),
         (
-            "ends",
+            "expiry",
             Components(lease_holder=MeasuresLeaseFromApply),
             "two act",
-            "clock:at-1000 s:turn copy-b:apply copy-s:apply copy-s:apply copy-b:apply",
+            "clock:at-1000 s:tick copy-b:apply copy-s:apply copy-s:apply copy-b:apply",
         ),
         (
-            "ends",
+            "expiry",
             Components(duties=EndsRenewedSession),
             "two act",
-            "word:arrives copy-a:apply copy-a:apply copy-b:apply clock:at-1000 s:turn copy-b:apply "
+            "renewal:arrives copy-a:apply copy-a:apply copy-b:apply clock:at-1000 s:tick copy-b:apply "
             "copy-s:apply copy-s:apply copy-s:apply copy-b:apply",
         ),
-        ("passed", Components(lease_holder=ActsBeforeHandover), "two act", "leader:heir copy-b:apply"),
+        ("handover", Components(lease_holder=ActsBeforeHandover), "two act", "leader:successor copy-b:apply"),
         (
-            "passed",
+            "handover",
             Components(fence=NoFence),
             "changed under 3 after 6",
-            "a:check leader:heir copy-a:apply copy-b:apply passed:arrives b:act a:act",
+            "a:check leader:successor copy-a:apply copy-b:apply handover:arrives b:act a:act",
         ),
     ],
 )
-def test_planted_in_duties(case: str, fault: Components, failure: str, schedule: str) -> None:
+def test_injected_lease_faults_are_found(case: str, fault: Components, failure: str, schedule: str) -> None:
     assert shortest(lambda: LeaseScenario(case, fault), failure, 1) == schedule.split()
 
 
-def test_an_heir_that_acts_before_that_is_agreed_is_found() -> None:
+def test_a_successor_that_acts_before_the_commit_is_found() -> None:
     """In between it was unavailable, and the duty went back."""
     schedule = shortest(
-        lambda: LeaseScenario("wavers", Components(lease_holder=ActsBeforeAgreement)), "two act"
+        lambda: LeaseScenario("flapping", Components(lease_holder=ActsBeforeAgreement)), "two act"
     )
-    assert len(schedule) == 18 and schedule.index("b:cannot") < schedule.index("passed:arrives")
+    assert len(schedule) == 18 and schedule.index("b:unavailable") < schedule.index("handover:arrives")
 
 
-def test_no_order_says_what_is_not_durable() -> None:
+def test_no_interleaving_acknowledges_what_is_not_durable() -> None:
     for messages in (VOTE_REQUESTS, APPEND_REQUESTS):
         assert explore(lambda messages=messages: DiskScenario(Raft, messages)).whole  # type: ignore[misc]
 
 
 @pytest.mark.parametrize(
-    ("fault", "heard", "failure", "schedule"),
+    ("fault", "messages", "failure", "schedule"),
     [
-        (SendsBeforeWriting, VOTE_REQUESTS, "two votes", "a:hear power:cut b:hear"),
+        (SendsBeforeWriting, VOTE_REQUESTS, "two votes", "a:receive power:cut b:receive"),
         (
             OmitsVote,
             VOTE_REQUESTS,
             "two votes",
-            "a:hear disk:write disk:done disk:write disk:done power:cut b:hear disk:write disk:done",
+            "a:receive disk:write disk:done disk:write disk:done power:cut b:receive disk:write disk:done",
         ),
-        (SendsBeforeWriting, APPEND_REQUESTS, "not durable", "first:hear"),
-        (AcknowledgesWholeLog, APPEND_REQUESTS, "not the leader's", "beat:hear disk:write disk:done"),
+        (SendsBeforeWriting, APPEND_REQUESTS, "not durable", "first:receive"),
+        (AcknowledgesWholeLog, APPEND_REQUESTS, "not the leader's", "heartbeat:receive disk:write disk:done"),
     ],
 )
-def test_planted_before_the_disk(
+def test_injected_disk_faults_are_found(
     fault: type[Raft], messages: dict[str, tuple[ReplicaId, Message]], failure: str, schedule: str
 ) -> None:
     assert shortest(lambda: DiskScenario(fault, messages), failure) == schedule.split()
 
 
-def test_no_order_of_a_failing_disk_agrees_on_what_is_not_durable() -> None:
+def test_no_interleaving_commits_what_is_not_durable() -> None:
     counts = explore(lambda: StepDownScenario(Raft))
     assert counts.whole and counts.states > 500
 
 
-def test_a_failed_write_that_counts_is_found() -> None:
+def test_counting_a_failed_write_is_found() -> None:
     schedule = shortest(lambda: StepDownScenario(CountsFailedWrites), "not durable at a majority", 0)
-    assert schedule == ["client:offer", "to-b:hear", "to-a:hear", "disk:fails"]
+    assert schedule == ["client:propose", "to-b:receive", "to-a:receive", "disk:fails"]
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -258,7 +258,7 @@
 
 
 @pytest.mark.parametrize("count", [5, 40, 200])
-def test_of_many_at_one_moment_few_have_their_turn_and_all_are_done_in_time(count: int) -> None:
+def test_few_run_at_a_time_and_all_complete_in_time(count: int) -> None:
     fleet = Fleet(count, count)
     began = fleet.t
     fleet.end_period()
@@ -279,7 +279,7 @@
 
 
 @pytest.mark.parametrize("count", [5, 40, 200])
-def test_a_new_conductor_loses_no_want_and_doubles_no_turn(count: int) -> None:
+def test_a_new_holder_loses_no_request_and_repeats_no_turn(count: int) -> None:
     fleet = Fleet(count, count, loss=0.05)
     old_holder, new_holder = fleet.nodes[:2]
     fleet.end_period()
@@ -309,7 +309,7 @@
 
 
 @pytest.mark.parametrize("back", [False, True])
-def test_a_member_that_dies_in_its_turn_blocks_nobody(back: bool) -> None:
+def test_a_member_that_crashes_during_its_turn_blocks_nobody(back: bool) -> None:
     fleet = Fleet(40, 1)
     fleet.end_period()
     began = fleet.t
@@ -337,7 +337,7 @@
     assert fleet.nodes[1].rounds.status()["failed"] == (not back)
 
 
-def test_a_member_that_hears_nothing_stops_by_its_own_clock_and_does_it_again_later() -> None:
+def test_an_isolated_member_stops_by_its_own_clock_and_retries() -> None:
     fleet = Fleet(5, 2)
     fleet.end_period()
     fleet.run(60_000.0, lambda: bool(fleet.working))
@@ -357,7 +357,7 @@
     )
 
 
-def test_who_cannot_reach_the_collector_gives_its_turn_back_and_asks_again_when_it_can() -> None:
+def test_a_member_without_the_collector_returns_its_turn_and_requests_again() -> None:
     fleet = Fleet(5, 3)
     fleet.end_period()
     fleet.run(60_000.0, lambda: bool(fleet.working))
@@ -373,7 +373,7 @@
     assert fleet.ended(node.name) and len(node.started_turns) == 2
 
 
-def test_who_wants_many_keeps_nobody_waiting() -> None:
+def test_a_member_with_many_requests_starves_nobody() -> None:
     fleet = Fleet(5, 4)
     greedy = fleet.members[0]
     for period in range(100, 112):
@@ -386,7 +386,7 @@
     assert Counter(name for name, _ in fleet.nodes[1].rounds.ended)[greedy.name] == 13
 
 
-def test_a_pace_that_cannot_be_used_is_named() -> None:
+def test_an_invalid_turn_setting_is_named() -> None:
     TURN_SETTINGS.check("council.rounds")
     with pytest.raises(TurnSettingsError, match=r"council.rounds.at_once: must be 1 to 8"):
         TurnSettings(at_once=9).check("council.rounds")
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -152,7 +152,7 @@
         self.turns.stop()
 
 
-def test_ledgers_reconcile_each_in_its_turn_and_all_see_what_came_of_it() -> None:
+def test_ledgers_reconcile_in_turns_and_all_see_the_results() -> None:
     council, collector = LocalCouncil(), EmulatedCollector(random.Random(3))
     members = [Member(council, name, collector) for name in ("a", "b", "c")]
     council.hold("a")
@@ -176,7 +176,7 @@
     collector.down()
 
 
-def test_a_turn_that_no_collector_answers_is_stopped_and_one_that_is_lost_goes_back() -> None:
+def test_an_unanswered_turn_is_stopped_and_an_unreachable_collector_returns_it() -> None:
     council, collector = LocalCouncil(), EmulatedCollector(random.Random(3))
     member = Member(council, "a", collector)
     council.hold("a")
@@ -199,7 +199,7 @@
     collector.down()
 
 
-def test_what_comes_of_an_older_turn_changes_nothing_at_the_collector() -> None:
+def test_messages_of_an_older_turn_change_nothing_at_the_collector() -> None:
     collector = EmulatedCollector(random.Random(3))
     entry = pb.Entry(instance="a", epoch=1, number=1, kind=pb.USE, period=7).SerializeToString()
     assert not collector.sketch("a", pb.Reconcile(period=7, seed=1)).newer  # no turns have been granted yet
