--- a/harrieryoke/core/records.py
+++ b/harrieryoke/core/records.py
@@ -7,7 +7,7 @@
 from typing import Any, Protocol
 
 from ..brain import Router
-from ..interface import Found, ListConfirmed, LoadReport, Outcome, Settings, WorkersListed
+from ..interface import CopyLookup, ListConfirmed, LoadReport, Outcome, Settings, WorkersListed
 
 
 @dataclass(slots=True, eq=False)
@@ -115,7 +115,7 @@
     task: Task
     outcome: Outcome
     body: bytes = b""
-    copy_lookup: Found | None = None
+    copy_lookup: CopyLookup | None = None
     load_failed: bool = False
     concurrent_requests: int | None = None
     copies: int = 0
