--- a/harrieryoke/cli.py
+++ b/harrieryoke/cli.py
@@ -39,20 +39,20 @@
 @app.command()
 def serve(operator: OperatorOption = None) -> None:
     """Serve until SIGTERM (also without a command)."""
-    from .serve import patch
+    from .serve import patch_standard_library
     from .serve import serve as run
 
-    patch(operator)
+    patch_standard_library(operator)
     raise typer.Exit(run(operator))
 
 
 @app.command("check-config")
 def check_config(operator: OperatorOption = None) -> None:
     """Read and check the configuration, and load the plug-ins."""
-    from .serve import load_config, patch
+    from .serve import load_config, patch_standard_library
     from .service import Service
 
-    patch(operator)
+    patch_standard_library(operator)
     config = load_config(operator)
     service = Service(config, Log(config.name))
     told: Any = config.operator
--- a/harrieryoke/config.py
+++ b/harrieryoke/config.py
@@ -18,15 +18,15 @@
 from .parts import Operator
 from .settings import check_figure, read_list, read_settings
 
-READS = 3  # of a file that changes meanwhile
+MAX_READS = 3  # of a file that changes meanwhile
 # Limits' field -> where the settings' ceilings have it: what may change while the invoker serves
-CEILED = {
+CEILING_KEYS = {
     "open_calls": "open-cap",
     "streams_per_link": "streams-per-conn",
     "dial_ms": "dial-timeout",
     "link_idle_ms": "conn-idle",
 }
-NAME_MOST = 256
+MAX_CLASS_NAME_LENGTH = 256
 
 
 class PlatformLimits(msgspec.Struct):
@@ -61,16 +61,16 @@
     settings: i.Settings
     limits: Limits
     operator: Operator | None
-    folder: Path | None  # what outlives the process in an upgrade is here
-    told: dict[str, Any]  # the whole file, without the events up to the start
-    written: float  # when the file was, in milliseconds of the process's clock: `known` is no newer
+    upgrade_folder: Path | None  # what outlives the process in an upgrade is here
+    file_values: dict[str, Any]  # the whole file, without the events up to the start
+    file_written_at: float  # when the file was, in milliseconds of the process's clock: `known` is no newer
 
 
 def read_ceilings(wire: Mapping[str, Any]) -> dict[str, Any]:
     """Fields of `Limits` as the settings' ceilings have them; 0 and null keep the default. Raises
     ConfigError."""
     usual, ceilings, read = Limits(), wire.get("ceilings") or {}, dict[str, Any]()
-    for ours, theirs in CEILED.items():
+    for ours, theirs in CEILING_KEYS.items():
         try:
             told = ceilings.get(theirs) or getattr(usual, ours)
             read[ours] = msgspec.convert(told, type(getattr(usual, ours)), strict=False)
@@ -93,7 +93,7 @@
     return replace(filled, **{k: type(getattr(usual, k))(v) for k, v in own.items()})
 
 
-def read_names(wire: Mapping[str, Any]) -> i.Settings:
+def read_invoker_settings(wire: Mapping[str, Any]) -> i.Settings:
     """The settings with the names of zones and kinds, which only an invoker with hosts wants, and with names
     that can go over the wire. Raises ValueError, which names the key."""
     zones, kinds = (tuple(str(n) for n in read_list(wire, key)) for key in ("zones", "flavors"))
@@ -107,8 +107,14 @@
                 raise ValueError(f"{key}[{n}].name: a second {name!r}")
     for n, c in enumerate(settings.classes):
         # guards against a name that splits a frame's fields, or is longer than they may be
-        if not c.name.isprintable() or not 0 < len(c.name) <= NAME_MOST or set(c.name) & set(",="):
-            raise ValueError(f"classes[{n}].name: 1 to {NAME_MOST} printable characters without ',' and '='")
+        if (
+            not c.name.isprintable()
+            or not 0 < len(c.name) <= MAX_CLASS_NAME_LENGTH
+            or set(c.name) & set(",=")
+        ):
+            raise ValueError(
+                f"classes[{n}].name: 1 to {MAX_CLASS_NAME_LENGTH} printable characters without ',' and '='"
+            )
     return settings
 
 
@@ -117,12 +123,12 @@
     """A file as of one moment, and when it was last written, in milliseconds of the process's clock."""
 
     data: bytes
-    written: float
+    written_at: float
 
 
-def read_whole(path: Path) -> FileContent:
+def read_unchanged(path: Path) -> FileContent:
     """The bytes as of one moment. Guards against a file that changes while it is read. Raises ConfigError."""
-    for _ in range(READS):
+    for _ in range(MAX_READS):
         before, data, after = path.stat(), path.read_bytes(), path.stat()
         if all(getattr(before, key) == getattr(after, key) for key in ("st_ino", "st_size", "st_mtime_ns")):
             age = max(0.0, wall_ms() - after.st_mtime_ns / 1e6)
@@ -137,13 +143,13 @@
     if not path:
         raise ConfigError("RELAY_CONFIG: not set")
     try:
-        file = read_whole(Path(path))
+        file = read_unchanged(Path(path))
         whole = msgspec.json.decode(file.data)
         told = msgspec.convert(whole, PlatformFile)
     except (OSError, msgspec.MsgspecError, RecursionError) as error:
         raise ConfigError(f"RELAY_CONFIG: {error}") from None
     try:
-        settings = read_names(told.settings)
+        settings = read_invoker_settings(told.settings)
     except ValueError as error:
         raise ConfigError(f"settings.{error}") from None
     try:
@@ -164,7 +170,7 @@
         settings=settings,
         limits=limits,
         operator=operator,
-        folder=Path(env["TMPDIR"]) if management and env.get("TMPDIR") else None,
-        told={key: value for key, value in whole.items() if key != "known"},
-        written=file.written,
+        upgrade_folder=Path(env["TMPDIR"]) if management and env.get("TMPDIR") else None,
+        file_values={key: value for key, value in whole.items() if key != "known"},
+        file_written_at=file.written_at,
     )
--- a/harrieryoke/core/clock.py
+++ b/harrieryoke/core/clock.py
@@ -29,7 +29,7 @@
 
     def __init__(self, clock: Callable[[], float] = now_ms, wall: Callable[[], float] = wall_ms) -> None:
         self.clock, self.wall = clock, wall
-        self.ahead = wall() - clock()  # of the monotonic clock, in milliseconds
+        self.offset_ms = wall() - clock()  # of the monotonic clock, in milliseconds
 
     def read_step(self) -> float:
         """Return by how many milliseconds the wall clock was stepped since the last call; 0.0 for no step.
@@ -37,5 +37,5 @@
         before, wall = self.clock(), self.wall()
         if self.clock() - before > SAME_MOMENT_MS:
             return 0.0
-        step, self.ahead = wall - before - self.ahead, wall - before
+        step, self.offset_ms = wall - before - self.offset_ms, wall - before
         return step if abs(step) >= NOTICEABLE_STEP_MS else 0.0
--- a/harrieryoke/core/local_errors.py
+++ b/harrieryoke/core/local_errors.py
@@ -25,24 +25,24 @@
         errno.ENETUNREACH,
     }
 )
-FIRST_PAUSE_MS, LONGEST_PAUSE_MS = 1.0, 50.0
+MIN_DELAY_MS, MAX_DELAY_MS = 1.0, 50.0
 
 
-class Pauses:
+class RetryDelays:
     """Growing pauses between tries of a call that fails, in milliseconds."""
 
     def __init__(self) -> None:
-        self.next_ms = FIRST_PAUSE_MS
+        self.delay_ms = MIN_DELAY_MS
 
-    def wait(self) -> None:
+    def sleep(self) -> None:
         """Sleep for the next pause."""
-        pause = self.next_ms
-        self.next_ms = min(2 * pause, LONGEST_PAUSE_MS)
+        pause = self.delay_ms
+        self.delay_ms = min(2 * pause, MAX_DELAY_MS)
         gevent.sleep(pause / 1000)
 
     def reset(self) -> None:
         """The call has succeeded: the next pause is short again."""
-        self.next_ms = FIRST_PAUSE_MS
+        self.delay_ms = MIN_DELAY_MS
 
 
 def is_local(error: OSError) -> bool:
@@ -50,7 +50,7 @@
     return error.errno in LOCAL_ERRORS
 
 
-def is_broken_off(error: TimeoutError) -> bool:
+def is_kernel_timeout(error: TimeoutError) -> bool:
     """Return whether a read's error is the kernel's, which has given the connection up (ETIMEDOUT). Python
     has the same type for the end of the socket's own time-out, after which the connection still stands."""
     return error.errno is not None
@@ -59,7 +59,7 @@
 def retry_local(what: str, call: Callable[[], T], patience_ms: float, log: Log) -> T:
     """Call until it succeeds. Raises OSError at once for an error of another kind, and for a local one after
     `patience_ms`."""
-    give_up_at, pauses = now_ms() + patience_ms, Pauses()
+    give_up_at, pauses = now_ms() + patience_ms, RetryDelays()
     while True:
         try:
             return call()
@@ -67,4 +67,4 @@
             if not is_local(error) or now_ms() >= give_up_at:
                 raise
             log("local-error", f"{what}: {error}")
-            pauses.wait()
+            pauses.sleep()
--- a/harrieryoke/core/metrics.py
+++ b/harrieryoke/core/metrics.py
@@ -5,7 +5,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-RESULTS = {"served": "ok", "refused": "shed", "failed": "errors"}  # how a request ends -> the metric
+COUNTERS_BY_RESULT = {
+    "served": "ok",
+    "refused": "shed",
+    "failed": "errors",
+}  # how a request ends -> the metric
 
 
 @dataclass(slots=True)
@@ -46,13 +50,13 @@
         for name in names:
             self.classes.setdefault(name, ClassMetrics())
 
-    def for_class(self, name: str) -> ClassMetrics:
+    def class_metrics(self, name: str) -> ClassMetrics:
         """Return the counters of a class, created on first use."""
         return self.classes.setdefault(name, ClassMetrics())
 
     def count_final_answer(self, name: str, how: str) -> None:
         """Count the end of a request of that class; one that its client withdrew counts nowhere."""
-        if how not in RESULTS:
+        if how not in COUNTERS_BY_RESULT:
             return
-        counters, result = self.for_class(name), RESULTS[how]
+        counters, result = self.class_metrics(name), COUNTERS_BY_RESULT[how]
         setattr(counters, result, getattr(counters, result) + 1)
--- a/harrieryoke/core/timing_wheel.py
+++ b/harrieryoke/core/timing_wheel.py
@@ -12,7 +12,7 @@
 
 T = TypeVar("T", bound=Hashable)
 BITS, SLOTS, LEVELS = 6, 64, 4
-SPAN = 1 << (BITS * LEVELS)  # ticks of one millisecond: 4.6 hours
+SPAN_TICKS = 1 << (BITS * LEVELS)  # ticks of one millisecond: 4.6 hours
 MASK = SLOTS - 1
 
 
@@ -81,7 +81,7 @@
     def next_time(self) -> float:
         """Return when to call `expired` next: exact within 64 ms, else no later than the earliest time."""
         if (found := self.earliest_slot()) is None:
-            return float((self.tick // SPAN + 1) * SPAN) if self.overflow else float("inf")
+            return float((self.tick // SPAN_TICKS + 1) * SPAN_TICKS) if self.overflow else float("inf")
         level, slot, start = found
         return min(self.slots[level][slot].values()) if level == 0 else float(start)
 
@@ -93,7 +93,7 @@
         while True:
             found = self.earliest_slot()
             if found is None or found[2] > target:
-                if self.overflow and target // SPAN > self.tick // SPAN:
+                if self.overflow and target // SPAN_TICKS > self.tick // SPAN_TICKS:
                     self.advance_span(target)
                     continue
                 break
@@ -132,7 +132,7 @@
 
     def advance_span(self, target: int) -> None:
         """Move the span on and place the overflow anew. The old span must be empty."""
-        self.tick = target // SPAN * SPAN
+        self.tick = target // SPAN_TICKS * SPAN_TICKS
         waiting, self.overflow = self.overflow, {}
         for item, at in waiting.items():
             self.place(item, at)
--- a/harrieryoke/council/part.py
+++ b/harrieryoke/council/part.py
@@ -80,12 +80,12 @@
         self.links.renew(told.addresses())
         self.actor.blocking_send(told)
 
-    def push_stop(self) -> None:
+    def request_stop(self) -> None:
         """Its duties go to others from here on, while the last calls are answered."""
         self.actor.leave(self.told.leave_ms)
 
     def stop(self) -> None:
-        self.push_stop()
+        self.request_stop()
         self.turns.stop()
         self.actor.gone.wait(self.told.leave_ms / 1000 + SLACK_S)
         self.actor.finished = True
--- a/harrieryoke/door/actor.py
+++ b/harrieryoke/door/actor.py
@@ -85,10 +85,10 @@
 
     def offer(self, call: Call, front: Front) -> bool:
         # guards the call against a door that has ended: it goes straight on
-        return self.blocking_send(CallReceived(call, front)) or self.core.admit(call, front)
+        return self.blocking_send(CallReceived(call, front)) or self.core.pass_door(call, front)
 
     def withdraw(self, call: Call) -> bool:
-        return self.blocking_send(CallWithdrawn(call)) or self.core.drop(call)
+        return self.blocking_send(CallWithdrawn(call)) or self.core.withdraw_past_door(call)
 
     def call_ended(self, call: Call, how: str) -> None:
         """What was never handed on here is passed over."""
@@ -109,12 +109,12 @@
         waiting, self.finished = list(self.waiting.values()), True
         super().finish()
         for each in waiting:
-            self.core.admit(each.call, each.front)
+            self.core.pass_door(each.call, each.front)
         for message in list(self.mailbox):
             if isinstance(message, CallReceived):
-                self.core.admit(message.call, message.front)
+                self.core.pass_door(message.call, message.front)
             elif isinstance(message, CallWithdrawn):
-                self.core.drop(message.call)
+                self.core.withdraw_past_door(message.call)
 
     def receive(self, message: Any) -> None:
         now = self.clock()
@@ -125,10 +125,10 @@
                 self.out(call, how, now)
             case CallWithdrawn(call):
                 if self.remove(call) is None:
-                    self.core.drop(call)
+                    self.core.withdraw_past_door(call)
                 else:
                     self.counts["withdrawn"] += 1
-                    self.core.table.tell_watchers(call, "withdrawn")
+                    self.core.table.notify_observers(call, "withdrawn")
             case Stopping(by):
                 self.stop_at = by - STOP_MS
                 for call in self.waiting:
@@ -187,7 +187,7 @@
             self.counts["handed"] += 1
             each.call.watched_by_door = True
             self.inside[each.call] = Inside(now, item.cost)
-            self.core.admit(each.call, each.front)
+            self.core.pass_door(each.call, each.front)
 
     # --- out ---
 
@@ -237,11 +237,11 @@
             hint = min(true, self.settings.max_retry_after)
             self.counts["hint-cut"] += true > hint  # the truth is longer than may be told
         each.front.refused(call, hint or None)
-        self.core.table.tell_watchers(call, "refused")
+        self.core.table.notify_observers(call, "refused")
 
     # --- for the operators ---
 
-    def push_stop(self, by: float) -> None:
+    def request_stop(self, by: float) -> None:
         self.blocking_send(Stopping(by))
 
     def ask_status(self, timeout_ms: float) -> dict[str, Any]:
--- a/harrieryoke/lab/fleet_watch.py
+++ b/harrieryoke/lab/fleet_watch.py
@@ -162,10 +162,10 @@
 
 
 def main() -> None:
-    from ..serve import load_config, patch
+    from ..serve import load_config, patch_standard_library
 
     operator, path, duties, seed = sys.argv[1:]
-    patch(operator)
+    patch_standard_library(operator)
     from ..log import Log
     from ..service import Service
 
--- a/harrieryoke/lab/rounds.py
+++ b/harrieryoke/lab/rounds.py
@@ -116,7 +116,7 @@
         """Processor seconds that the rounds took."""
         until, next_call, spent = self.now + seconds * 1000, self.now, 0.0
         while self.now < until:
-            wake = min(next_call, self.ends[0][0] if self.ends else until, self.actor.next_time())
+            wake = min(next_call, self.ends[0][0] if self.ends else until, self.actor.next_wake_time())
             self.now = max(self.now + SETTINGS.tick, wake)
             messages: list[Any] = []
             while next_call <= self.now:
@@ -126,7 +126,7 @@
                 messages.append(heappop(self.ends)[2])
             began = time.process_time()
             self.actor.step(self.now, messages)
-            self.actor.next_time()
+            self.actor.next_wake_time()
             spent += time.process_time() - began
             self.rounds += 1
             self.most_open = max(self.most_open, len(self.actor.table.entries))
--- a/harrieryoke/ledger/link.py
+++ b/harrieryoke/ledger/link.py
@@ -22,7 +22,7 @@
 from ..background.runner import Runner, Slice
 from ..core.actor import spawn
 from ..core.clock import now_ms
-from ..core.local_errors import is_broken_off
+from ..core.local_errors import is_kernel_timeout
 from ..log import Log
 from ..wire.frames import Decoder, WireError, encode
 from .actor import LedgerActor
@@ -137,7 +137,7 @@
                 sock.settimeout(self.told.answer_ms / 2000)
                 data = sock.recv(65536)
             except TimeoutError as error:
-                if is_broken_off(error):
+                if is_kernel_timeout(error):
                     raise
                 if not welcomed or self.ledger.ask(lambda: self.ledger.ledger.export.overdue(now_ms())):
                     raise OSError("no answer in time") from None
--- a/harrieryoke/mqtt/front.py
+++ b/harrieryoke/mqtt/front.py
@@ -352,7 +352,7 @@
 
     # --- the end ---
 
-    def push_stop(self) -> None:
+    def request_stop(self) -> None:
         """Takes nothing more, answers what was taken, and leaves the broker in order; `gone` tells."""
         self.blocking_send(Stop())
 
--- a/harrieryoke/mqtt/triggers.py
+++ b/harrieryoke/mqtt/triggers.py
@@ -12,7 +12,7 @@
 import jsonschema
 import msgspec
 
-from ..core.calls import BadCall, CallMaker
+from ..core.calls import CallMaker, InvalidCallError
 from ..core.records import Call
 
 PLACE = re.compile(r"\{(\w+)\}")
@@ -92,12 +92,12 @@
             fields: dict[str, Any] = msgspec.json.decode(m.payload, type=dict[str, Any])
             value = fields[self.key_name]
         except (msgspec.MsgspecError, KeyError):
-            raise BadCall(f"payload: no field {self.key_name!r} for the key") from None
+            raise InvalidCallError(f"payload: no field {self.key_name!r} for the key") from None
         return str(value)
 
     def property_key(self, m: Message) -> str:
         if self.key_name not in m.properties:
-            raise BadCall(f"no user property {self.key_name!r} for the key")
+            raise InvalidCallError(f"no user property {self.key_name!r} for the key")
         return m.properties[self.key_name]
 
     def fill(self, text: str, places: dict[str, str]) -> str:
@@ -109,9 +109,9 @@
         try:
             payload = msgspec.json.decode(m.payload)
         except (msgspec.MsgspecError, RecursionError) as error:
-            raise BadCall(f"payload: {error}") from None
+            raise InvalidCallError(f"payload: {error}") from None
         if (wrong := next(self.validator.iter_errors(payload), None)) is not None:
-            raise BadCall(f"payload: {wrong.message[:200]}")
+            raise InvalidCallError(f"payload: {wrong.message[:200]}")
 
 
 class TriggerReader:
@@ -144,7 +144,7 @@
         for matcher in self.matchers:
             if found := matcher.pattern.fullmatch(m.topic):
                 return self.make(matcher, found.groupdict(), m)
-        raise BadCall("no trigger has this topic")
+        raise InvalidCallError("no trigger has this topic")
 
     def make(self, matcher: Matcher, places: dict[str, str], m: Message) -> Call:
         t = matcher.trigger
@@ -153,7 +153,7 @@
         budget = kind.deadline if m.expiry_s is None else min(kind.deadline, m.expiry_s * 1000.0)
         extras = {"memory_mb": t.memory_mb, "lanes": float(t.lanes)}
         extras |= {} if t.load_ms is None else {"load_ms": t.load_ms}
-        keyed = self.maker.keyed(t.class_)
+        keyed = self.maker.is_keyed(t.class_)
         return self.maker.make(
             t.class_,
             os.urandom(8).hex(),
--- a/harrieryoke/net/client.py
+++ b/harrieryoke/net/client.py
@@ -12,9 +12,9 @@
 from gevent import socket
 
 from ..core.actor import Actor, spawn
-from ..core.calls import BadCall, CallMaker
+from ..core.calls import CallMaker, InvalidCallError
 from ..core.clock import now_ms
-from ..core.local_errors import is_broken_off
+from ..core.local_errors import is_kernel_timeout
 from ..core.module import ModuleActor
 from ..core.pauses import PauseWatch
 from ..core.records import Call
@@ -182,7 +182,7 @@
                 try:
                     data = self.sock.recv(self.limits.line_bytes // 4)
                 except TimeoutError as error:
-                    if is_broken_off(error):
+                    if is_kernel_timeout(error):
                         break
                     continue
                 if not data or not self.cut(self.partial + data):
@@ -198,7 +198,7 @@
             self.log("bad-client", f"{self.name}: a line of more than {self.limits.line_bytes} bytes")
             return False
         now = now_ms()
-        self.came = self.pauses.earliest(now)
+        self.came = self.pauses.earliest_arrival(now)
         if lines or not self.partial:
             self.used = now
         self.asked, self.partial, self.unposted = self.asked or bool(lines), partial, lines[::-1]
@@ -296,7 +296,7 @@
     def reject(self, id: int | None, method: str, error: BadRequestError) -> None:
         self.log("bad-request", f"{self.name}: {error}")
         if method in self.maker.classes:
-            self.core.figures.count_final_answer(method, "refused" if error.code == REFUSED else "failed")
+            self.core.metrics.count_final_answer(method, "refused" if error.code == REFUSED else "failed")
         self.write({"id": id, "error": {"code": error.code, "message": str(error)}})
 
     def call(self, method: str, params: bytes, at: float) -> Call:
@@ -309,7 +309,7 @@
             )
             made.client = self.peer
             return made
-        except (msgspec.MsgspecError, BadCall, ValueError) as error:
+        except (msgspec.MsgspecError, InvalidCallError, ValueError) as error:
             raise BadRequestError(BAD_PARAMS, str(error)) from None
 
     def give_up(self, m: Message) -> None:
--- a/harrieryoke/net/host.py
+++ b/harrieryoke/net/host.py
@@ -12,7 +12,7 @@
 from .. import interface as i
 from ..core.actor import Actor, spawn
 from ..core.clock import now_ms
-from ..core.local_errors import is_broken_off, is_local
+from ..core.local_errors import is_kernel_timeout, is_local
 from ..core.metrics import Metrics
 from ..core.records import AttemptTask, OrderTask, Task, TaskEnded
 from ..limits import Limits
@@ -236,7 +236,7 @@
             link.backlog.popleft()
             link.used = now_ms()
             if isinstance(frame.task, AttemptTask):
-                self.figures.for_class(self.classes[frame.task.call.class_index].name).tries += 1
+                self.figures.class_metrics(self.classes[frame.task.call.class_index].name).tries += 1
 
     def prepare(self, link: Link, frame: Unsent) -> bool:
         """Directly before the first byte of a frame: what is not wanted any more is left out."""
@@ -400,7 +400,7 @@
                 try:
                     data = link.sock.recv(65536)
                 except TimeoutError as error:
-                    if is_broken_off(error):
+                    if is_kernel_timeout(error):
                         raise
                     continue
                 if not data:
--- a/harrieryoke/net/platform.py
+++ b/harrieryoke/net/platform.py
@@ -12,7 +12,7 @@
 from ..core.actor import Actor, spawn
 from ..core.calls import CallMaker
 from ..core.clock import now_ms
-from ..core.local_errors import Pauses, retry_local
+from ..core.local_errors import RetryDelays, retry_local
 from ..core.module import ModuleActor
 from ..core.pauses import PauseWatch
 from ..limits import Limits
@@ -113,7 +113,7 @@
 
     def accept(self, entry: socket.socket) -> None:
         """The listener's greenlet, until its descriptor is closed."""
-        pauses = Pauses()
+        pauses = RetryDelays()
         while not self.finished:
             self.wait_for_room(entry)
             try:
@@ -123,7 +123,7 @@
                     return
                 # where descriptors have run out, the listener waits and goes on
                 self.log("accept-failed", str(error))
-                pauses.wait()
+                pauses.sleep()
                 continue
             pauses.reset()
             if (accepted := set_up(sock, peer, self.log)) is not None:
@@ -152,12 +152,12 @@
             self.wait_for_message(self.limits.sweep_ms)
             self.process_mailbox()
             now = now_ms()
-            self.pauses.wake(now)
+            self.pauses.record_wake(now)
             if now - swept >= self.limits.sweep_ms:
                 swept = now
                 # after a pause of this process, all idle clients look stale at once, and would be closed with
                 # a request of theirs on its way
-                for client in [c for c in self.clients if c.stale(now, self.pauses.resumed)]:
+                for client in [c for c in self.clients if c.stale(now, self.pauses.resumed_at)]:
                     self.log("client-closed", f"{client.client}: it was silent for too long")
                     self.clients[client] = client.close_stale()
                 self.send_away()
@@ -215,7 +215,7 @@
         if self.listening is None:
             return
         self.listening.settimeout(0)
-        give_up_at, pauses = now_ms() + self.limits.stop_accepting_ms, Pauses()
+        give_up_at, pauses = now_ms() + self.limits.stop_accepting_ms, RetryDelays()
         for _ in range(BACKLOG):
             try:
                 sock, peer = self.listening.accept()
@@ -225,7 +225,7 @@
                 self.log("accept-failed", str(error))
                 if now_ms() >= give_up_at:
                     return
-                pauses.wait()
+                pauses.sleep()
                 continue
             pauses.reset()
             if (accepted := set_up(sock, peer, self.log)) is not None:
--- a/harrieryoke/operator_file.py
+++ b/harrieryoke/operator_file.py
@@ -126,7 +126,7 @@
             made.ops = OpsServer(read_address("ops.listen", self.ops.listen), answer, limits, log)
         return made
 
-    def renew(self, new: OperatorFile, name: str, made: Parts) -> None:
+    def apply_reload(self, new: OperatorFile, name: str, made: Parts) -> None:
         """Of the council's table the members, voters, duties and weight."""
         if self.council is None or new.council is None or made.council is None:
             return
--- a/harrieryoke/parts.py
+++ b/harrieryoke/parts.py
@@ -20,7 +20,7 @@
     def start(self) -> None: ...
 
 
-class TunedPart(Part, Protocol):
+class ReconfigurablePart(Part, Protocol):
     """Takes `Retuned` into its mailbox: calls name classes and tenants by their indexes in the settings."""
 
     def blocking_send(self, message: Any) -> bool: ...
@@ -31,30 +31,30 @@
 
     gone: Event
 
-    def push_stop(self) -> None: ...
+    def request_stop(self) -> None: ...
 
     def blocking_send(self, message: Any) -> bool: ...
 
 
-class DoorPart(TunedPart, Door, Protocol):
+class DoorPart(ReconfigurablePart, Door, Protocol):
     """Fair queues before the module."""
 
-    def push_stop(self, by: float) -> None: ...
+    def request_stop(self, by: float) -> None: ...
 
     def ask_status(self, timeout_ms: float) -> dict[str, Any]: ...
 
 
-class GatePart(TunedPart, Gate, Protocol):
+class GatePart(ReconfigurablePart, Gate, Protocol):
     """The plug-ins. `ask_status` and `ask_swap` wait for the gate's answer, within `timeout_ms`."""
 
-    def push_stop(self, by: float) -> None: ...
+    def request_stop(self, by: float) -> None: ...
 
     def ask_swap(self, name: str | None, timeout_ms: float) -> dict[str, str]: ...
 
     def ask_status(self, timeout_ms: float) -> dict[str, Any]: ...
 
 
-class LedgerPart(TunedPart, Recorder, Protocol):
+class LedgerPart(ReconfigurablePart, Recorder, Protocol):
     """Keeps a record of each final answer; `stop` is for after the last of them."""
 
     def reload(self) -> None: ...
@@ -104,7 +104,7 @@
 
     def reload(self, told: Any) -> None: ...
 
-    def push_stop(self) -> None: ...
+    def request_stop(self) -> None: ...
 
     def stop(self) -> None: ...
 
@@ -128,7 +128,7 @@
 
     def check(self, settings: i.Settings, limits: Limits) -> None: ...
 
-    def renew(self, new: Any, name: str, made: Parts) -> None:
+    def apply_reload(self, new: Any, name: str, made: Parts) -> None:
         """Takes from a file that was read anew what may change while the parts run, at the invoker of that
         name. Raises ConfigError before anything is in force."""
         ...
--- a/harrieryoke/plugins/bench.py
+++ b/harrieryoke/plugins/bench.py
@@ -34,7 +34,7 @@
 
 
 class Quiet(Log):
-    def put(self, now: float, kind: str, text: str, fields: dict[str, object] | None = None) -> None:
+    def write_line(self, now: float, kind: str, text: str, fields: dict[str, object] | None = None) -> None:
         pass
 
 
@@ -44,7 +44,7 @@
     def __init__(self, limits: Limits, log: Log) -> None:
         super().__init__(SETTINGS, 1, limits, log)
 
-    def enter(self, call: Call, front: Front) -> bool:
+    def pass_gate(self, call: Call, front: Front) -> bool:
         front.served(call, b"")
         if self.gate is not None:
             self.gate.call_ended(call, "served")
--- a/harrieryoke/plugins/gate.py
+++ b/harrieryoke/plugins/gate.py
@@ -188,11 +188,11 @@
     def offer(self, call: Call, front: Front) -> bool:
         if any(self.sees(plugin, call) for plugin in self.plugins):
             # guards the call against a gate that has ended: it goes on without advice
-            return self.blocking_send(CallReceived(call, front)) or self.core.enter(call, front)
-        return self.core.enter(call, front)
+            return self.blocking_send(CallReceived(call, front)) or self.core.pass_gate(call, front)
+        return self.core.pass_gate(call, front)
 
     def withdraw(self, call: Call) -> bool:
-        return self.blocking_send(CallWithdrawn(call)) or self.core.leave(call)
+        return self.blocking_send(CallWithdrawn(call)) or self.core.withdraw_past_gate(call)
 
     def call_ended(self, call: Call, how: str) -> None:
         if call.watched_by_gate and not self.try_send(CallEnded(call, how)):
@@ -223,12 +223,12 @@
         waiting, self.finished = list(self.walking.values()), True
         super().finish()
         for passing in waiting:
-            self.core.enter(passing.call, passing.front)
+            self.core.pass_gate(passing.call, passing.front)
         for message in list(self.mailbox):
             if isinstance(message, CallReceived):
-                self.core.enter(message.call, message.front)
+                self.core.pass_gate(message.call, message.front)
             elif isinstance(message, CallWithdrawn):
-                self.core.leave(message.call)
+                self.core.withdraw_past_gate(message.call)
         for plugin in self.plugins:
             for instance in plugin.instances.values():
                 instance.try_send(End())
@@ -426,7 +426,7 @@
         call.latency_target = merged.wanted
         for name, function in merged.warm:
             self.wish(name, function, self.warm_bound(name), now)
-        self.core.enter(call, passing.front)
+        self.core.pass_gate(call, passing.front)
 
     def warm_bound(self, name: str) -> int:
         plugin = next(p for p in self.plugins if p.slot.plugin == name)
@@ -442,7 +442,7 @@
             passing.walk.withdrawn = True
             self.done(passing, self.clock())
         else:
-            self.core.leave(call)
+            self.core.withdraw_past_gate(call)
 
     def outcome(self, call: Call, how: str) -> None:
         """Told to the plug-ins that were asked, each in the version that it was asked in."""
@@ -551,7 +551,7 @@
 
     # --- for the operators ---
 
-    def push_stop(self, by: float) -> None:
+    def request_stop(self, by: float) -> None:
         self.blocking_send(Stopping(by))
 
     def ask_swap(self, name: str | None, timeout_ms: float) -> dict[str, str]:
--- a/harrieryoke/serve.py
+++ b/harrieryoke/serve.py
@@ -21,7 +21,7 @@
     return read_config(read_operator(operator_path), env)
 
 
-def patch(operator_path: str | None) -> None:
+def patch_standard_library(operator_path: str | None) -> None:
     """paho opens its sockets and selects through the standard library. Patching costs half of the start's
     time, so the platform's invoker, which has no paho, starts without."""
     if operator_path is not None:
--- a/harrieryoke/service.py
+++ b/harrieryoke/service.py
@@ -31,18 +31,18 @@
     from .upgrade.link import Upgrade
 
 # what of the configuration is in force from the start to the end of a process: fields of Config
-RESTART = ("name", "listen", "management", "seed", "limits", "operator")
+RESTART_FIELDS = ("name", "listen", "management", "seed", "limits", "operator")
 
 
 class Service:
     """One invoker."""
 
     def __init__(self, config: Config, log: Log, reread: Callable[[], Config] | None = None) -> None:
-        self.config, self.log, self.limits, self.reread = config, log, config.limits, reread
+        self.config, self.log, self.limits, self.read_again = config, log, config.limits, reread
         settings = config.settings
         self.core = ModuleActor(settings, config.seed, self.limits, log)
         self.hosts = HostListActor(
-            settings, self.limits, log, self.core.blocking_send, self.core.blocking_send, self.core.figures
+            settings, self.limits, log, self.core.blocking_send, self.core.blocking_send, self.core.metrics
         )
         self.bus = BusFollower(config.bus, config.known.offset, self.limits, log, self.hosts.blocking_send)
         self.maker = CallMaker(settings, self.limits)
@@ -50,7 +50,9 @@
         self.parts = (
             Parts()
             if config.operator is None
-            else config.operator.parts(settings, self.core, self.maker, self.limits, log, self.answer)
+            else config.operator.parts(
+                settings, self.core, self.maker, self.limits, log, self.answer_operator
+            )
         )
         self.broker, self.gate = self.parts.broker, self.parts.gate
         if self.gate is not None:
@@ -59,16 +61,16 @@
             self.core.set_door(self.parts.door)
         if self.parts.ledger is not None:
             self.core.set_recorder(self.parts.ledger)
-        self.stop, self.broken = Event(), False
+        self.stop_requested, self.failed = Event(), False
         self.upgrade: Upgrade | None = None
-        self.turn = Event()  # one file after the other: set once the last one that came is done with
-        self.turn.set()
+        self.reload_done = Event()  # one file after the other: set once the last one that came is done with
+        self.reload_done.set()
 
     def start(self) -> None:
         self.start_management()
         self.open_council()
-        listening, banned = self.take_over()
-        self.hosts.begin(self.config.known, banned, self.config.written)
+        listening, banned = self.take_over_listener()
+        self.hosts.begin(self.config.known, banned, self.config.file_written_at)
         for before in (self.gate, self.parts.door):
             if before is not None:
                 before.start()
@@ -114,8 +116,8 @@
         try:
             AdminServer(
                 self.config.management,
-                self.core.figures,
-                self.serves,
+                self.core.metrics,
+                self.is_serving,
                 self.hosts.try_send,
                 self.limits,
                 self.log,
@@ -123,14 +125,14 @@
         except OSError as error:
             raise ConfigError(f"RELAY_MANAGEMENT: {error}") from None
 
-    def serves(self) -> bool:
+    def is_serving(self) -> bool:
         """Whether a call that comes now is taken."""
-        return self.front.greenlet is not None and not self.stop.is_set()
+        return self.front.greenlet is not None and not self.stop_requested.is_set()
 
-    def take_over(self) -> tuple[socket.socket | None, list[str]]:
+    def take_over_listener(self) -> tuple[socket.socket | None, list[str]]:
         """The listening socket of the process that serves here so far, if there is one, and the hosts that
         operators have taken out."""
-        folder = self.config.folder
+        folder = self.config.upgrade_folder
         if folder is None:
             return None, []
         from .upgrade.link import Upgrade
@@ -142,43 +144,43 @@
     def run(self) -> int:
         """Serves until SIGTERM or SIGINT, then answers all that was taken."""
         for number in (signal.SIGTERM, signal.SIGINT):
-            gevent.signal_handler(number, self.stop.set)
+            gevent.signal_handler(number, self.stop_requested.set)
         # guards against SIGHUP's default, which ends the process
         gevent.signal_handler(signal.SIGHUP, lambda: spawn(self.log, "reload", self.reload))
         self.start()
         for part in (self.core, self.hosts, self.bus, self.front):
             if part.greenlet is not None:
-                part.greenlet.link(self.part_ended)
+                part.greenlet.link(self.on_part_ended)
         gc.freeze()
-        self.stop.wait()
-        return 1 if self.broken else self.wind_down()
+        self.stop_requested.wait()
+        return 1 if self.failed else self.shut_down()
 
     def reload(self) -> None:
         """One SIGHUP: the file is read at once, and in its turn taken as a whole or not at all."""
-        if self.reread is None:
+        if self.read_again is None:
             return
         try:
-            new = self.reread()
-            before, self.turn = self.turn, Event()
-            mine = self.turn
+            new = self.read_again()
+            before, self.reload_done = self.reload_done, Event()
+            mine = self.reload_done
             before.wait()
             try:
-                told = self.take(new)
+                told = self.apply_config(new)
             finally:
                 mine.set()
         except ConfigError as error:
-            self.core.figures.config_rejected += 1
+            self.core.metrics.config_rejected += 1
             return self.log("reload-failed", f"the old configuration stays: {error}")
-        self.core.figures.config_applied += 1
+        self.core.metrics.config_applied += 1
         self.log("reloaded", told)
 
-    def take(self, new: Config) -> str:
+    def apply_config(self, new: Config) -> str:
         """Puts a new configuration in force; what changed, and what waits for a restart. Raises ConfigError
         before anything is in force."""
-        if self.stop.is_set():
+        if self.stop_requested.is_set():
             raise ConfigError("the process is stopping")
         old = self.config
-        if (key := find_missing_key([old.told], new.told)) is not None:
+        if (key := find_missing_key([old.file_values], new.file_values)) is not None:
             raise ConfigError(key)
         try:
             settings = merge(old.settings, new.settings, self.limits.class_slots)
@@ -186,42 +188,42 @@
             raise ConfigError(f"settings.{error}") from None
         if old.operator is not None:
             old.operator.check(new.settings, new.limits)
-            old.operator.renew(new.operator, old.name, self.parts)
+            old.operator.apply_reload(new.operator, old.name, self.parts)
         own = {} if old.operator is None else old.operator.limits
-        for limit, value in read_ceilings(new.told["settings"]).items():
+        for limit, value in read_ceilings(new.file_values["settings"]).items():
             if limit not in own:
                 setattr(self.limits, limit, value)
-        self.put_in_force(settings)
+        self.apply_settings(settings)
         self.bus.move(new.bus)
         if self.gate is not None:
             self.gate.ask_swap(None, self.limits.write_ms)
         if self.parts.ledger is not None:
             self.parts.ledger.reload()
-        stays = [key for key in RESTART if getattr(new, key) != getattr(old, key)]
+        stays = [key for key in RESTART_FIELDS if getattr(new, key) != getattr(old, key)]
         stays += ["settings.discovery"] if new.settings.list_on_request != settings.list_on_request else []
         told = [describe_changes(old.settings, settings)]
         told += [f"a restart is needed for: {', '.join(stays)}"] if stays else []
-        self.config = replace(old, settings=settings, bus=new.bus, told=new.told)
+        self.config = replace(old, settings=settings, bus=new.bus, file_values=new.file_values)
         return "; ".join(filter(None, told))
 
-    def put_in_force(self, settings: i.Settings) -> None:
+    def apply_settings(self, settings: i.Settings) -> None:
         """Whoever a call comes to knows its class by then: the hosts at once, the parts on its way through
         mailboxes that keep the order, and last the fronts, which name the new classes from here."""
         self.hosts.retune(settings)
-        self.core.figures.add_classes(settings.active_classes())
+        self.core.metrics.add_classes(settings.active_classes())
         for part in (self.core, self.gate, self.parts.door, self.parts.ledger):
             if part is not None:
                 part.blocking_send(SettingsChanged(settings))
-        self.maker.retune(settings)
+        self.maker.apply_settings(settings)
 
-    def part_ended(self, greenlet: gevent.Greenlet) -> None:
+    def on_part_ended(self, greenlet: gevent.Greenlet) -> None:
         """Guards against living on without a vital part: whoever started the process starts it anew."""
-        if not self.stop.is_set():
+        if not self.stop_requested.is_set():
             self.log("broken", "a part that the invoker can't be without has ended")
-            self.broken = True
-            self.stop.set()
+            self.failed = True
+            self.stop_requested.set()
 
-    def wind_down(self) -> int:
+    def shut_down(self) -> int:
         """New connections go on coming for a while after SIGTERM: they are served too."""
         began = now_ms()
         settings = self.config.settings
@@ -234,11 +236,11 @@
             self.upgrade.stop()
         for before in (self.gate, self.parts.door):
             if before is not None:
-                before.push_stop(by)
+                before.request_stop(by)
         if self.parts.council is not None:
-            self.parts.council.push_stop()
+            self.parts.council.request_stop()
         if self.broker is not None:
-            self.broker.push_stop()
+            self.broker.request_stop()
         if self.front.yielded is None:
             gevent.sleep(self.limits.stop_accepting_ms / 1000)
         self.front.blocking_send(StopListening())
@@ -249,12 +251,12 @@
             self.parts.ledger.stop()
         if self.parts.council is not None:
             self.parts.council.stop()
-        self.log("stopped", ", ".join(f"{n} {name}" for name, n in self.counts(self.core).items()))
+        self.log("stopped", ", ".join(f"{n} {name}" for name, n in self.request_counters(self.core).items()))
         return 0
 
     # --- the operators' HTTP ---
 
-    def counts(self, actor: Any) -> dict[str, int]:
+    def request_counters(self, actor: Any) -> dict[str, int]:
         """An actor's counters, from itself."""
         told: AsyncResult = AsyncResult()
         actor.blocking_send(CountersRequested(told.set))
@@ -264,9 +266,9 @@
             return {}
         return counts
 
-    def answer(self, method: str, path: str, query: Mapping[str, str]) -> tuple[int, Any]:
+    def answer_operator(self, method: str, path: str, query: Mapping[str, str]) -> tuple[int, Any]:
         if path == "/healthz":
-            healthy = not self.stop.is_set() and not self.core.finished
+            healthy = not self.stop_requested.is_set() and not self.core.finished
             return 200 if healthy else 503, {"healthy": healthy}
         if path.startswith("/plugins"):
             if self.gate is None:
@@ -287,5 +289,5 @@
             if self.parts.ledger is None:
                 return 404, {"error": "there is no ledger"}
             return self.parts.ledger.answer(method, path, query, self.limits.write_ms)
-        counts = {"requests": self.counts(self.core), "log": dict(self.log.totals)}
-        return 200, counts | ({} if self.broker is None else {"triggers": self.counts(self.broker)})
+        counts = {"requests": self.request_counters(self.core), "log": dict(self.log.totals)}
+        return 200, counts | ({} if self.broker is None else {"triggers": self.request_counters(self.broker)})
--- a/harrieryoke/structured.py
+++ b/harrieryoke/structured.py
@@ -36,8 +36,8 @@
             invoker=name,
         )
 
-    def put(self, now: float, kind: str, text: str, fields: dict[str, object] | None = None) -> None:
-        stamp = self.stamp(now, "%Y-%m-%dT%H:%M:%S") + "Z"
+    def write_line(self, now: float, kind: str, text: str, fields: dict[str, object] | None = None) -> None:
+        stamp = self.format_time(now, "%Y-%m-%dT%H:%M:%S") + "Z"
         told = {"text": text} if text else {}
         self.logger.info(kind, at=stamp, **told, **(fields or {}))
 
--- a/tests/clients.py
+++ b/tests/clients.py
@@ -38,14 +38,14 @@
 class Quiet(Log):
     """Keeps the kinds of its lines."""
 
-    def put(self, *told: object) -> None: ...
+    def write_line(self, *told: object) -> None: ...
 
 
 class Core:
     """In the module's place: `offer` waits while the gate is closed; `answers`: each call at once."""
 
     def __init__(self) -> None:
-        self.figures, self.gate, self.answers = Metrics(["weight-read"]), Event(), False
+        self.metrics, self.gate, self.answers = Metrics(["weight-read"]), Event(), False
         self.gate.set()
         self.offered: dict[int, Call] = {}
         self.withdrawn: list[int] = []
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -38,7 +38,9 @@
 
 
 class Quiet(Log):
-    def put(self, now: float, kind: str, text: str, fields: dict[str, object] | None = None) -> None: ...
+    def write_line(
+        self, now: float, kind: str, text: str, fields: dict[str, object] | None = None
+    ) -> None: ...
 
 
 def opened(heard: list[WorkersChanged], limits: Limits | None = None) -> HostListActor:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -207,10 +207,13 @@
 
 def test_bodies_beyond_their_share_of_the_memory_are_refused_until_there_is_room_again() -> None:
     b = Bench()
-    b.actor.table.most = 10
+    b.actor.table.max_open_body_bytes = 10
     calls = [Call(rid, 0, "f", b.now + 100, b"123456") for rid in "abc"]
     assert b.step(CallReceived(calls[0], b.peers), CallReceived(calls[1], b.peers)) == ["refused b"]
-    assert b.step(CallWithdrawn(calls[0]), CallReceived(calls[2], b.peers)) == [] and b.actor.table.held == 6
+    assert (
+        b.step(CallWithdrawn(calls[0]), CallReceived(calls[2], b.peers)) == []
+        and b.actor.table.open_body_bytes == 6
+    )
 
 
 def test_hosts_that_have_gone_are_forgotten() -> None:
@@ -218,7 +221,7 @@
     for n in range(2, 9):
         here, gone = i.WorkerEntry(n), i.WorkerEntry(n - 1, status=i.WorkerStatus.GONE)
         b.step(WorkersChanged(i.WorkersListed(i.ListScope.CHANGES, (here, gone)), {n: b.peers}))
-    assert list(b.actor.ports) == list(b.actor.entries) == [8]
+    assert list(b.actor.host_ports) == list(b.actor.worker_entries) == [8]
 
 
 def test_two_open_requests_under_one_id_and_one_whose_time_is_over() -> None:
@@ -231,6 +234,6 @@
     """Seen in a profile: a round for each timer, most of them for requests long answered."""
     b = Bench([i.SetTimer("a", 1010.0), i.SetTimer("b", 1013.0)])
     b.take(left=5000)
-    assert b.actor.next_time() == 1015.0
+    assert b.actor.next_wake_time() == 1015.0
     b.step(after=15)
     assert [e.name for e in b.script.heard if isinstance(e, i.TimerFired)] == ["a", "b"]
--- a/tests/test_council_disk.py
+++ b/tests/test_council_disk.py
@@ -32,7 +32,9 @@
 
 
 class Quiet(Log):
-    def put(self, now: float, kind: str, text: str, fields: dict[str, object] | None = None) -> None: ...
+    def write_line(
+        self, now: float, kind: str, text: str, fields: dict[str, object] | None = None
+    ) -> None: ...
 
 
 class Folder(Faulty):
--- a/tests/test_council_link.py
+++ b/tests/test_council_link.py
@@ -34,7 +34,7 @@
         super().__init__()
         self.lines: list[str] = []
 
-    def put(self, now: float, kind: str, text: str, fields: dict[str, object] | None = None) -> None:
+    def write_line(self, now: float, kind: str, text: str, fields: dict[str, object] | None = None) -> None:
         self.lines.append(f"{kind} {text}")
 
     def of(self, kind: str) -> list[str]:
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -136,7 +136,7 @@
         super().__init__(limits, log)
         self.held: list[Call] = []
 
-    def admit(self, call: Call, front: object) -> bool:
+    def pass_door(self, call: Call, front: object) -> bool:
         self.held.append(call)
         return True
 
@@ -281,7 +281,7 @@
     rig = Clocked(DoorSettings(inside_first=1, inside_least=1, inside_most=1))
     first, second = rig.call(), rig.call()
     dropped: list[Call] = []
-    rig.core.drop = lambda call: bool(dropped.append(call)) or True  # type: ignore[method-assign, func-returns-value]
+    rig.core.withdraw_past_door = lambda call: bool(dropped.append(call)) or True  # type: ignore[method-assign, func-returns-value]
     rig.door.receive(CallWithdrawn(first))
     rig.door.receive(CallWithdrawn(second))
     assert dropped == [first] and list(rig.door.inside) == [first] and not rig.door.waiting
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -21,7 +21,7 @@
 
 
 class Quiet(Log):
-    def put(self, *told: object) -> None: ...
+    def write_line(self, *told: object) -> None: ...
 
 
 class StubSocket:
--- a/tests/test_host_crossings.py
+++ b/tests/test_host_crossings.py
@@ -111,7 +111,7 @@
         return large, link
 
     def tries(self) -> int:
-        return self.figures.for_class("weight-read").tries
+        return self.figures.class_metrics("weight-read").tries
 
 
 @pytest.fixture
@@ -325,14 +325,14 @@
         "read", 500, 2000, effect=effect, deduplication_scope=i.DeduplicationScope.ALL, repeat_window=300
     )
     table, port = RequestTable(i.Settings((kind,), tick=2), Limits(), Metrics(), Log()), Port()
-    table.take(Call("1", 0, "f", 9000.0), port, 1000.0)
+    table.accept(Call("1", 0, "f", 9000.0), port, 1000.0)
     entry = table.entries[1]
     for turn, outcome in enumerate(ends):
-        task = table.attempt(entry, 1, 5000.0, 1000.0 + 100 * turn)
-        table.begin(task, port)
+        task = table.create_attempt(entry, 1, 5000.0, 1000.0 + 100 * turn)
+        table.start_task(task, port)
         if outcome is not None:
-            table.settle(TaskEnded(task, outcome))
-    assert table.attempt(entry, 1, 5000.0, 1250.0).start_by == start_by
+            table.end_task(TaskEnded(task, outcome))
+    assert table.create_attempt(entry, 1, 5000.0, 1250.0).start_by == start_by
 
 
 # --- links that end ---
--- a/tests/test_interleave.py
+++ b/tests/test_interleave.py
@@ -104,7 +104,7 @@
 
 
 class Quiet(Log):
-    def put(self, *told: object) -> None: ...
+    def write_line(self, *told: object) -> None: ...
 
 
 class Single:
@@ -133,9 +133,9 @@
 
     made = 0
 
-    def attempt(self, *args: Any) -> AttemptTask:
+    def create_attempt(self, *args: Any) -> AttemptTask:
         self.made += 1
-        return super().attempt(*args)
+        return super().create_attempt(*args)
 
 
 class Core(World):
@@ -148,8 +148,8 @@
         self.log = Quiet()
         self.core = ModuleActor(SETTINGS, 7, Limits(), self.log, self.clock)
         self.script = self.core.router = Single(worker)  # type: ignore[assignment]
-        self.table = self.core.table = kind(SETTINGS, Limits(), self.core.figures, self.log)
-        self.table.watchers.append(self)
+        self.table = self.core.table = kind(SETTINGS, Limits(), self.core.metrics, self.log)
+        self.table.observers.append(self)
         self.calls = [Call(f"{n:016x}", 0, "f", 1100.0 + n) for n in (1, 2)]
 
     def __repr__(self) -> str:
@@ -195,7 +195,7 @@
             c.request_id for c in self.calls
         ], "a call without its end"
         table = self.table
-        left = table.tasks or table.attempts or table.entries or len(table.times)
+        left = table.ports_by_task or table.open_attempts or table.entries or len(table.deadlines)
         assert not left, "a task without its end"
         assert len(self.attempts()) == table.made, "an attempt without its end"
 
@@ -207,10 +207,10 @@
             sorted(self.ends),
             heard,
             self.core.mailbox,
-            self.core.echoes,
-            table.latest,
+            self.core.pending_events,
+            table.stop_deadline,
             table.entries,
-            list(table.tasks),
+            list(table.ports_by_task),
         )
 
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -17,7 +17,7 @@
 
 from harrieryoke import interface as i
 from harrieryoke.checks import ConfigError
-from harrieryoke.config import read_config, read_whole
+from harrieryoke.config import read_config, read_unchanged
 from harrieryoke.core.records import SettingsChanged
 from harrieryoke.log import Log
 from harrieryoke.net import frames
@@ -294,7 +294,7 @@
 
 def counted(service: Service) -> tuple[int, int]:
     """Files taken, and turned down."""
-    return service.core.figures.config_applied, service.core.figures.config_rejected
+    return service.core.metrics.config_applied, service.core.metrics.config_rejected
 
 
 @pytest.mark.parametrize("key", WHOLE)
@@ -369,9 +369,9 @@
             return data
 
     (tmp_path / "config.json").write_bytes(b"x")
-    assert read_whole(Restless(2)).data == b"xxx"  # type: ignore[arg-type]
+    assert read_unchanged(Restless(2)).data == b"xxx"  # type: ignore[arg-type]
     with pytest.raises(ConfigError, match="RELAY_CONFIG: it changes"):
-        read_whole(Restless(3))  # type: ignore[arg-type]
+        read_unchanged(Restless(3))  # type: ignore[arg-type]
 
 
 def test_good_and_broken_files_in_turn_under_load_lose_nothing(tmp_path: Path) -> None:
--- a/tests/test_timing_wheel.py
+++ b/tests/test_timing_wheel.py
@@ -5,10 +5,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from harrieryoke.core.timing_wheel import SPAN, TimingWheel
+from harrieryoke.core.timing_wheel import SPAN_TICKS, TimingWheel
 
 delays = st.one_of(
-    st.floats(-10, 10), st.floats(0, 70), st.floats(0, 5000), st.floats(0, 300_000), st.floats(0, 3 * SPAN)
+    st.floats(-10, 10),
+    st.floats(0, 70),
+    st.floats(0, 5000),
+    st.floats(0, 300_000),
+    st.floats(0, 3 * SPAN_TICKS),
 )
 steps = st.lists(
     st.one_of(
