--- a/harrieryoke/checks.py
+++ b/harrieryoke/checks.py
@@ -1,4 +1,4 @@
-"""What all readers of configuration share: the error that names a key, and addresses."""
+"""Shared by all readers of configuration: the error that names a key, and the parsing of addresses."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 
 class ConfigError(ValueError):
-    """A key that can't be used; the message begins with its name."""
+    """A configuration value is not valid; the message begins with its key."""
 
 
 def read_address(key: str, text: str) -> tuple[str, int]:
+    """Parse an address. Raises ConfigError, which names the key."""
     try:
         return address(text)
     except ValueError as error:
--- a/harrieryoke/config.py
+++ b/harrieryoke/config.py
@@ -1,4 +1,4 @@
-"""The one place where configuration is read, checked and given its defaults."""
+"""Reads and checks the configuration, and fills in its defaults."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from .parts import Operator
 from .settings import check_figure, read_list, read_settings
 
-MAX_READS = 3  # of a file that changes meanwhile
-# Limits' field -> where the settings' ceilings have it: what may change while the invoker serves
+MAX_READS = 3  # of a file that changes while it is read
+# fields of Limits that a reload may change -> their keys in the settings' ceilings
 CEILING_KEYS = {
     "open_calls": "open-cap",
     "streams_per_link": "streams-per-conn",
@@ -36,7 +36,7 @@
 
 
 class PlatformFile(msgspec.Struct):
-    """RELAY_CONFIG."""
+    """The file named by RELAY_CONFIG."""
 
     bus: str
     settings: dict[str, Any]
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class Config:
-    """What the invoker was told, checked."""
+    """The checked configuration of an invoker."""
 
     name: str
     listen: tuple[str, int]
@@ -61,43 +61,51 @@
     settings: i.Settings
     limits: Limits
     operator: Operator | None
-    upgrade_folder: Path | None  # what outlives the process in an upgrade is here
-    file_values: dict[str, Any]  # the whole file, without the events up to the start
-    file_written_at: float  # when the file was, in milliseconds of the process's clock: `known` is no newer
+    upgrade_folder: Path | None  # holds what outlives the process in an upgrade
+    file_values: dict[str, Any]  # the file without the known worker list
+    file_written_at: float  # in monotonic milliseconds; `known` is not newer
 
 
-def read_ceilings(wire: Mapping[str, Any]) -> dict[str, Any]:
-    """Fields of `Limits` as the settings' ceilings have them; 0 and null keep the default. Raises
-    ConfigError."""
-    usual, ceilings, read = Limits(), wire.get("ceilings") or {}, dict[str, Any]()
-    for ours, theirs in CEILING_KEYS.items():
+def read_ceilings(settings: Mapping[str, Any]) -> dict[str, Any]:
+    """Return the fields of `Limits` that the settings' ceilings set; 0 and null keep the default.
+
+    Raises ConfigError.
+    """
+    defaults, ceilings, read = Limits(), settings.get("ceilings") or {}, dict[str, Any]()
+    for field, key in CEILING_KEYS.items():
         try:
-            told = ceilings.get(theirs) or getattr(usual, ours)
-            read[ours] = msgspec.convert(told, type(getattr(usual, ours)), strict=False)
-            check_figure(read[ours], above_0=True)
+            value = ceilings.get(key) or getattr(defaults, field)
+            read[field] = msgspec.convert(value, type(getattr(defaults, field)), strict=False)
+            check_figure(read[field], above_0=True)
         except (ValueError, OverflowError) as error:  # msgspec's are among them
-            raise ConfigError(f"settings.ceilings.{theirs}: {error}") from None
+            raise ConfigError(f"settings.ceilings.{key}: {error}") from None
     return read
 
 
-def read_limits(told: PlatformLimits, wire: Mapping[str, Any], own: Mapping[str, float]) -> Limits:
-    """The platform's limits and the settings' ceilings over the defaults; the operator's over all."""
-    usual = Limits()
+def read_limits(
+    platform: PlatformLimits, settings: Mapping[str, Any], operator_limits: Mapping[str, float]
+) -> Limits:
+    """Return the default limits, overridden by platform, ceilings and operator in this order."""
+    defaults = Limits()
     for key in ("memory_mb", "sockets"):
-        if getattr(told, key) < 16:
-            raise ConfigError(f"limits.{key}: {getattr(told, key)} is too little")
-    filled = replace(usual, sockets=told.sockets, memory_mb=told.memory_mb, **read_ceilings(wire))
-    for key, value in own.items():
+        if getattr(platform, key) < 16:
+            raise ConfigError(f"limits.{key}: {getattr(platform, key)} is too little")
+    limits = replace(
+        defaults, sockets=platform.sockets, memory_mb=platform.memory_mb, **read_ceilings(settings)
+    )
+    for key, value in operator_limits.items():
         if key not in Limits.__dataclass_fields__ or value <= 0:
             raise ConfigError(f"limits.{key}: no such limit, or not above 0")
-    return replace(filled, **{k: type(getattr(usual, k))(v) for k, v in own.items()})
+    return replace(limits, **{k: type(getattr(defaults, k))(v) for k, v in operator_limits.items()})
+
 
+def read_invoker_settings(raw_settings: Mapping[str, Any]) -> i.Settings:
+    """Return the settings with the names of zones and kinds, which only an invoker with hosts needs.
 
-def read_invoker_settings(wire: Mapping[str, Any]) -> i.Settings:
-    """The settings with the names of zones and kinds, which only an invoker with hosts wants, and with names
-    that can go over the wire. Raises ValueError, which names the key."""
-    zones, kinds = (tuple(str(n) for n in read_list(wire, key)) for key in ("zones", "flavors"))
-    settings = replace(read_settings(wire), zones=zones, kinds=kinds)
+    Raises ValueError, which names the key, for duplicate names and for those that a frame cannot carry.
+    """
+    zones, kinds = (tuple(str(n) for n in read_list(raw_settings, key)) for key in ("zones", "flavors"))
+    settings = replace(read_settings(raw_settings), zones=zones, kinds=kinds)
     for key, names in (
         ("classes", [c.name for c in settings.classes]),
         ("realms", [t.name for t in settings.tenants]),
@@ -106,7 +114,7 @@
             if name in names[:n]:
                 raise ValueError(f"{key}[{n}].name: a second {name!r}")
     for n, c in enumerate(settings.classes):
-        # guards against a name that splits a frame's fields, or is longer than they may be
+        # a name must not split the fields of a frame or be longer than they may be
         if (
             not c.name.isprintable()
             or not 0 < len(c.name) <= MAX_CLASS_NAME_LENGTH
@@ -120,14 +128,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FileContent:
-    """A file as of one moment, and when it was last written, in milliseconds of the process's clock."""
+    """The consistent content of a file, and when it was last written in monotonic milliseconds."""
 
     data: bytes
     written_at: float
 
 
 def read_unchanged(path: Path) -> FileContent:
-    """The bytes as of one moment. Guards against a file that changes while it is read. Raises ConfigError."""
+    """Read a file again if it changes while it is read. Raises ConfigError if it keeps changing."""
     for _ in range(MAX_READS):
         before, data, after = path.stat(), path.read_bytes(), path.stat()
         if all(getattr(before, key) == getattr(after, key) for key in ("st_ino", "st_size", "st_mtime_ns")):
@@ -137,40 +145,44 @@
 
 
 def read_config(operator: Operator | None = None, env: Mapping[str, str] = os.environ) -> Config:
-    """RELAY_CONFIG, with RELAY_NAME, RELAY_LISTEN and RELAY_MANAGEMENT over it; the operator's file is
-    checked against it. Raises ConfigError."""
+    """Read the file named by RELAY_CONFIG, and check the operator's file against it.
+
+    RELAY_NAME, RELAY_LISTEN and RELAY_MANAGEMENT override the file. Raises ConfigError.
+    """
     path = env.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG: not set")
     try:
         file = read_unchanged(Path(path))
-        whole = msgspec.json.decode(file.data)
-        told = msgspec.convert(whole, PlatformFile)
+        values = msgspec.json.decode(file.data)
+        platform_file = msgspec.convert(values, PlatformFile)
     except (OSError, msgspec.MsgspecError, RecursionError) as error:
         raise ConfigError(f"RELAY_CONFIG: {error}") from None
     try:
-        settings = read_invoker_settings(told.settings)
+        settings = read_invoker_settings(platform_file.settings)
     except ValueError as error:
         raise ConfigError(f"settings.{error}") from None
     try:
-        seed = int(told.seed or "0", 16)
+        seed = int(platform_file.seed or "0", 16)
     except ValueError:
-        raise ConfigError(f"seed: not a hexadecimal number: {told.seed!r}") from None
-    limits = read_limits(told.limits, told.settings, {} if operator is None else operator.limits)
+        raise ConfigError(f"seed: not a hexadecimal number: {platform_file.seed!r}") from None
+    limits = read_limits(
+        platform_file.limits, platform_file.settings, {} if operator is None else operator.limits
+    )
     if operator is not None:
         operator.check(settings, limits)
-    management = env.get("RELAY_MANAGEMENT") or told.management
+    management = env.get("RELAY_MANAGEMENT") or platform_file.management
     return Config(
-        name=env.get("RELAY_NAME") or told.name or "-",
-        listen=read_address("RELAY_LISTEN", env.get("RELAY_LISTEN") or told.listen),
+        name=env.get("RELAY_NAME") or platform_file.name or "-",
+        listen=read_address("RELAY_LISTEN", env.get("RELAY_LISTEN") or platform_file.listen),
         management=read_address("RELAY_MANAGEMENT", management) if management else None,
         seed=seed,
-        bus=read_address("bus", told.bus),
-        known=told.known,
+        bus=read_address("bus", platform_file.bus),
+        known=platform_file.known,
         settings=settings,
         limits=limits,
         operator=operator,
         upgrade_folder=Path(env["TMPDIR"]) if management and env.get("TMPDIR") else None,
-        file_values={key: value for key, value in whole.items() if key != "known"},
+        file_values={key: value for key, value in values.items() if key != "known"},
         file_written_at=file.written_at,
     )
--- a/harrieryoke/core/clock.py
+++ b/harrieryoke/core/clock.py
@@ -1,7 +1,7 @@
-"""The clocks of the process, and a watch over the one that can be set while it runs.
+"""The monotonic clock, the wall clock, and the detection of steps of the wall clock.
 
-Every span (deadlines, windows, waits) is measured on the monotonic clock. The wall clock names moments for
-people, files and other machines; it may be set at any time, so no two readings of it are compared.
+Every duration (deadlines, windows, waits) is measured with the monotonic clock. The wall clock gives
+timestamps for people, files and other machines. It may be set at any time, so its readings are not compared.
 """
 
 from __future__ import annotations
@@ -10,30 +10,34 @@
 from collections.abc import Callable
 
 NOTICEABLE_STEP_MS = 50.0  # a smaller difference is the slewing of the wall clock
-SAME_MOMENT_MS = 10.0  # readings that lie further apart don't compare: the process stood still between them
+SAME_MOMENT_MS = 10.0  # readings further apart are not comparable: the process was suspended between them
 
 
 def now_ms() -> float:
-    """Return the monotonic time in milliseconds. It runs on evenly whatever happens to the wall clock. All
-    processes of a machine share it; it begins anew when the machine starts."""
+    """Return the monotonic time in milliseconds.
+
+    Setting the wall clock does not affect it. All processes of a machine share it until a reboot.
+    """
     return time.monotonic() * 1000
 
 
 def wall_ms() -> float:
-    """Return the Unix time in milliseconds, as this machine's wall clock has it now."""
+    """Return the Unix time of the wall clock in milliseconds."""
     return time.time() * 1000
 
 
 class WallClockWatch:
-    """Notices when the wall clock was set: it then moved by another span than the monotonic clock."""
+    """Detects that the wall clock was set, by comparing its progress with the monotonic clock."""
 
     def __init__(self, clock: Callable[[], float] = now_ms, wall: Callable[[], float] = wall_ms) -> None:
         self.clock, self.wall = clock, wall
-        self.offset_ms = wall() - clock()  # of the monotonic clock, in milliseconds
+        self.offset_ms = wall() - clock()  # wall clock minus monotonic clock
 
     def read_step(self) -> float:
-        """Return by how many milliseconds the wall clock was stepped since the last call; 0.0 for no step.
-        Negative where it was set back."""
+        """Return the step of the wall clock since the last call in milliseconds, or 0.0.
+
+        The step is negative if the clock was set back.
+        """
         before, wall = self.clock(), self.wall()
         if self.clock() - before > SAME_MOMENT_MS:
             return 0.0
--- a/harrieryoke/core/local_errors.py
+++ b/harrieryoke/core/local_errors.py
@@ -1,4 +1,4 @@
-"""Errors of system calls that tell of this machine: they pass, and say nothing of the peer."""
+"""Errors of system calls caused by this machine: they are transient and say nothing about the peer."""
 
 from __future__ import annotations
 
@@ -29,37 +29,41 @@
 
 
 class RetryDelays:
-    """Growing pauses between tries of a call that fails, in milliseconds."""
+    """Exponentially growing delays between retries, in milliseconds."""
 
     def __init__(self) -> None:
         self.delay_ms = MIN_DELAY_MS
 
     def sleep(self) -> None:
-        """Sleep for the next pause."""
-        pause = self.delay_ms
-        self.delay_ms = min(2 * pause, MAX_DELAY_MS)
-        gevent.sleep(pause / 1000)
+        """Sleep for the current delay and double it for the next time."""
+        delay = self.delay_ms
+        self.delay_ms = min(2 * delay, MAX_DELAY_MS)
+        gevent.sleep(delay / 1000)
 
     def reset(self) -> None:
-        """The call has succeeded: the next pause is short again."""
+        """Start again with the shortest delay, after a success."""
         self.delay_ms = MIN_DELAY_MS
 
 
 def is_local(error: OSError) -> bool:
-    """Return whether the error tells of this machine alone."""
+    """Return whether this machine alone caused the error."""
     return error.errno in LOCAL_ERRORS
 
 
 def is_kernel_timeout(error: TimeoutError) -> bool:
-    """Return whether a read's error is the kernel's, which has given the connection up (ETIMEDOUT). Python
-    has the same type for the end of the socket's own time-out, after which the connection still stands."""
+    """Return whether the kernel has given up the connection (ETIMEDOUT).
+
+    Python raises the same type for the socket's own timeout, after which the connection is still open.
+    """
     return error.errno is not None
 
 
-def retry_local(what: str, call: Callable[[], T], patience_ms: float, log: Log) -> T:
-    """Call until it succeeds. Raises OSError at once for an error of another kind, and for a local one after
-    `patience_ms`."""
-    give_up_at, pauses = now_ms() + patience_ms, RetryDelays()
+def retry_local(what: str, call: Callable[[], T], timeout_ms: float, log: Log) -> T:
+    """Call until it succeeds.
+
+    Raises OSError immediately for an error that is not local, and for a local one after `timeout_ms`.
+    """
+    give_up_at, delays = now_ms() + timeout_ms, RetryDelays()
     while True:
         try:
             return call()
@@ -67,4 +71,4 @@
             if not is_local(error) or now_ms() >= give_up_at:
                 raise
             log("local-error", f"{what}: {error}")
-            pauses.sleep()
+            delays.sleep()
--- a/harrieryoke/core/metrics.py
+++ b/harrieryoke/core/metrics.py
@@ -1,20 +1,21 @@
-"""The metrics that operators read: integer counters and gauges, updated where the event happens."""
+"""The metrics for operators: integer counters and gauges, updated where the event happens."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+# result of a request -> field of ClassMetrics
 COUNTERS_BY_RESULT = {
     "served": "ok",
     "refused": "shed",
     "failed": "errors",
-}  # how a request ends -> the metric
+}
 
 
 @dataclass(slots=True)
 class ClassMetrics:
-    """Counters of one class: final answers by result, and attempts written whole to model hosts."""
+    """Counters of one class: final answers by result, and attempts completely written to model hosts."""
 
     ok: int = 0
     shed: int = 0
@@ -23,30 +24,32 @@
 
 
 class Metrics:
-    """All metrics, counted from the start of the process. Each has one writer, whose updates never yield, so
-    readers copy the values directly and need no message to an actor."""
+    """All metrics since the start of the process.
+
+    Each has one writer, whose updates never yield, so readers copy the values without asking an actor.
+    """
 
     def __init__(self, names: Iterable[str] = ()) -> None:
-        self.classes: dict[str, ClassMetrics] = {}  # a class that is dropped later keeps its counters
+        self.classes: dict[str, ClassMetrics] = {}  # a class that is removed later keeps its counters
         self.config_applied = self.config_rejected = 0
         self.waiting = self.open = 0  # calls queued for the request table, and in it
         self.pool_size = 0  # model hosts in the list
-        self.banned = self.avoided = 0  # of them, drained by an operator, and avoided by the router
-        self.watched = False  # an admin listener runs: gauges that cost a lookup are kept fresh
+        self.banned = self.avoided = 0  # of these, banned by an operator, and excluded by the router
+        self.watched = False  # an admin listener runs: keep costly gauges current
         self.add_classes(names)
 
     @property
     def active(self) -> int:
-        """Requests accepted and without a final answer."""
+        """Number of accepted requests without a final answer."""
         return self.waiting + self.open
 
     @property
     def pool_ejected(self) -> int:
-        """Listed model hosts out of use, by the router's choice or by an operator's."""
+        """Number of listed model hosts that the router or an operator excludes."""
         return self.banned + self.avoided
 
     def add_classes(self, names: Iterable[str]) -> None:
-        """Report these classes from now on, with 0 until something is counted."""
+        """Report these classes from now on, starting at 0."""
         for name in names:
             self.classes.setdefault(name, ClassMetrics())
 
@@ -54,9 +57,9 @@
         """Return the counters of a class, created on first use."""
         return self.classes.setdefault(name, ClassMetrics())
 
-    def count_final_answer(self, name: str, how: str) -> None:
-        """Count the end of a request of that class; one that its client withdrew counts nowhere."""
-        if how not in COUNTERS_BY_RESULT:
+    def count_final_answer(self, name: str, result: str) -> None:
+        """Count a final answer in that class. Withdrawn requests are not counted."""
+        if result not in COUNTERS_BY_RESULT:
             return
-        counters, result = self.class_metrics(name), COUNTERS_BY_RESULT[how]
-        setattr(counters, result, getattr(counters, result) + 1)
+        counters, field = self.class_metrics(name), COUNTERS_BY_RESULT[result]
+        setattr(counters, field, getattr(counters, field) + 1)
--- a/harrieryoke/core/module.py
+++ b/harrieryoke/core/module.py
@@ -1,4 +1,4 @@
-"""The module actor: gives the decision module what has come in and carries out what it says, in order."""
+"""The actor of the decision module: passes it events and carries out its actions, in order."""
 
 from __future__ import annotations
 
@@ -45,33 +45,33 @@
 
 
 class ModuleActor(Actor):
-    """Owns the router, the request table, the timers and what it was told of the hosts' mailboxes."""
+    """Owns the router, the request table, the timers and the interfaces of the model hosts."""
 
     def __init__(
         self, settings: i.Settings, seed: int, limits: Limits, log: Log, clock: Callable[[], float] = now_ms
     ) -> None:
         super().__init__("module", limits.module_mailbox, log)
         self.settings, self.seed, self.clock = settings, seed, clock
-        self.gate: Gate | None = None  # plug-ins, where the operator has some
-        self.door: Door | None = None  # fair queues, likewise
-        self.recorder: Recorder | None = None  # the ledger, likewise
+        self.gate: Gate | None = None  # plug-ins, if the operator configured any
+        self.door: Door | None = None  # fair queues, if configured
+        self.recorder: Recorder | None = None  # the ledger, if configured
         self.router = Router(settings, seed)
         self.metrics = Metrics(c.name for c in settings.classes)
         self.limits, self.avoided_counted_at = limits, 0.0
         self.table = RequestTable(settings, limits, self.metrics, log)
         self.wall_clock = WallClockWatch()
-        self.logged_hosts_out = 0  # as last logged
-        self.logged_list_current = True  # as last logged
-        self.last_confirmation: i.ListConfirmed | None = None  # the last one
+        self.logged_hosts_out = 0  # value last logged
+        self.logged_list_current = True  # value last logged
+        self.last_confirmation: i.ListConfirmed | None = None
         self.host_ports: dict[int, HostPort] = {}
-        self.host_names: dict[int, str] = {}  # of the hosts that have a port
+        self.host_names: dict[int, str] = {}  # of the workers in `host_ports`
         self.worker_entries: dict[int, i.WorkerEntry] = {}
-        self.timers: list[tuple[float, str]] = []  # a heap
+        self.timers: list[tuple[float, str]] = []  # heap by time
         self.timer_slack = limits.timer_slack_ms
-        self.pending_events: list[i.Event] = []  # what the table itself ended: heard in the next round
+        self.pending_events: list[i.Event] = []  # caused by the table itself; for the next round
         self.pending_commands: list[Callable[[Router], object]] = []
-        self.active = True  # clients come to this process, not to one that has taken over
-        self.orders_allowed_from = 0.0  # after a fault in the module: no load orders before this
+        self.active = True  # no other process has taken over the clients
+        self.orders_allowed_from = 0.0  # no load orders before this after a restart of the router
         self.message_handlers: dict[type, Callable[[Any, float], i.Event | None]] = {
             CallReceived: self.on_call_received,
             CallWithdrawn: self.on_call_withdrawn,
@@ -97,16 +97,16 @@
             i.LogLine: self.write_log_line,
         }
 
-    # --- what fronts and hosts say ---
+    # --- calls from the fronts ---
 
     def offer(self, call: Call, front: Front) -> bool:
-        """A front's request; waits for room, so that a full mailbox slows the fronts instead of losing."""
+        """Accept a call from a front. Blocks while the mailbox is full, which slows the fronts down."""
         if self.recorder is not None:
             front = self.recorder.front_for(front)
         return self.pass_gate(call, front) if self.gate is None else self.gate.offer(call, front)
 
     def pass_gate(self, call: Call, front: Front) -> bool:
-        """Past the gate, if there is one."""
+        """Continue a call after the plug-in gate, if there is one."""
         if not call.function:
             self.table.notify_observers(call, "failed")
             front.failed(call, "no function was named for it")
@@ -114,7 +114,7 @@
         return self.pass_door(call, front) if self.door is None else self.door.offer(call, front)
 
     def pass_door(self, call: Call, front: Front) -> bool:
-        """Past the door, if there is one."""
+        """Continue a call after the door, if there is one."""
         self.metrics.waiting += 1
         entered = self.blocking_send(CallReceived(call, front))
         if not entered:
@@ -122,31 +122,33 @@
         return entered
 
     def withdraw(self, call: Call) -> bool:
+        """Drop a call whose client has left."""
         return self.withdraw_past_gate(call) if self.gate is None else self.gate.withdraw(call)
 
     def withdraw_past_gate(self, call: Call) -> bool:
-        """The client of a call that is past the gate has left."""
+        """Withdraw a call that has passed the gate."""
         return self.withdraw_past_door(call) if self.door is None else self.door.withdraw(call)
 
     def withdraw_past_door(self, call: Call) -> bool:
+        """Withdraw a call that has passed the door."""
         return self.blocking_send(CallWithdrawn(call))
 
     def set_gate(self, gate: Gate) -> None:
-        """Before anything starts."""
+        """Attach the gate. Must be called before the actor starts."""
         self.gate = gate
         self.table.observers.append(gate)
 
     def set_recorder(self, recorder: Recorder) -> None:
-        """Before anything starts."""
+        """Attach the recorder. Must be called before the actor starts."""
         self.recorder = recorder
         self.table.observers.append(recorder)
 
     def set_door(self, door: Door) -> None:
-        """Before anything starts."""
+        """Attach the door. Must be called before the actor starts."""
         self.door = door
         self.table.observers.append(door)
 
-    # --- the loop ---
+    # --- event loop ---
 
     def run(self) -> None:
         stepped = 0.0
@@ -162,8 +164,7 @@
             self.log_state_changes()
 
     def log_state_changes(self) -> None:
-        """Log what changed by itself: the wall clock, whether the worker list is current, and how many model
-        hosts the router leaves out."""
+        """Log changes of the wall clock, of whether the worker list is current, and of the excluded hosts."""
         if step := self.wall_clock.read_step():
             self.log(
                 "clock-stepped",
@@ -180,27 +181,27 @@
             self.log("hosts-out", f"{len(out)} of {len(self.router.workers)}: {', '.join(out) or 'none'}")
 
     def describe_list_age(self) -> str:
-        """Say for the log how old the worker list is, and what that means for model hosts."""
+        """Describe the age of the worker list and its unreadable entries."""
         age = self.router.list_age
         since = "" if age.confirmed is None else f"confirmed {self.clock() - age.confirmed:.0f} ms ago"
         doubtful = ", ".join(sorted(map(self.host_name, age.doubtful)))
         return f"{since}; unreadable last entries: {doubtful or 'none'}"
 
     def host_name(self, worker: int) -> str:
-        """Return a model host's name for the log; its number where it has left the list."""
+        """Return the name of a model host, or its number if it has left the list."""
         return self.host_names.get(worker, str(worker))
 
     def next_wake_time(self) -> float:
-        """When to look next: at most a second ahead, so that a step of the wall clock is logged soon."""
-        # guards against waking for each timer alone: most find their request answered, and a round just for
-        # them keeps the next message waiting for its tick; in the slack a message's round takes them along
+        """Return when to wake: within a second, so that a step of the wall clock is logged soon."""
+        # The slack lets a round that a message causes serve due timers too. Most timers find their request
+        # answered, and a round for each alone would delay the next message by a tick.
         timer = (self.timers[0][0] if self.timers else float("inf")) + self.timer_slack
         first = timer if not self.pending_events else 0.0
-        most = self.limits.figures_ms if self.metrics.watched else 1000.0
-        return min(first, self.table.next_deadline(), self.clock() + most)
+        max_wait = self.limits.figures_ms if self.metrics.watched else 1000.0
+        return min(first, self.table.next_deadline(), self.clock() + max_wait)
 
     def step(self, now: float, messages: list[Any]) -> None:
-        """One round: events in the order they came, one call of the module, its actions in order."""
+        """Run one round: all events in order of arrival, one call of the router, its actions in order."""
         events, self.pending_events = self.pending_events, []
         events += [e for m in messages if (e := self.message_handlers[type(m)](m, now)) is not None]
         events += [e for t in self.table.expire_tasks(now) if (e := self.event_for(t, now)) is not None]
@@ -212,18 +213,19 @@
         if self.pending_commands:
             self.run_pending_commands(now)
         for entry in self.table.take_unanswered():
-            # guards against a module that leaves a request unanswered at its time: the table answers
+            # the router left the request unanswered until its deadline, so the table answers it
             self.table.counts["guarded"] += 1
-            self.log("guarded", f"{entry.call.request_id} had no answer from the module at its time")
+            self.log("guarded", f"{entry.call.request_id} got no answer from the module before its deadline")
             self.table.refuse_by_default(entry)
             self.pending_events.append(i.RequestDropped(entry.number))
 
     def count_avoided(self) -> int:
-        """How many of the listed model hosts that take calls the module leaves out by its own choice."""
+        """Count the listed model hosts that accept calls but are excluded by the router."""
         router = self.router
         return sum(w.up and not router.usable(w) for w in router.workers.values())
 
     def run_router(self, now: float, events: list[i.Event]) -> None:
+        """Pass the events to the router and carry out its actions."""
         if not events:
             return
         try:
@@ -231,30 +233,31 @@
             for action in actions:
                 self.action_handlers[type(action)](action, now)
         except Exception:
-            # guards against a fault in the module: what is open is answered, and a fresh module goes on
+            # a fault in the router: answer the open requests and continue with a new router
             self.log("module-fault", traceback.format_exc().strip().replace("\n", " | "))
             self.restart_router(now)
 
     def run_pending_commands(self, now: float) -> None:
-        visits, self.pending_commands = self.pending_commands, []
+        """Run the commands that other actors have sent for the router."""
+        commands, self.pending_commands = self.pending_commands, []
         try:
-            for do in visits:
-                do(self.router)
+            for run in commands:
+                run(self.router)
         except Exception:
-            # guards against what a visit left half done: a fresh module goes on
+            # the command may have left the router inconsistent: continue with a new one
             self.log("module-fault", traceback.format_exc().strip().replace("\n", " | "))
             self.restart_router(now)
 
     def restart_router(self, now: float) -> None:
+        """Answer all open requests, cancel all tasks and replace the router."""
         for entry in list(self.table.entries.values()):
             self.table.refuse_by_default(entry)
         for task in list(self.table.ports_by_task):
             self.table.cancel_task(task, i.Outcome.CANCELLED)
         self.seed += 1
         self.router, self.timers = Router(self.settings, self.seed), []
-        self.orders_allowed_from = (
-            now + self.settings.order_limit_window
-        )  # the fresh one does not know of earlier orders
+        # the new router does not know of earlier orders
+        self.orders_allowed_from = now + self.settings.order_limit_window
         known: list[i.Event] = [i.WorkersListed(i.ListScope.REMEMBERED, tuple(self.worker_entries.values()))]
         known += [] if self.last_confirmation is None else [self.last_confirmation]
         for action in self.router.handle(now, known):
@@ -262,92 +265,93 @@
 
     # --- messages into events ---
 
-    def on_call_received(self, m: CallReceived, now: float) -> i.Event | None:
+    def on_call_received(self, message: CallReceived, now: float) -> i.Event | None:
         self.metrics.waiting -= 1
-        return self.table.accept(m.call, m.front, now)
+        return self.table.accept(message.call, message.front, now)
 
-    def on_call_withdrawn(self, m: CallWithdrawn, now: float) -> i.Event | None:
-        return self.table.withdraw(m.call)
+    def on_call_withdrawn(self, message: CallWithdrawn, now: float) -> i.Event | None:
+        return self.table.withdraw(message.call)
 
-    def on_workers_changed(self, m: WorkersChanged, now: float) -> i.Event | None:
-        if m.event.scope is not i.ListScope.CHANGES:
+    def on_workers_changed(self, message: WorkersChanged, now: float) -> i.Event | None:
+        if message.event.scope is not i.ListScope.CHANGES:
             self.host_ports, self.worker_entries, self.host_names = {}, {}, {}
-        self.host_ports.update(m.ports)
-        self.host_names.update({worker: host.name for worker, host in m.names.items()})
-        self.worker_entries.update({e.worker: e for e in m.event.workers})
+        self.host_ports.update(message.ports)
+        self.host_names.update({worker: host.name for worker, host in message.names.items()})
+        self.worker_entries.update({e.worker: e for e in message.event.workers})
         for gone in [worker for worker, e in self.worker_entries.items() if e.status is i.WorkerStatus.GONE]:
-            # guards the memory against hosts that are replaced under ever new ids
+            # bounds the memory where replaced hosts always get new ids
             self.host_ports.pop(gone, None)
             self.host_names.pop(gone, None)
             del self.worker_entries[gone]
         if self.gate is not None:
-            self.gate.workers_changed(m)
-        return m.event
+            self.gate.workers_changed(message)
+        return message.event
 
-    def on_list_confirmed(self, m: WorkerListConfirmed, now: float) -> i.Event | None:
-        self.last_confirmation = m.event
-        return m.event
+    def on_list_confirmed(self, message: WorkerListConfirmed, now: float) -> i.Event | None:
+        self.last_confirmation = message.event
+        return message.event
 
-    def on_prewarm_requested(self, m: PrewarmRequested, now: float) -> i.Event | None:
-        return i.PrewarmRequested(m.function)
+    def on_prewarm_requested(self, message: PrewarmRequested, now: float) -> i.Event | None:
+        return i.PrewarmRequested(message.function)
 
-    def on_router_command(self, m: RouterCommand, now: float) -> i.Event | None:
-        self.pending_commands.append(m.run)
+    def on_router_command(self, message: RouterCommand, now: float) -> i.Event | None:
+        self.pending_commands.append(message.run)
         return None
 
-    def on_active_changed(self, m: ActiveChanged, now: float) -> i.Event | None:
-        self.active = m.active
+    def on_active_changed(self, message: ActiveChanged, now: float) -> i.Event | None:
+        self.active = message.active
         return None
 
-    def on_settings_changed(self, m: SettingsChanged, now: float) -> i.Event | None:
-        """The table and the module follow in the same round: none knows a class that the other does not."""
-        self.settings = self.table.settings = m.settings
-        return i.SettingsChanged(m.settings)
+    def on_settings_changed(self, message: SettingsChanged, now: float) -> i.Event | None:
+        """Change the settings of the table and the router in one round: both must know the same classes."""
+        self.settings = self.table.settings = message.settings
+        return i.SettingsChanged(message.settings)
 
-    def on_stopping(self, m: Stopping, now: float) -> i.Event | None:
-        self.table.limit_deadlines(m.by)
+    def on_stopping(self, message: Stopping, now: float) -> i.Event | None:
+        self.table.limit_deadlines(message.by)
         return None
 
-    def on_counters_requested(self, m: CountersRequested, now: float) -> i.Event | None:
-        m.reply(self.table.counts | {"open": len(self.table.entries)})
+    def on_counters_requested(self, message: CountersRequested, now: float) -> i.Event | None:
+        message.reply(self.table.counts | {"open": len(self.table.entries)})
         return None
 
-    def on_task_ended(self, m: TaskEnded, now: float) -> i.Event | None:
-        ended = self.table.end_task(m)
+    def on_task_ended(self, message: TaskEnded, now: float) -> i.Event | None:
+        ended = self.table.end_task(message)
         return None if ended is None else self.event_for(ended, now)
 
-    def event_for(self, m: TaskEnded, now: float) -> i.Event | None:
-        """A task's end as the module hears it; the first OK is the request's answer."""
-        task, took = m.task, max(0.0, now - m.task.sent)
+    def event_for(self, message: TaskEnded, now: float) -> i.Event | None:
+        """Return the event for a task's end, and answer the request if this is its first OK."""
+        task, duration = message.task, max(0.0, now - message.task.sent)
         if isinstance(task, OrderTask):
             if self.door is not None and task.copies:
                 self.table.mark_waited_for_load(task.function)
-            return i.OrderEnded(task.worker, task.function, m.outcome, m.copies, took)
+            return i.OrderEnded(task.worker, task.function, message.outcome, message.copies, duration)
         if not isinstance(task, AttemptTask):
-            if m.outcome is not i.Outcome.OK:
-                self.log("probe", f"{self.host_name(task.worker)} takes no new work: {m.outcome.value}")
-            return i.ProbeEnded(task.worker, m.outcome, took, m.report)
+            if message.outcome is not i.Outcome.OK:
+                self.log("probe", f"{self.host_name(task.worker)} takes no new work: {message.outcome.value}")
+            return i.ProbeEnded(task.worker, message.outcome, duration, message.report)
         entry = self.table.entries.get(task.request)
-        if entry is not None and (m.outcome is i.Outcome.MISS or m.copy_lookup in LOAD_LOOKUPS):
+        if entry is not None and (message.outcome is i.Outcome.MISS or message.copy_lookup in LOAD_LOOKUPS):
             entry.call.waited_for_load = True
-        if entry is not None and m.outcome is i.Outcome.OK:
-            self.table.serve(entry, m.body)
+        if entry is not None and message.outcome is i.Outcome.OK:
+            self.table.serve(entry, message.body)
         return i.AttemptEnded(
             task.request,
             task.worker,
             task.number,
-            m.outcome,
-            took,
+            message.outcome,
+            duration,
             task.request not in self.table.entries,
-            m.copy_lookup,
-            m.load_failed,
-            m.concurrent_requests,
-            m.report,
+            message.copy_lookup,
+            message.load_failed,
+            message.concurrent_requests,
+            message.report,
         )
 
     # --- actions ---
 
     def queue_event(self, ended: TaskEnded | None, now: float) -> None:
+        """Queue the event of a task that ended here for the next round."""
         if ended is not None and (event := self.event_for(ended, now)) is not None:
             self.pending_events.append(event)
 
@@ -355,66 +359,66 @@
         ended = self.table.start_task(task, self.host_ports.get(task.worker))
         self.queue_event(ended, now)
 
-    def start_attempt(self, a: i.StartAttempt, now: float) -> None:
-        if entry := self.table.entries.get(a.request):
-            attempt = self.table.create_attempt(entry, a.worker, a.stop_at or entry.deadline, now)
-            attempt.start_by = min(attempt.start_by, a.start_by)
+    def start_attempt(self, action: i.StartAttempt, now: float) -> None:
+        if entry := self.table.entries.get(action.request):
+            attempt = self.table.create_attempt(entry, action.worker, action.stop_at or entry.deadline, now)
+            attempt.start_by = min(attempt.start_by, action.start_by)
             if attempt.number:
-                self.log(
-                    "retry",
-                    f"{entry.call.request_id} at {self.host_name(a.worker)}: {self.describe_progress(entry, now)}",
-                )
+                where = f"{entry.call.request_id} at {self.host_name(action.worker)}"
+                self.log("retry", f"{where}: {self.describe_progress(entry, now)}")
             self.start_task(attempt, now)
 
-    def cancel_attempt(self, a: i.CancelAttempt, now: float) -> None:
-        if task := self.table.open_attempts.get((a.request, a.attempt)):
+    def cancel_attempt(self, action: i.CancelAttempt, now: float) -> None:
+        if task := self.table.open_attempts.get((action.request, action.attempt)):
             self.queue_event(self.table.cancel_task(task, i.Outcome.CANCELLED), now)
 
-    def refuse(self, a: i.Refuse, now: float) -> None:
-        if entry := self.table.entries.get(a.request):
+    def refuse(self, action: i.Refuse, now: float) -> None:
+        if entry := self.table.entries.get(action.request):
             self.log("refused", f"{entry.call.request_id}: {self.describe_progress(entry, now)}")
-            self.table.refuse(entry, a.retry_after)
+            self.table.refuse(entry, action.retry_after)
 
-    def fail(self, a: i.Fail, now: float) -> None:
-        if entry := self.table.entries.get(a.request):
+    def fail(self, action: i.Fail, now: float) -> None:
+        if entry := self.table.entries.get(action.request):
             self.log("failed", f"{entry.call.request_id}: {self.describe_progress(entry, now)}")
             self.table.fail(entry, "not served")
 
     def describe_progress(self, entry: Entry, now: float) -> str:
-        """Say for the log how far a request has come, and how the last attempt of it ended."""
+        """Describe the attempts of a request and the time it has left."""
         ran = f", may have run since {now - entry.may_have_run_since:.0f} ms" if entry.may_have_run else ""
         last = f", the last one ended {entry.last_outcome.value}" if entry.last_outcome else ""
-        waited = now - entry.call.received_at
-        return f"{entry.attempt_count} attempts{last}{ran}; taken {waited:.0f} ms ago, {entry.deadline - now:.0f} ms left"
+        waited, left = now - entry.call.received_at, entry.deadline - now
+        return f"{entry.attempt_count} attempts{last}{ran}; received {waited:.0f} ms ago, {left:.0f} ms left"
 
-    def order_copies(self, a: i.OrderCopies, now: float) -> None:
+    def order_copies(self, action: i.OrderCopies, now: float) -> None:
         order = OrderTask(
-            a.worker,
+            action.worker,
             now + self.settings.order_timeout,
             now,
-            start_by=a.start_by,
-            function=a.function,
-            copies=a.copies,
+            start_by=action.start_by,
+            function=action.function,
+            copies=action.copies,
         )
-        spare = not self.active and all(e.call.function != a.function for e in self.table.entries.values())
-        if a.copies and (now < self.orders_allowed_from or spare):
+        unneeded = not self.active and all(
+            e.call.function != action.function for e in self.table.entries.values()
+        )
+        if action.copies and (now < self.orders_allowed_from or unneeded):
             self.queue_event(TaskEnded(order, i.Outcome.FULL), now)
         else:
-            if a.copies:
+            if action.copies:
                 ordered, arrived = len(self.router.ordered), len(self.router.arrivals)
                 counts = f"{ordered} orders and {arrived} requests in the window"
-                self.log("order", f"{a.function} at {self.host_name(a.worker)}: {counts}")
+                self.log("order", f"{action.function} at {self.host_name(action.worker)}: {counts}")
             self.start_task(order, now)
 
-    def drop_copies(self, a: i.DropCopies, now: float) -> None:
-        if self.active and (port := self.host_ports.get(a.worker)):
-            port.drop_copies(a.function)
+    def drop_copies(self, action: i.DropCopies, now: float) -> None:
+        if self.active and (port := self.host_ports.get(action.worker)):
+            port.drop_copies(action.function)
 
-    def probe(self, a: i.Probe, now: float) -> None:
-        self.start_task(ProbeTask(a.worker, now + self.settings.connect_timeout, now), now)
+    def probe(self, action: i.Probe, now: float) -> None:
+        self.start_task(ProbeTask(action.worker, now + self.settings.connect_timeout, now), now)
 
-    def set_timer(self, a: i.SetTimer, now: float) -> None:
-        heappush(self.timers, (a.at, a.name))
+    def set_timer(self, action: i.SetTimer, now: float) -> None:
+        heappush(self.timers, (action.at, action.name))
 
-    def write_log_line(self, a: i.LogLine, now: float) -> None:
-        self.log("module-note", a.text)
+    def write_log_line(self, action: i.LogLine, now: float) -> None:
+        self.log("module-note", action.text)
--- a/harrieryoke/core/timing_wheel.py
+++ b/harrieryoke/core/timing_wheel.py
@@ -17,14 +17,16 @@
 
 
 class TimingWheel(Generic[T]):
-    """Timers by item, at most one for each. Items beyond the span are kept in an overflow map until the
-    span reaches them. A clock that steps back costs one pass over all items; a clock that steps ahead
-    expires everything that is due."""
+    """Timers by item, at most one for each.
+
+    Items beyond the span are kept in an overflow map until the span reaches them. A clock that steps back
+    costs one pass over all items; a clock that steps ahead expires everything that is due.
+    """
 
     def __init__(self, now: float = 0.0) -> None:
         self.tick = int(now)
         self.slots: list[list[dict[T, float]]] = [[{} for _ in range(SLOTS)] for _ in range(LEVELS)]
-        self.used = [0] * LEVELS  # a bit for each slot that is not empty
+        self.used = [0] * LEVELS  # bitmap of the slots that are not empty
         self.overflow: dict[T, float] = {}
         self.places: dict[T, tuple[int, int]] = {}  # level and slot; level LEVELS is `overflow`
 
@@ -35,7 +37,7 @@
         return item in self.places
 
     def schedule(self, item: T, at: float) -> None:
-        """Set the item's time, replacing an earlier one. A time in the past is due at once."""
+        """Set the item's time, replacing an earlier one. A time in the past is due immediately."""
         self.cancel(item)
         self.place(item, at)
 
@@ -62,9 +64,9 @@
         if level == LEVELS:
             del self.overflow[item]
             return True
-        held = self.slots[level][slot]
-        del held[item]
-        if not held:
+        items = self.slots[level][slot]
+        del items[item]
+        if not items:
             self.used[level] &= ~(1 << slot)
         return True
 
@@ -98,21 +100,21 @@
                     continue
                 break
             level, slot, start = found
-            held = self.slots[level][slot]
+            items = self.slots[level][slot]
             if level == 0:
-                due_here = [item for item, at in held.items() if at <= now]
-                due += [(held[item], item) for item in due_here]
+                due_here = [item for item, at in items.items() if at <= now]
+                due += [(items[item], item) for item in due_here]
                 for item in due_here:
                     self.cancel(item)
-                if held:  # of the same millisecond, but later than now
+                if items:  # of the same millisecond, but later than now
                     break
                 self.tick = max(self.tick, start)
                 continue
-            # the wheel comes to a slot of a higher level: its items go down to where they belong
+            # the wheel reaches a slot of a higher level: its items move to the lower levels
             self.tick = max(self.tick, start)
             self.slots[level][slot] = {}
             self.used[level] &= ~(1 << slot)
-            for item, at in held.items():
+            for item, at in items.items():
                 self.place(item, at)
         if found is None or found[2] > target:
             self.tick = max(self.tick, target)
@@ -120,7 +122,7 @@
         return [item for _, item in due]
 
     def rewind(self, target: int) -> None:
-        """Place all items anew after the clock stepped back, so that none is late by the step."""
+        """Place all items again after the clock stepped back, so that none is late by the step."""
         waiting = dict(self.overflow)
         for level in self.slots:
             for slot in level:
@@ -131,7 +133,7 @@
             self.place(item, at)
 
     def advance_span(self, target: int) -> None:
-        """Move the span on and place the overflow anew. The old span must be empty."""
+        """Advance the span and place the overflow again. The old span must be empty."""
         self.tick = target // SPAN_TICKS * SPAN_TICKS
         waiting, self.overflow = self.overflow, {}
         for item, at in waiting.items():
--- a/harrieryoke/errors.py
+++ b/harrieryoke/errors.py
@@ -1,10 +1,10 @@
-"""What is said to an operator whose call can't be done, each reason a type of its own."""
+"""Errors that are reported to operators, with one type for each reason."""
 
 from __future__ import annotations
 
 
 class OperatorError(Exception):
-    """`code` is one word for scripts, `action` what the operator can do; `detail` tells of the case."""
+    """`code` is one word for scripts; `action` says what the operator can do; `detail` names the case."""
 
     code = "failed"
     action = "look at the log"
--- a/harrieryoke/log.py
+++ b/harrieryoke/log.py
@@ -1,4 +1,4 @@
-"""The operators' log: plain prints to standard error, rate-limited for each kind of line."""
+"""The operators' log: lines on standard error, rate-limited for each kind of line."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Log:
-    """`kind` is the fixed first word that the on-call page lists; the rest tells of one case."""
+    """Writes log lines. `kind` is the fixed first word, listed on the on-call page."""
 
     def __init__(self, name: str = "-", lines_per_s: int = 20) -> None:
         self.name, self.lines_per_s = name, lines_per_s
@@ -17,14 +17,16 @@
         self.totals: dict[str, int] = {}
 
     def __call__(self, kind: str, text: str = "", **fields: object) -> None:
-        """One line, unless this kind has had its lines of this second; what was left out is counted. `fields`
-        are for whoever reads by machine; here they come behind the text."""
+        """Write a line, unless the kind has reached its rate limit; omitted lines are counted.
+
+        `fields` are for structured logs; here they follow the text.
+        """
         now = time.time()
         if int(now) != self.current_second:
-            for missed, count in self.lines_in_second.items():
+            for limited, count in self.lines_in_second.items():
                 if count > self.lines_per_s:
                     self.try_write_line(
-                        now, "log-limited", f"{missed}: {count - self.lines_per_s} lines left out"
+                        now, "log-limited", f"{limited}: {count - self.lines_per_s} lines left out"
                     )
             self.current_second, self.lines_in_second = int(now), {}
         self.totals[kind] = self.totals.get(kind, 0) + 1
@@ -35,15 +37,17 @@
     def try_write_line(
         self, now: float, kind: str, text: str, fields: dict[str, object] | None = None
     ) -> None:
-        """Guards whoever has something to tell against a full disk under the log: only the line is lost."""
+        """Write a line; on an error, such as a full disk, only the line is lost."""
         with suppress(OSError):
             self.write_line(now, kind, text, fields)
 
     def format_time(self, now: float, format: str = "%H:%M:%S") -> str:
+        """Format a Unix time in UTC, with milliseconds."""
         return time.strftime(format, time.gmtime(now)) + f".{int(now * 1000) % 1000:03d}"
 
     def write_line(self, now: float, kind: str, text: str, fields: dict[str, object] | None = None) -> None:
-        told = "".join(f" {key}={value}" for key, value in (fields or {}).items())
+        """Write one line to standard error."""
+        suffix = "".join(f" {key}={value}" for key, value in (fields or {}).items())
         print(
-            f"{self.format_time(now)} {self.name} {kind} {text}{told}".rstrip(), file=sys.stderr, flush=True
+            f"{self.format_time(now)} {self.name} {kind} {text}{suffix}".rstrip(), file=sys.stderr, flush=True
         )
--- a/harrieryoke/parts.py
+++ b/harrieryoke/parts.py
@@ -1,4 +1,4 @@
-"""The parts that an operator's file may turn on, as the service sees them. It knows none of them by name."""
+"""Protocols of the optional parts that an operator's file configures; the service uses only these."""
 
 from __future__ import annotations
 
@@ -17,17 +17,19 @@
 
 
 class Part(Protocol):
+    """A part that the service starts."""
+
     def start(self) -> None: ...
 
 
 class ReconfigurablePart(Part, Protocol):
-    """Takes `Retuned` into its mailbox: calls name classes and tenants by their indexes in the settings."""
+    """Receives `SettingsChanged` in its mailbox: calls refer to classes and tenants by settings index."""
 
     def blocking_send(self, message: Any) -> bool: ...
 
 
 class BrokerPart(Part, Protocol):
-    """A second front."""
+    """The front that accepts calls from an MQTT broker."""
 
     gone: Event
 
@@ -37,7 +39,7 @@
 
 
 class DoorPart(ReconfigurablePart, Door, Protocol):
-    """Fair queues before the module."""
+    """Fair queues in front of the decision module."""
 
     def request_stop(self, by: float) -> None: ...
 
@@ -45,7 +47,7 @@
 
 
 class GatePart(ReconfigurablePart, Gate, Protocol):
-    """The plug-ins. `ask_status` and `ask_swap` wait for the gate's answer, within `timeout_ms`."""
+    """The plug-ins. `ask_status` and `ask_swap` wait up to `timeout_ms` for the answer."""
 
     def request_stop(self, by: float) -> None: ...
 
@@ -55,54 +57,63 @@
 
 
 class LedgerPart(ReconfigurablePart, Recorder, Protocol):
-    """Keeps a record of each final answer; `stop` is for after the last of them."""
+    """Records each final answer. `stop` must be called after the last one."""
 
     def reload(self) -> None: ...
 
     def stop(self) -> None: ...
 
     def answer(self, method: str, path: str, query: Mapping[str, str], timeout_ms: float) -> tuple[int, Any]:
-        """The operators' HTTP below its path."""
+        """Answer an HTTP request of an operator below the ledger's path."""
         ...
 
 
 class Council(Protocol):
-    """Duties that one invoker of a fleet has at a time (docs/duties.md), for the parts that do them."""
+    """Duties that one invoker of a fleet has at a time (docs/duties.md), for the parts that perform them."""
 
     def acting(self, duty: str) -> int:
-        """The token to act under now, 0 for not at all: asked again before each act, by the clock of then."""
+        """Return the fencing token for acting now, or 0. Must be called again before each act."""
         ...
 
     def cannot(self, duty: str, why: str) -> None:
-        """It stops at once, and the duty goes to another."""
+        """Give up a duty immediately, so that it passes to another invoker."""
         ...
 
-    def can(self, duty: str) -> None: ...
+    def can(self, duty: str) -> None:
+        """Be available for a duty again."""
+        ...
 
     def propose(self, duty: str, token: int, body: bytes) -> str:
-        """For the agreed log. Why not, or nothing; it may still be lost, and who wants it repeats it."""
+        """Propose an entry of the agreed log. Return why not, or nothing.
+
+        An accepted entry may still be lost; the caller has to repeat it.
+        """
         ...
 
     def ask(self, duty: str, body: bytes) -> str:
-        """As `propose`, of who does not act: what it asks for counts by the rules of the duty's machine."""
+        """As `propose`, for an invoker that does not hold the duty: the duty's state machine decides."""
         ...
 
     def watch(self, told: Callable[[], object]) -> None:
-        """Called, and must not block, after entries were applied or what `acting` says may have changed."""
+        """Register a callback for applied entries and changes of `acting`. It must not block."""
         ...
 
     def status(self) -> dict[str, Any]: ...
 
 
 class CouncilPart(Part, Council, Protocol):
-    """`reload` takes a table that was read anew. `push_stop` begins to hand its duties on; `stop` is for
-    after the last that needs one."""
+    """The council as the service sees it.
+
+    `request_stop` starts to pass the duties on; `stop` must be called after the last part that needs one.
+    """
 
     def open(self) -> None:
-        """Raises a ValueError for a folder that can't be used. `start` raises OSError."""
+        """Open the folder. Raises ValueError if it cannot be used; `start` raises OSError."""
         ...
 
-    def reload(self, told: Any) -> None: ...
+    def reload(self, told: Any) -> None:
+        """Apply a new version of the [council] table."""
+        ...
 
     def request_stop(self) -> None: ...
 
@@ -111,6 +122,8 @@
 
 @dataclass(slots=True)
 class Parts:
+    """The parts that the operator's file has turned on."""
+
     broker: BrokerPart | None = None
     gate: GatePart | None = None
     door: DoorPart | None = None
@@ -120,7 +133,7 @@
 
 
 class Operator(Protocol):
-    """An operator's file, read."""
+    """The operator's file."""
 
     limits: dict[str, float]
 
@@ -129,8 +142,10 @@
     def check(self, settings: i.Settings, limits: Limits) -> None: ...
 
     def apply_reload(self, new: Any, name: str, made: Parts) -> None:
-        """Takes from a file that was read anew what may change while the parts run, at the invoker of that
-        name. Raises ConfigError before anything is in force."""
+        """Apply the reloadable part of a new file to the running parts of the invoker `name`.
+
+        Raises ConfigError before anything has changed.
+        """
         ...
 
     def parts(
--- a/harrieryoke/reload.py
+++ b/harrieryoke/reload.py
@@ -1,4 +1,4 @@
-"""Configuration reload: which parts of a new file take effect in a running invoker, and how."""
+"""Configuration reload: merges new settings into those of a running invoker."""
 
 from __future__ import annotations
 
@@ -40,24 +40,24 @@
         zones=merge_names(old.zones, new.zones),
         kinds=kinds,
         memory_by_kind=tuple(memory.get(k, float("inf")) for k in kinds) if kinds else new.memory_by_kind,
-        list_on_request=old.list_on_request,  # discovery is subscribed to at the start, or never
+        list_on_request=old.list_on_request,  # discovery is subscribed to at the start or not at all
     )
 
 
 def merge_names(old: Sequence[str], new: Sequence[str]) -> tuple[str, ...]:
-    """Return the old names at their indices, then the names that are new."""
+    """Return the old names at their indices, followed by the new ones."""
     return tuple(dict.fromkeys((*old, *new)))
 
 
 def describe_changes(old: Settings, new: Settings) -> str:
-    """Describe for the log what differs between two settings; empty if nothing does."""
+    """Describe the differences between two settings for the log; empty if there are none."""
     before, after = old.active_classes(), new.active_classes()
     classes = {
         "added": [c for c in after if c not in before],
         "changed": [c for c in after if c in before and after[c] != before[c]],
         "dropped": [c for c in before if c not in after],
     }
-    changes = [f"classes {how}: {', '.join(names)}" for how, names in classes.items() if names]
+    changes = [f"classes {change}: {', '.join(names)}" for change, names in classes.items() if names]
     if old.max_attempts != new.max_attempts:
         changes.append(f"attempts: {old.max_attempts} -> {new.max_attempts}")
     described = {"classes": old.classes, "retired": old.retired, "max_attempts": old.max_attempts}
@@ -67,13 +67,12 @@
 
 
 def find_missing_key(current: Sequence[Any], new: Any, path: str = "") -> str | None:
-    """Return the first key that the new file must have, and why, or None.
+    """Return the first missing or mistyped key of the new file with the reason, or None.
 
-    `current` holds the values at `path` in the file in force: one, or, below a list, one for each element.
-    Keys have defaults for other deployments, but a key of the file in force that the new one lacks is taken
-    as a truncated file and not as a wish for the default. An element of a list needs the keys of its namesake
-    in force, a new one the keys that all elements share. A value of another type is an error too; null counts
-    as absent.
+    `current` has the values at `path` in the current file: one, or, below a list, one for each element.
+    Keys have defaults for other deployments, but if the new file lacks a key of the current one, it is
+    considered truncated. An element of a list needs the keys of the current element with its name, a new one
+    the keys that all elements share. A value of another type is an error, too; null counts as absent.
     """
     if isinstance(new, list):
         elements = [e for old in current if isinstance(old, list) for e in old]
@@ -109,7 +108,7 @@
 
 
 def json_type(value: Any) -> str:
-    """Return the JSON type of a value, in words."""
+    """Return the name of the JSON type of a value."""
     if isinstance(value, bool):
         return "true or false"
     names = {dict: "an object", list: "a list", str: "text", int: "a number", float: "a number"}
--- a/harrieryoke/serve.py
+++ b/harrieryoke/serve.py
@@ -1,4 +1,4 @@
-"""Reads what the invoker was told, and serves. The platform's start goes through here and loads no more."""
+"""Starts the invoker. The platform starts it here, without loading the command line's libraries."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def load_config(operator_path: str | None = None, env: Mapping[str, str] = os.environ) -> Config:
-    """The platform's configuration and, where one is given, the operator's file. Raises ConfigError."""
+    """Read the platform's configuration and, if given, the operator's file. Raises ConfigError."""
     if operator_path is None:
         return read_config(None, env)
     from .operator_file import read_operator
@@ -22,8 +22,11 @@
 
 
 def patch_standard_library(operator_path: str | None) -> None:
-    """paho opens its sockets and selects through the standard library. Patching costs half of the start's
-    time, so the platform's invoker, which has no paho, starts without."""
+    """Patch the standard library for gevent, which paho needs for its sockets and selects.
+
+    Patching takes half of the start time, so an invoker without an operator's file, and so without paho,
+    starts without it.
+    """
     if operator_path is not None:
         from gevent import monkey
 
@@ -31,11 +34,11 @@
 
 
 def serve(operator_path: str | None = None) -> int:
-    """Until SIGTERM; the exit code."""
+    """Serve until SIGTERM. Return the exit code."""
     try:
         config = load_config(operator_path)
-        make = Log if config.operator is None else config.operator.make_log
-        log = make(config.name, config.limits.log_lines_per_s)
+        make_log = Log if config.operator is None else config.operator.make_log
+        log = make_log(config.name, config.limits.log_lines_per_s)
         return Service(config, log, lambda: load_config(operator_path)).run()
     except ConfigError as error:
         print(f"harrieryoke: configuration: {error}", file=sys.stderr)
--- a/harrieryoke/service.py
+++ b/harrieryoke/service.py
@@ -1,4 +1,4 @@
-"""Puts the invoker's parts together, runs it, and stops it in order."""
+"""Assembles the parts of the invoker, runs it, reloads its configuration and shuts it down."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 if TYPE_CHECKING:
     from .upgrade.link import Upgrade
 
-# what of the configuration is in force from the start to the end of a process: fields of Config
+# fields of Config that take effect only at a restart
 RESTART_FIELDS = ("name", "listen", "management", "seed", "limits", "operator")
 
 
 class Service:
-    """One invoker."""
+    """One invoker process."""
 
     def __init__(self, config: Config, log: Log, reread: Callable[[], Config] | None = None) -> None:
         self.config, self.log, self.limits, self.read_again = config, log, config.limits, reread
@@ -63,17 +63,18 @@
             self.core.set_recorder(self.parts.ledger)
         self.stop_requested, self.failed = Event(), False
         self.upgrade: Upgrade | None = None
-        self.reload_done = Event()  # one file after the other: set once the last one that came is done with
+        self.reload_done = Event()  # set once the last reload has finished, so that reloads run one at a time
         self.reload_done.set()
 
     def start(self) -> None:
+        """Start all parts. Raises ConfigError if a listener cannot be opened."""
         self.start_management()
         self.open_council()
         listening, banned = self.take_over_listener()
         self.hosts.begin(self.config.known, banned, self.config.file_written_at)
-        for before in (self.gate, self.parts.door):
-            if before is not None:
-                before.start()
+        for stage in (self.gate, self.parts.door):
+            if stage is not None:
+                stage.start()
         self.hosts.start()
         self.core.start()
         self.bus.start()
@@ -93,7 +94,7 @@
         self.log("started", f"listening on {self.config.listen[0]}:{self.config.listen[1]}")
 
     def open_council(self) -> None:
-        """Guards against a socket that is taken over by a process which then can't have the folder."""
+        """Open the council's folder. Must precede the takeover of the listener, since it may fail."""
         if self.parts.council is not None:
             try:
                 self.parts.council.open()
@@ -101,14 +102,14 @@
                 raise ConfigError(f"council: {error}") from None
 
     def start_council(self, council: CouncilPart) -> None:
-        """Behind the parts that do its duties."""
+        """Start the council, after the parts that perform its duties."""
         try:
             council.start()
         except OSError as error:
             raise ConfigError(f"council.listen: {error}") from None
 
     def start_management(self) -> None:
-        """The operators' listener comes first: whoever waits until this process serves has an answer."""
+        """Start the admin listener first, so that it can answer before the process serves calls."""
         if self.config.management is None:
             return
         from .admin.server import AdminServer
@@ -126,12 +127,11 @@
             raise ConfigError(f"RELAY_MANAGEMENT: {error}") from None
 
     def is_serving(self) -> bool:
-        """Whether a call that comes now is taken."""
+        """Return whether new calls are accepted."""
         return self.front.greenlet is not None and not self.stop_requested.is_set()
 
     def take_over_listener(self) -> tuple[socket.socket | None, list[str]]:
-        """The listening socket of the process that serves here so far, if there is one, and the hosts that
-        operators have taken out."""
+        """Return the listening socket of the process that serves here now, if any, and the banned hosts."""
         folder = self.config.upgrade_folder
         if folder is None:
             return None, []
@@ -142,10 +142,10 @@
         return self.upgrade.take_over()
 
     def run(self) -> int:
-        """Serves until SIGTERM or SIGINT, then answers all that was taken."""
+        """Serve until SIGTERM or SIGINT, then answer all accepted calls. Return the exit code."""
         for number in (signal.SIGTERM, signal.SIGINT):
             gevent.signal_handler(number, self.stop_requested.set)
-        # guards against SIGHUP's default, which ends the process
+        # the default action of SIGHUP would end the process
         gevent.signal_handler(signal.SIGHUP, lambda: spawn(self.log, "reload", self.reload))
         self.start()
         for part in (self.core, self.hosts, self.bus, self.front):
@@ -156,27 +156,29 @@
         return 1 if self.failed else self.shut_down()
 
     def reload(self) -> None:
-        """One SIGHUP: the file is read at once, and in its turn taken as a whole or not at all."""
+        """Handle SIGHUP: read the file now, and apply it completely or not at all after earlier reloads."""
         if self.read_again is None:
             return
         try:
             new = self.read_again()
-            before, self.reload_done = self.reload_done, Event()
-            mine = self.reload_done
-            before.wait()
+            previous, self.reload_done = self.reload_done, Event()
+            done = self.reload_done
+            previous.wait()
             try:
-                told = self.apply_config(new)
+                changes = self.apply_config(new)
             finally:
-                mine.set()
+                done.set()
         except ConfigError as error:
             self.core.metrics.config_rejected += 1
             return self.log("reload-failed", f"the old configuration stays: {error}")
         self.core.metrics.config_applied += 1
-        self.log("reloaded", told)
+        self.log("reloaded", changes)
 
     def apply_config(self, new: Config) -> str:
-        """Puts a new configuration in force; what changed, and what waits for a restart. Raises ConfigError
-        before anything is in force."""
+        """Apply a new configuration. Return what changed and what needs a restart.
+
+        Raises ConfigError before anything has changed.
+        """
         if self.stop_requested.is_set():
             raise ConfigError("the process is stopping")
         old = self.config
@@ -189,9 +191,9 @@
         if old.operator is not None:
             old.operator.check(new.settings, new.limits)
             old.operator.apply_reload(new.operator, old.name, self.parts)
-        own = {} if old.operator is None else old.operator.limits
+        operator_limits = {} if old.operator is None else old.operator.limits
         for limit, value in read_ceilings(new.file_values["settings"]).items():
-            if limit not in own:
+            if limit not in operator_limits:
                 setattr(self.limits, limit, value)
         self.apply_settings(settings)
         self.bus.move(new.bus)
@@ -199,16 +201,21 @@
             self.gate.ask_swap(None, self.limits.write_ms)
         if self.parts.ledger is not None:
             self.parts.ledger.reload()
-        stays = [key for key in RESTART_FIELDS if getattr(new, key) != getattr(old, key)]
-        stays += ["settings.discovery"] if new.settings.list_on_request != settings.list_on_request else []
-        told = [describe_changes(old.settings, settings)]
-        told += [f"a restart is needed for: {', '.join(stays)}"] if stays else []
+        unapplied = [key for key in RESTART_FIELDS if getattr(new, key) != getattr(old, key)]
+        unapplied += (
+            ["settings.discovery"] if new.settings.list_on_request != settings.list_on_request else []
+        )
+        changes = [describe_changes(old.settings, settings)]
+        changes += [f"a restart is needed for: {', '.join(unapplied)}"] if unapplied else []
         self.config = replace(old, settings=settings, bus=new.bus, file_values=new.file_values)
-        return "; ".join(filter(None, told))
+        return "; ".join(filter(None, changes))
 
     def apply_settings(self, settings: i.Settings) -> None:
-        """Whoever a call comes to knows its class by then: the hosts at once, the parts on its way through
-        mailboxes that keep the order, and last the fronts, which name the new classes from here."""
+        """Apply settings so that every part knows a class before it gets a call of it.
+
+        The hosts get them directly, the other parts through mailboxes, which keep the order. The fronts are
+        last: from then on they accept the new classes.
+        """
         self.hosts.retune(settings)
         self.core.metrics.add_classes(settings.active_classes())
         for part in (self.core, self.gate, self.parts.door, self.parts.ledger):
@@ -217,26 +224,26 @@
         self.maker.apply_settings(settings)
 
     def on_part_ended(self, greenlet: gevent.Greenlet) -> None:
-        """Guards against living on without a vital part: whoever started the process starts it anew."""
+        """End the process after the failure of a part it cannot do without; its supervisor restarts it."""
         if not self.stop_requested.is_set():
-            self.log("broken", "a part that the invoker can't be without has ended")
+            self.log("broken", "a part that the invoker cannot run without has ended")
             self.failed = True
             self.stop_requested.set()
 
     def shut_down(self) -> int:
-        """New connections go on coming for a while after SIGTERM: they are served too."""
-        began = now_ms()
+        """Answer all accepted calls and stop. New connections after SIGTERM are served for a while, too."""
+        started_at = now_ms()
         settings = self.config.settings
-        # a class that a reload has dropped does not put off the end: the kill comes by the present settings
+        # removed classes do not count: the process is killed by the deadlines of the present settings
         longest = min(3000.0, max(settings.classes[n].deadline for n in settings.active_classes().values()))
-        by = began + min(self.limits.stop_within_ms, longest + 500.0)
-        self.log("stopping", f"all is answered within {by - began:.0f} ms")
+        by = started_at + min(self.limits.stop_within_ms, longest + 500.0)
+        self.log("stopping", f"all is answered within {by - started_at:.0f} ms")
         self.core.blocking_send(Stopping(by))
         if self.upgrade is not None:
             self.upgrade.stop()
-        for before in (self.gate, self.parts.door):
-            if before is not None:
-                before.request_stop(by)
+        for stage in (self.gate, self.parts.door):
+            if stage is not None:
+                stage.request_stop(by)
         if self.parts.council is not None:
             self.parts.council.request_stop()
         if self.broker is not None:
@@ -254,19 +261,20 @@
         self.log("stopped", ", ".join(f"{n} {name}" for name, n in self.request_counters(self.core).items()))
         return 0
 
-    # --- the operators' HTTP ---
+    # --- HTTP for operators ---
 
     def request_counters(self, actor: Any) -> dict[str, int]:
-        """An actor's counters, from itself."""
-        told: AsyncResult = AsyncResult()
-        actor.blocking_send(CountersRequested(told.set))
+        """Return the counters of an actor; empty if it does not reply in time."""
+        reply: AsyncResult = AsyncResult()
+        actor.blocking_send(CountersRequested(reply.set))
         try:
-            counts: dict[str, int] = told.get(timeout=self.limits.write_ms / 1000)
+            counts: dict[str, int] = reply.get(timeout=self.limits.write_ms / 1000)
         except gevent.Timeout:
             return {}
         return counts
 
     def answer_operator(self, method: str, path: str, query: Mapping[str, str]) -> tuple[int, Any]:
+        """Answer an HTTP request of an operator: the status and the JSON body."""
         if path == "/healthz":
             healthy = not self.stop_requested.is_set() and not self.core.finished
             return 200 if healthy else 503, {"healthy": healthy}
@@ -275,8 +283,8 @@
                 return 404, {"error": "there are no plug-ins"}
             if method == "GET":
                 return 200, self.gate.ask_status(self.limits.write_ms)
-            begun = self.gate.ask_swap(query.get("name"), self.limits.write_ms)
-            return (202, begun) if begun else (404, {"error": "there is no such plug-in"})
+            started = self.gate.ask_swap(query.get("name"), self.limits.write_ms)
+            return (202, started) if started else (404, {"error": "there is no such plug-in"})
         if path == "/door":
             if self.parts.door is None:
                 return 404, {"error": "there is no door"}
--- a/harrieryoke/structured.py
+++ b/harrieryoke/structured.py
@@ -1,6 +1,6 @@
-"""The log by structlog, for installations that read it by machine: JSON, or text with colours for people.
+"""Structured logging with structlog: JSON for machines, or coloured text for people.
 
-On the platform the lean `log.Log` prints the same kinds and words. Rate limits and counts are its, here too.
+`log.Log`, which the platform uses, writes the same kinds and texts, and provides the rate limits here too.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 
 class LogSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The operator's [log] table."""
+    """The [log] table of the operator's file."""
 
     format: str = "json"  # or "console"
 
 
 class StructuredLog(Log):
-    """One event a line: `at` (ISO, UTC), `invoker`, `event` (the kind), `text`, and its fields."""
+    """Writes one event a line: `at` (ISO, UTC), `invoker`, `event` (the kind), `text`, and the fields."""
 
-    def __init__(self, name: str, lines_per_s: int, told: LogSettings) -> None:
+    def __init__(self, name: str, lines_per_s: int, settings: LogSettings) -> None:
         super().__init__(name, lines_per_s)
         renderer: Any = structlog.dev.ConsoleRenderer()
-        if told.format == "json":
+        if settings.format == "json":
             renderer = structlog.processors.JSONRenderer(serializer=encode)
         self.logger = structlog.wrap_logger(
             structlog.PrintLogger(sys.stderr),
@@ -37,10 +37,11 @@
         )
 
     def write_line(self, now: float, kind: str, text: str, fields: dict[str, object] | None = None) -> None:
-        stamp = self.format_time(now, "%Y-%m-%dT%H:%M:%S") + "Z"
-        told = {"text": text} if text else {}
-        self.logger.info(kind, at=stamp, **told, **(fields or {}))
+        timestamp = self.format_time(now, "%Y-%m-%dT%H:%M:%S") + "Z"
+        text_field = {"text": text} if text else {}
+        self.logger.info(kind, at=timestamp, **text_field, **(fields or {}))
 
 
 def encode(event: Any, **_: Any) -> str:
+    """Serialize an event as JSON."""
     return msgspec.json.encode(event, enc_hook=str).decode()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -207,12 +207,12 @@
 
 def test_bodies_beyond_their_share_of_the_memory_are_refused_until_there_is_room_again() -> None:
     b = Bench()
-    b.actor.table.max_open_body_bytes = 10
+    b.actor.table.max_body_bytes = 10
     calls = [Call(rid, 0, "f", b.now + 100, b"123456") for rid in "abc"]
     assert b.step(CallReceived(calls[0], b.peers), CallReceived(calls[1], b.peers)) == ["refused b"]
     assert (
         b.step(CallWithdrawn(calls[0]), CallReceived(calls[2], b.peers)) == []
-        and b.actor.table.open_body_bytes == 6
+        and b.actor.table.body_bytes == 6
     )
 
 
