--- a/harrieryoke/core/table.py
+++ b/harrieryoke/core/table.py
@@ -79,10 +79,7 @@
         self.counts["taken"] += 1
         self.body_bytes += len(call.body)
         entry = self.entries[self.last_number] = Entry(self.last_number, call, front, deadline)
-        self.by_call[call], self.by_request_id[call.request_id] = (
-            self.last_number,
-            self.last_number,
-        )
+        self.by_call[call], self.by_request_id[call.request_id] = self.last_number, self.last_number
         self.deadlines.schedule(entry, deadline)
         self.metrics.open = len(self.entries)
         return i.RequestArrived(
@@ -115,11 +112,7 @@
         self.body_bytes -= len(entry.call.body)
         self.notify_observers(entry.call, result)
         self.deadlines.cancel(entry)
-        del (
-            self.entries[entry.number],
-            self.by_call[entry.call],
-            self.by_request_id[entry.call.request_id],
-        )
+        del self.entries[entry.number], self.by_call[entry.call], self.by_request_id[entry.call.request_id]
         self.metrics.open = len(self.entries)
 
     def notify_observers(self, call: Call, result: str) -> None:
--- a/harrieryoke/service.py
+++ b/harrieryoke/service.py
@@ -37,8 +37,8 @@
 class Service:
     """One invoker process."""
 
-    def __init__(self, config: Config, log: Log, reread: Callable[[], Config] | None = None) -> None:
-        self.config, self.log, self.limits, self.read_again = config, log, config.limits, reread
+    def __init__(self, config: Config, log: Log, read_again: Callable[[], Config] | None = None) -> None:
+        self.config, self.log, self.limits, self.read_again = config, log, config.limits, read_again
         settings = config.settings
         self.core = ModuleActor(settings, config.seed, self.limits, log)
         self.hosts = HostListActor(
--- a/tests/test_local_errors.py
+++ b/tests/test_local_errors.py
@@ -1,4 +1,4 @@
-"""Errors of this machine: which they are, and how long a start waits for them to pass."""
+"""Tests which errors count as local, and how long a call is retried after one."""
 
 from __future__ import annotations
 
@@ -11,41 +11,41 @@
 from harrieryoke.core.local_errors import is_local, retry_local
 from harrieryoke.log import Log
 
-PATIENCE_MS = 60.0
+TIMEOUT_MS = 60.0
 
 
-def failing(number: int) -> OSError:
+def os_error(number: int) -> OSError:
     return OSError(number, os.strerror(number))
 
 
-class Call:
-    """Fails with these errors, one each time, and then succeeds."""
+class FailingCall:
+    """Fails once with each of the given errors, then succeeds."""
 
     def __init__(self, *numbers: int) -> None:
         self.numbers = list(numbers)
 
     def __call__(self) -> str:
         if self.numbers:
-            raise failing(self.numbers.pop(0))
+            raise os_error(self.numbers.pop(0))
         return "made"
 
 
 @pytest.mark.parametrize(
     "number", [errno.ECONNREFUSED, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.EADDRINUSE]
 )
-def test_errors_that_may_tell_of_the_peer_or_of_the_settings_are_not_local(number: int) -> None:
-    assert not is_local(failing(number))
+def test_errors_caused_by_the_peer_or_the_settings_are_not_local(number: int) -> None:
+    assert not is_local(os_error(number))
     with pytest.raises(OSError, match=f"Errno {number}"):
-        retry_local("listen", Call(number), PATIENCE_MS, Log())
+        retry_local("listen", FailingCall(number), TIMEOUT_MS, Log())
 
 
-def test_local_errors_are_waited_for_and_told(capsys: pytest.CaptureFixture[str]) -> None:
-    assert retry_local("listen", Call(errno.ENFILE, errno.EINTR), PATIENCE_MS, Log()) == "made"
+def test_local_errors_are_retried_and_logged(capsys: pytest.CaptureFixture[str]) -> None:
+    assert retry_local("listen", FailingCall(errno.ENFILE, errno.EINTR), TIMEOUT_MS, Log()) == "made"
     assert capsys.readouterr().err.count("local-error listen: ") == 2
 
 
-def test_a_local_error_that_stays_is_raised_in_the_end() -> None:
+def test_persistent_local_error_is_raised_after_the_timeout() -> None:
     began = now_ms()
     with pytest.raises(OSError, match="Too many open files"):
-        retry_local("listen", Call(*[errno.EMFILE] * 1000), PATIENCE_MS, Log())
-    assert PATIENCE_MS <= now_ms() - began < 20 * PATIENCE_MS
+        retry_local("listen", FailingCall(*[errno.EMFILE] * 1000), TIMEOUT_MS, Log())
+    assert TIMEOUT_MS <= now_ms() - began < 20 * TIMEOUT_MS
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log where its own disk is full."""
+"""Tests the log with a full disk."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("structured", [False, True])
-def test_a_log_that_can_not_be_written_ends_nobody(structured: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unwritable_log_raises_no_error(structured: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     with open("/dev/full", "w", buffering=1) as full:
         monkeypatch.setattr(sys, "stderr", full)
         log = StructuredLog("n", 20, LogSettings()) if structured else Log("n", 20)
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""A process is ready, and serves from what it knows, whatever else happens while it starts."""
+"""Tests that a starting process serves from its known worker list despite faults around it."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 SOCKETS = 64  # the descriptors that a process of these tests may have open
 
 
-class Crossing(Scene):
-    """A scene whose event bus refuses connections until `open_bus`, with few descriptors."""
+class ReadinessScene(Scene):
+    """A scenario with few descriptors, whose event bus refuses connections until `open_bus`."""
 
     def send_config(self, *words: str) -> None:
         if not words:
@@ -42,8 +42,8 @@
         resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
 
 
-def crossing(folder: Path, hosts: int = 1) -> AbstractContextManager[Crossing]:
-    return ending(Crossing(folder, hosts=hosts))
+def readiness_scene(folder: Path, hosts: int = 1) -> AbstractContextManager[ReadinessScene]:
+    return ending(ReadinessScene(folder, hosts=hosts))
 
 
 SERVED = """
@@ -55,8 +55,8 @@
     expect c9 2 result y"""
 
 
-def test_a_process_that_starts_while_discovery_is_down_serves_from_what_it_knows(tmp_path: Path) -> None:
-    with crossing(tmp_path) as scene:
+def test_process_started_without_discovery_serves_from_its_known_worker_list(tmp_path: Path) -> None:
+    with readiness_scene(tmp_path) as scene:
         scene.wait("bus-lost")
         scene.play(SERVED)
         scene.open_bus()
@@ -67,7 +67,7 @@
 
 
 def test_idle_clients_that_fill_the_descriptors_starve_neither_calls_nor_discovery(tmp_path: Path) -> None:
-    with crossing(tmp_path) as scene:
+    with readiness_scene(tmp_path) as scene:
         scene.wait("bus-lost")
         scene.bind_descriptors()
         host, port = scene.address.split(":")
@@ -85,9 +85,9 @@
 
 
 @pytest.mark.parametrize("predecessor", ["silent", "gone"])
-def test_sigterm_during_a_start_ends_the_process_in_order(predecessor: str, tmp_path: Path) -> None:
-    """The start waits for a process before it; SIGTERM comes once the stand-in for that one was asked."""
-    with crossing(tmp_path) as scene:
+def test_sigterm_during_the_start_ends_the_process_cleanly(predecessor: str, tmp_path: Path) -> None:
+    """The start waits for the predecessor, played by the test; SIGTERM comes after the request to it."""
+    with readiness_scene(tmp_path) as scene:
         scene.play("""
             send node TERM
             expect node exit 0""")
--- a/tests/test_timing_wheel.py
+++ b/tests/test_timing_wheel.py
@@ -1,4 +1,4 @@
-"""The timing wheel against a plain list, in any order of use."""
+"""Compares the timing wheel with a expected dictionary under random operations."""
 
 from __future__ import annotations
 
@@ -28,29 +28,31 @@
 
 @settings(max_examples=500, deadline=None, derandomize=True)
 @given(st.floats(0, 1e13), steps)
-def test_it_fires_what_a_plain_list_fires(start: float, play: list[tuple[str, int, float]]) -> None:
-    now, wheel, plain = start, TimingWheel[int](start), dict[int, float]()
-    for what, item, value in play:
-        if what == "schedule":
+def test_wheel_expires_the_same_items_as_a_dictionary(
+    start: float, operations: list[tuple[str, int, float]]
+) -> None:
+    now, wheel, expected = start, TimingWheel[int](start), dict[int, float]()
+    for operation, item, value in operations:
+        if operation == "schedule":
             wheel.schedule(item, now + value)
-            plain[item] = now + value
-        elif what == "cancel":
-            assert wheel.cancel(item) == (plain.pop(item, None) is not None)
+            expected[item] = now + value
+        elif operation == "cancel":
+            assert wheel.cancel(item) == (expected.pop(item, None) is not None)
         else:
-            if what == "next":  # whoever sleeps until then misses nothing
-                first = min(plain.values(), default=float("inf"))
+            if operation == "next":  # sleeping until then misses no timer
+                first = min(expected.values(), default=float("inf"))
                 assert wheel.next_time() <= first
                 now = max(now, min(wheel.next_time(), now + 1e6))
-            now = now - value if what == "back" else now + max(0.0, value)
-            due = sorted((at, item) for item, at in plain.items() if at <= now)
+            now = now - value if operation == "back" else now + max(0.0, value)
+            due = sorted((at, item) for item, at in expected.items() if at <= now)
             assert sorted(wheel.expired(now)) == sorted(item for _, item in due)
-            plain = {item: at for item, at in plain.items() if at > now}
-        assert len(wheel) == len(plain) and all(item in wheel for item in plain)
+            expected = {item: at for item, at in expected.items() if at > now}
+        assert len(wheel) == len(expected) and all(item in wheel for item in expected)
         in_use = [sum(1 << n for n, slot in enumerate(level) if slot) for level in wheel.slots]
         assert in_use == wheel.used
 
 
-def test_what_is_due_comes_earliest_first_and_once() -> None:
+def test_due_items_expire_once_and_earliest_first() -> None:
     wheel = TimingWheel[str](1000.0)
     for name, at in (("c", 1000.7), ("a", 1000.2), ("b", 1000.5), ("later", 1000.9), ("far", 9e9)):
         wheel.schedule(name, at)
@@ -59,7 +61,7 @@
     assert wheel.next_time() <= 9e9 and wheel.expired(1e10) == ["far"] and len(wheel) == 0
 
 
-def test_sleeping_until_the_next_time_always_gets_there() -> None:
+def test_sleeping_until_the_next_time_reaches_the_timer() -> None:
     wheel, now, wakes = TimingWheel[int](0.0), 0.0, 0
     wheel.schedule(1, 123_456.5)
     while not wheel.expired(now):
