--- a/harrieryoke/council/disk.py
+++ b/harrieryoke/council/disk.py
@@ -33,7 +33,7 @@
 from ..log import Log
 from ..store.actor import HEAD, StoreKeeper
 from ..store.decide.segment import Record
-from ..store.files import Files, RealFiles
+from ..store.files import Directory, DiskDirectory
 from ..store.settings import StoreError, StoreSettings
 from ..store.store import Store
 from .decide.log import Kept, founded, kept
@@ -66,7 +66,7 @@
 }
 
 
-class Folder(Files, Protocol):
+class Folder(Directory, Protocol):
     """A folder that can be put aside."""
 
     def aside(self) -> str:
@@ -74,7 +74,7 @@
         ...
 
 
-class RealFolder(RealFiles):
+class RealFolder(DiskDirectory):
     """Raises StoreError where there is none and none can be made."""
 
     def __init__(self, folder: str) -> None:
@@ -85,7 +85,7 @@
             raise StoreError(f"store.folder: {error}") from None
 
     def sync_parent(self) -> None:
-        RealFiles(os.path.dirname(os.path.abspath(self.folder))).sync_folder()
+        DiskDirectory(os.path.dirname(os.path.abspath(self.folder))).sync_names()
 
     def aside(self) -> str:
         name = f"{self.folder}.lost-{int(wall_ms())}"
@@ -156,7 +156,9 @@
         """Where a last write is to be cut that a power cut left with holes: nothing in it, nor behind, was
         durable. None where there is no damage, or other."""
         damaged = store.recovery.damaged
-        upto = max([self.promised, store.recovery.snapshot, *(h.first - 1 for h in store.headers.values())])
+        upto = max(
+            [self.promised, store.recovery.snapshot_seq, *(h.first_seq - 1 for h in store.headers.values())]
+        )
         if not damaged or any(not fence.before or fence.after < upto for _, fence in damaged):
             return None
         return damaged[0][0], damaged[0][1].begin
@@ -167,16 +169,16 @@
         if r.damaged:
             name, fence = r.damaged[0]
             return f"{name}: bytes {fence.begin} to {fence.end} can't be read"
-        if r.snapshots_bad:
-            return f"{r.snapshots_bad[0]} can't be read"
-        if self.seat is None and r.last:
+        if r.bad_snapshots:
+            return f"{r.bad_snapshots[0]} can't be read"
+        if self.seat is None and r.last_seq:
             return "the snapshot that names its seat is gone"
         return self.hole
 
 
 def leave(keeper: StoreKeeper) -> None:
     """Of one that was not started."""
-    keeper.store.files.unlock()
+    keeper.store.directory.unlock()
     keeper.pool.kill()
 
 
@@ -193,7 +195,7 @@
         elif cut is not None:
             log("store-cut", f"{cut[0]}: from byte {cut[1]} on a last write was not finished")
             try:
-                files.cut(*cut)
+                files.truncate(*cut)
             except OSError as error:
                 why = str(error)
         if not why and cut is None:
--- a/harrieryoke/lab/storage.py
+++ b/harrieryoke/lab/storage.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from ..ledger.decide.reconcile import Session
-from ..store.files import RealFiles
+from ..store.files import DiskDirectory
 from ..store.settings import StoreSettings
-from ..store.store import Reader, Store
+from ..store.store import Store, StoreReader
 
 GROUP = 100  # records that wait for one sync, as at some thousand calls a second
 MANY = 1_000_000
@@ -20,7 +20,7 @@
 
 def append(folder: Path, count: int, payload: bytes) -> float:
     """Entries a second, each group durable before the next."""
-    store = Store(RealFiles(str(folder)), StoreSettings(str(folder)), 0.0)
+    store = Store(DiskDirectory(str(folder)), StoreSettings(str(folder)), 0.0)
     began = time.perf_counter()
     for n in range(count):
         store.append(float(n), 1, b"%x" % n, payload)
@@ -89,23 +89,23 @@
     big = folder / "big"
     append(big, MANY, payload)
     began = time.perf_counter()
-    store = Store(RealFiles(str(big)), StoreSettings(str(big)), 0.0, lambda record: None)
+    store = Store(DiskDirectory(str(big)), StoreSettings(str(big)), 0.0, lambda record: None)
     recovery = time.perf_counter() - began
     assert store.recovery.records >= MANY
     store.close(0.0)
-    reader = Reader(RealFiles(str(big)))
+    reader = StoreReader(DiskDirectory(str(big)))
     wanted = [rng.randrange(1, MANY) for _ in range(200)]
     began = time.perf_counter()
     for seq in wanted:
-        assert next(reader.from_seq(seq)).seq == seq
+        assert next(reader.records_from_seq(seq)).seq == seq
     by_seq = (time.perf_counter() - began) / len(wanted)
-    assert not list(reader.of_key(b"none"))  # sorts the tables, once
+    assert not list(reader.records_with_key(b"none"))  # sorts the tables, once
     began = time.perf_counter()
     for seq in wanted:
-        assert next(reader.of_key(b"%x" % (seq - 1))).seq == seq
+        assert next(reader.records_with_key(b"%x" % (seq - 1))).seq == seq
     by_key = (time.perf_counter() - began) / len(wanted)
     began = time.perf_counter()
-    assert next(r for r in reader.from_seq(1) if r.seq == MANY // 2)
+    assert next(r for r in reader.records_from_seq(1) if r.seq == MANY // 2)
     scan = time.perf_counter() - began
     return {
         "case": "storage",
--- a/harrieryoke/ledger/actor.py
+++ b/harrieryoke/ledger/actor.py
@@ -125,7 +125,7 @@
             except BookError as error:
                 raise StoreError(f"store.folder: {error}") from None
             self.keeper.watch = lambda durable: self.wake()
-            self.snapshot_seq = self.keeper.store.recovery.snapshot
+            self.snapshot_seq = self.keeper.store.recovery.snapshot_seq
             for words in self.ledger.damaged:
                 log("ledger-damaged", words)
         self.sealed: Callable[[int], object] = lambda period: None  # a period has been closed
@@ -398,8 +398,8 @@
         assert keeper is not None
         needed = self.ask(lambda: self.ledger.needed(keeper.next_seq))
         removal = keeper.ask(lambda store: store.compact(needed))
-        if removal.lost is not None:
-            first, last = removal.lost
+        if removal.lost_seqs is not None:
+            first, last = removal.lost_seqs
             self.ask(lambda: self.lost(first, last))
         return Slice()
 
@@ -500,7 +500,7 @@
 
 def read_entries(store: Store, batch: Batch) -> list[Entry]:
     found = []
-    for record in store.from_seq(batch.begin):
+    for record in store.records_from_seq(batch.begin):
         if record.seq > batch.end:
             break
         if record.kind in ENTRIES:
@@ -510,7 +510,7 @@
 
 def period_entries(store: Store, period: int) -> dict[int, bytes]:
     found: dict[int, bytes] = {}
-    for record in store.from_seq(1):
+    for record in store.records_from_seq(1):
         if record.kind in ENTRIES and (entry := decode(record.payload)).period == period:
             data = entry_bytes(entry)
             found[wire_id(data)] = data
@@ -520,10 +520,10 @@
 def find(store: Store, id: Id) -> tuple[Id, list[Entry]]:
     """What the id is of in the end, and that entry with all corrections of it."""
     root = id
-    for record in store.of_key(id.key()):
+    for record in store.records_with_key(id.key()):
         if record.kind == POINTER:
             root = msgspec.msgpack.decode(record.payload, type=Id)
-    return root, [decode(r.payload) for r in store.of_key(root.key()) if r.kind in ENTRIES]
+    return root, [decode(r.payload) for r in store.records_with_key(root.key()) if r.kind in ENTRIES]
 
 
 __all__ = ["LedgerActor", "LedgerError", "PeriodError"]
--- a/harrieryoke/ledger/commands.py
+++ b/harrieryoke/ledger/commands.py
@@ -9,7 +9,7 @@
 
 from ..checks import ConfigError
 from ..ops_client import ask
-from ..store.commands import opened
+from ..store.commands import open_reader
 from .decide.book import Book, Line
 from .decide.entry import Amounts
 from .decide.export import ExportState
@@ -26,11 +26,11 @@
 
 def derived(folder: str, period_s: int) -> Ledger:
     """The ledger that the folder's records and its newest snapshot give."""
-    reader = opened(folder)
+    reader = open_reader(folder)
     made = Ledger(Book("", 0, Periods(period_s * 1000, 0), 0), ExportState())
     if reader.snapshot is not None:
         made.load(reader.snapshot[1], 0.0)
-    for record in reader.from_seq(reader.recovery.snapshot + 1):
+    for record in reader.records_from_seq(reader.recovery.snapshot_seq + 1):
         made.replay(record.kind, record.seq, record.payload, 0.0)
     made.damaged += [f"{name}: {fence}" for name, fence in reader.recovery.damaged]
     return made
--- a/harrieryoke/store/__init__.py
+++ b/harrieryoke/store/__init__.py
@@ -1,7 +1,7 @@
 """A log-structured store that survives crashes.
 
-Records go to append-only segments, each with a checksum; one writer at a time. `decide/` holds the format,
-the state of what is durable, and the index, without I/O; `files.py` is the one way to the disk, so that a
-faulty one can stand in; `store.py` puts both together and blocks; `actor.py` runs it beside the loop, in one
-thread. docs/store.md tells of the promises.
+A single writer appends checksummed records to segments. `decide/` holds the on-disk format, the commit state
+and the index, without I/O. `files.py` is the only access to the file system, so that tests can inject faults.
+`store.py` combines both with blocking calls; `actor.py` runs it in a thread next to the event loop.
+docs/store.md states the durability guarantees.
 """
--- a/harrieryoke/store/actor.py
+++ b/harrieryoke/store/actor.py
@@ -14,7 +14,7 @@
 from ..core.clock import now_ms
 from ..log import Log
 from .decide.segment import Record
-from .files import Files, RealFiles
+from .files import Directory, DiskDirectory
 from .settings import StoreSettings
 from .store import Recovery, Store
 
@@ -34,19 +34,19 @@
         log: Log,
         visit: Callable[[Record], object] | None = None,
         restore: Callable[[bytes], object] | None = None,
-        files: Files | None = None,
+        files: Directory | None = None,
     ) -> None:
         """Opens the folder, here and now: recovery is part of the start. Raises StoreError."""
         self.told, self.log = told, log
-        self.store = Store(files or RealFiles(told.folder), told, now_ms(), visit, restore)
+        self.store = Store(files or DiskDirectory(told.folder), told, now_ms(), visit, restore)
         # the bound is kept here, where it can be answered at once; the thread's own must never refuse
-        self.store.commit.most_bytes = 1 << 62
+        self.store.commit.max_pending_bytes = 1 << 62
         self.most = int(told.queue_mb * 2**20)
         self.inbox: deque[tuple[float, int, bytes, bytes]] = deque()
         self.sizes: deque[tuple[int, int]] = deque()  # of what is not durable: number, bytes
         self.held = self.refused = self.groups = 0
         self.next_seq = self.store.commit.next_seq
-        self.durable = self.store.commit.durable
+        self.durable = self.store.commit.durable_seq
         self.failing = ""
         self.moved, self.filled, self.ended = Event(), Event(), Event()
         self.over = False
@@ -58,18 +58,18 @@
     def tell_recovery(self, r: Recovery) -> None:
         self.log(
             "store-opened",
-            f"{r.records} records, the last is {r.last}, snapshot {r.snapshot}",
+            f"{r.records} records, the last is {r.last_seq}, snapshot {r.snapshot_seq}",
             records=r.records,
-            cut=r.cut,
+            cut=r.truncated_bytes,
         )
-        if r.cut:
-            words = ", as long as a whole record" if r.suspect else ""
-            self.log("store-cut", f"{r.cut} bytes of a last write that was not finished{words}")
+        if r.truncated_bytes:
+            words = ", as long as a whole record" if r.tail_is_record_sized else ""
+            self.log("store-cut", f"{r.truncated_bytes} bytes of a last write that was not finished{words}")
         for name, fence in r.damaged:
-            lost = f"{fence.lost()} records" if fence.before else "unknown how many"
+            lost = f"{fence.lost_count()} records" if fence.before else "unknown how many"
             where = f"{name}: bytes {fence.begin} to {fence.end}"
             self.log("store-damaged", f"{where}: {lost} after {fence.after}")
-        for name in r.snapshots_bad:
+        for name in r.bad_snapshots:
             self.log("store-damaged", f"{name}: the one before it was taken")
 
     def start(self) -> None:
@@ -134,9 +134,9 @@
         """In the thread: takes the group and brings it as far as the policy says."""
         for record in group:
             self.store.append(*record)
-        while self.store.turn(now_ms(), closing):
+        while self.store.advance(now_ms(), closing):
             pass
-        return self.store.commit.durable, self.store.commit.failing
+        return self.store.commit.durable_seq, self.store.commit.failure
 
     def hear(self, durable: int, failing: str, took: float) -> None:
         if failing and failing != self.failing:
--- a/harrieryoke/store/commands.py
+++ b/harrieryoke/store/commands.py
@@ -1,4 +1,4 @@
-"""`harrieryoke store check|dump|repair`."""
+"""The `harrieryoke store check|dump|repair` commands."""
 
 from __future__ import annotations
 
@@ -10,85 +10,87 @@
 import typer
 
 from .decide.segment import FormatError, Record
-from .files import RealFiles
+from .files import DiskDirectory
 from .settings import StoreError, StoreSettings
-from .store import Reader, Store
+from .store import Store, StoreReader
 
-store = typer.Typer(no_args_is_help=True, help="The folder of a store.")
+store = typer.Typer(no_args_is_help=True, help="Inspect and repair a store directory.")
 Folder = Annotated[str, typer.Argument(metavar="FOLDER")]
-Json = Annotated[bool, typer.Option("--json", help="for machines")]
+Json = Annotated[bool, typer.Option("--json", help="print JSON")]
 
 
-def opened(folder: str) -> Reader:
-    """Raises StoreError for what is no store."""
+def open_reader(folder: str) -> StoreReader:
+    """Opens a store for reading. Raises StoreError if the directory is missing or not a store."""
     import os
 
     if not os.path.isdir(folder):
-        raise StoreError(f"{folder}: there is no such folder")
+        raise StoreError(f"{folder}: no such directory")
     try:
-        return Reader(RealFiles(folder))
+        return StoreReader(DiskDirectory(folder))
     except (OSError, FormatError) as error:
         raise StoreError(f"{folder}: {error}") from None
 
 
-def told(reader: Reader) -> dict[str, Any]:
-    r = reader.recovery
+def recovery_report(reader: StoreReader) -> dict[str, Any]:
+    recovery = reader.recovery
     return {
-        "records": r.records,
-        "segments": r.segments,
-        "last": r.last,
-        "snapshot": r.snapshot,
-        "tail_bytes": r.cut,
-        "tail_has_a_records_length": r.suspect,
-        "closed_in_order": r.clean,
-        "damaged": [{"file": name, **asdict(fence), "lost": fence.lost()} for name, fence in r.damaged],
-        "bad_snapshots": r.snapshots_bad,
+        "records": recovery.records,
+        "segments": recovery.segments,
+        "last": recovery.last_seq,
+        "snapshot": recovery.snapshot_seq,
+        "tail_bytes": recovery.truncated_bytes,
+        "tail_has_a_records_length": recovery.tail_is_record_sized,
+        "closed_in_order": recovery.closed_cleanly,
+        "damaged": [
+            {"file": name, **asdict(damage), "lost": damage.lost_count()} for name, damage in recovery.damaged
+        ],
+        "bad_snapshots": recovery.bad_snapshots,
     }
 
 
 @store.command()
 def check(folder: Folder, json: Json = False) -> None:
-    """Read all of it, also beside a running writer; exit code 1 where something can't be read."""
-    figures = told(opened(folder))
+    """Read every record, also next to a running writer; exit code 1 if anything is unreadable."""
+    report = recovery_report(open_reader(folder))
     if json:
-        print(msgspec.json.encode(figures).decode())
+        print(msgspec.json.encode(report).decode())
     else:
-        for key, value in figures.items():
+        for key, value in report.items():
             print(f"{key.replace('_', ' ')}: {value}")
-    raise typer.Exit(1 if figures["damaged"] or figures["bad_snapshots"] else 0)
+    raise typer.Exit(1 if report["damaged"] or report["bad_snapshots"] else 0)
 
 
 @store.command()
 def dump(
     folder: Folder,
-    from_seq: Annotated[int, typer.Option("--from", help="the first record's number")] = 1,
-    since: Annotated[int | None, typer.Option(help="milliseconds of the Unix clock")] = None,
-    key: Annotated[str | None, typer.Option(help="only records under this key")] = None,
-    most: Annotated[int, typer.Option(help="records at the most")] = 1000,
+    from_seq: Annotated[int, typer.Option("--from", help="first sequence number")] = 1,
+    since: Annotated[int | None, typer.Option(help="Unix time in milliseconds")] = None,
+    key: Annotated[str | None, typer.Option(help="only records with this key")] = None,
+    most: Annotated[int, typer.Option(help="maximum number of records")] = 1000,
 ) -> None:
-    """Print records, one JSON object a line."""
-    reader = opened(folder)
+    """Print records, one JSON object per line."""
+    reader = open_reader(folder)
     if key is not None:
-        found: Iterator[Record] = reader.of_key(key.encode())
+        records: Iterator[Record] = reader.records_with_key(key.encode())
     elif since is not None:
-        found = reader.from_time(since)
+        records = reader.records_from_time(since)
     else:
-        found = reader.from_seq(from_seq)
-    for _, record in zip(range(most), found, strict=False):
+        records = reader.records_from_seq(from_seq)
+    for _, record in zip(range(most), records, strict=False):
         print(
             msgspec.json.encode(
                 {
                     "seq": record.seq,
-                    "at": record.at,
+                    "at": record.time_ms,
                     "kind": record.kind,
                     "key": record.key.decode(errors="replace"),
-                    "payload": readable(record.payload),
+                    "payload": decode_payload(record.payload),
                 }
             ).decode()
         )
 
 
-def readable(payload: bytes) -> Any:
+def decode_payload(payload: bytes) -> Any:
     try:
         return msgspec.msgpack.decode(payload)
     except msgspec.MsgspecError:
@@ -97,10 +99,10 @@
 
 @store.command()
 def repair(folder: Folder) -> None:
-    """Cut what a last writer left unfinished, as the daemon does at its start. Damaged stretches stay as they
-    are: nothing in them is thrown away."""
-    opened(folder)
-    made = Store(RealFiles(folder), StoreSettings(folder), 0.0)
-    figures = told(made)
-    made.files.unlock()
-    print(msgspec.json.encode(figures).decode())
+    """Truncate the torn tail that the last writer left, as the daemon does at start. Damaged ranges elsewhere
+    stay as they are."""
+    open_reader(folder)
+    opened = Store(DiskDirectory(folder), StoreSettings(folder), 0.0)
+    report = recovery_report(opened)
+    opened.directory.unlock()
+    print(msgspec.json.encode(report).decode())
--- a/harrieryoke/store/decide/__init__.py
+++ b/harrieryoke/store/decide/__init__.py
@@ -1,1 +1,2 @@
-"""The store's format, its state and its index. No I/O, no clock: times come in as milliseconds."""
+"""On-disk format, commit state and index of the store. No I/O and no clock: callers pass times in
+milliseconds."""
--- a/harrieryoke/store/decide/commit.py
+++ b/harrieryoke/store/decide/commit.py
@@ -1,13 +1,14 @@
-"""What is durable, what waits, and what to do next.
+"""Group commit: which records are queued, written or durable, and the writer's next step.
 
-    append -> waiting -> written -> durable
-                 ^          |
-                 +-- retake + (a write or a sync failed: the segment is left, all that is not durable is
-                               written anew to a fresh one)
+    append -> queued -> unsynced -> durable
+                ^          |
+                +----------+ a write or fsync failed: the segment is closed and every record that is not
+                             durable is rewritten to a new segment
 
-A failed sync is never tried again on the same file: what it should have brought to the disk may be gone from
-the system's memory, and a second sync may say yes to nothing. Nothing counts as durable before a sync of its
-bytes has succeeded. At the bound of what may wait, new records are refused and counted by the caller.
+A failed fsync is never retried on the same file: the kernel may have dropped the dirty pages, so a second
+fsync can succeed without having written them. A record counts as durable only after an fsync of its bytes has
+succeeded. When the records that are not yet durable reach the byte limit, new records are refused, and the
+caller counts them.
 """
 
 from __future__ import annotations
@@ -18,105 +19,111 @@
 
 from .segment import Record
 
-POLICIES = ("group", "interval", "none")
+SYNC_POLICIES = ("group", "interval", "none")
 
 
-class Step(Enum):
+class WriterStep(Enum):
+    """What the writer does next."""
+
     WAIT = "wait"
-    WRITE = "write"  # what `take` gives
+    WRITE = "write"  # the records of `next_group`
     SYNC = "sync"
-    ROLL = "roll"  # a fresh segment first
+    ROLL_SEGMENT = "roll"  # start a new segment before the next write
 
 
 @dataclass(slots=True)
-class Commit:
-    """Sequence numbers and bytes of one writer. Times are milliseconds.
+class CommitState:
+    """Commit state of one writer. Times are milliseconds.
 
-    Policies: `group`: each write is synced before the next; `interval`: at most `interval_ms` after a write;
-    `none`: at the end of a segment and at a close."""
+    Sync policies: `group` syncs each write before the next one; `interval` syncs at most `sync_interval_ms`
+    after a write; `none` syncs only at the end of a segment and on close.
+    """
 
     next_seq: int = 1
-    policy: str = "group"
-    interval_ms: float = 50.0
-    most_bytes: int = 8 << 20  # that wait or are not durable
-    group_bytes: int = 1 << 20  # of one write
-    segment_bytes: int = 64 << 20
-    retry_ms: float = 50.0
-    retry_most_ms: float = 5000.0
-    durable: int = 0
-    waiting: deque[Record] = field(default_factory=deque)
-    written: deque[Record] = field(default_factory=deque)  # and not yet durable
-    held: int = 0  # bytes of both
-    in_segment: int = 0
-    fresh: bool = True  # a segment must be begun
-    since: float | None = None  # when the oldest unsynced write was
-    failing: str = ""  # why nothing gets to the disk now
-    failures: int = 0
-    pause: float = 0.0
-    not_before: float = 0.0
-
-    def admit(self, at: int, kind: int, key: bytes, payload: bytes) -> Record | None:
-        """The record with its number; None at the bound."""
-        record = Record(self.next_seq, at, kind, key, payload)
-        if self.held + record.size() > self.most_bytes:
+    sync_policy: str = "group"
+    sync_interval_ms: float = 50.0
+    max_pending_bytes: int = 8 << 20  # of records that are queued or unsynced
+    max_group_bytes: int = 1 << 20  # of one write
+    max_segment_bytes: int = 64 << 20
+    min_retry_ms: float = 50.0
+    max_retry_ms: float = 5000.0
+    durable_seq: int = 0
+    queued: deque[Record] = field(default_factory=deque)
+    unsynced: deque[Record] = field(default_factory=deque)  # written but not yet durable
+    pending_bytes: int = 0  # bytes of the queued and the unsynced records
+    segment_size: int = 0
+    needs_new_segment: bool = True  # the next write needs a new segment
+    unsynced_since: float | None = None  # time of the oldest unsynced write
+    failure: str = ""  # why writes currently fail; empty while they succeed
+    failure_count: int = 0
+    retry_delay_ms: float = 0.0
+    retry_at: float = 0.0
+
+    def admit(self, time_ms: int, kind: int, key: bytes, payload: bytes) -> Record | None:
+        """Queues a record under the next sequence number; None if the byte limit is reached."""
+        record = Record(self.next_seq, time_ms, kind, key, payload)
+        if self.pending_bytes + record.encoded_size() > self.max_pending_bytes:
             return None
         self.next_seq += 1
-        self.held += record.size()
-        self.waiting.append(record)
+        self.pending_bytes += record.encoded_size()
+        self.queued.append(record)
         return record
 
-    def step(self, now: float, closing: bool = False) -> Step:
-        if now < self.not_before and now + self.retry_most_ms >= self.not_before:
-            return Step.WAIT
-        if (self.waiting and self.fresh) or (self.in_segment >= self.segment_bytes and not self.written):
-            return Step.ROLL
-        due = self.since is not None and (
+    def next_step(self, now: float, closing: bool = False) -> WriterStep:
+        if now < self.retry_at and now + self.max_retry_ms >= self.retry_at:
+            return WriterStep.WAIT
+        if (self.queued and self.needs_new_segment) or (
+            self.segment_size >= self.max_segment_bytes and not self.unsynced
+        ):
+            return WriterStep.ROLL_SEGMENT
+        sync_due = self.unsynced_since is not None and (
             closing
-            or self.policy == "group"
-            or self.in_segment >= self.segment_bytes
-            or (self.policy == "interval" and not 0 <= now - self.since < self.interval_ms)
+            or self.sync_policy == "group"
+            or self.segment_size >= self.max_segment_bytes
+            or (self.sync_policy == "interval" and not 0 <= now - self.unsynced_since < self.sync_interval_ms)
         )
-        if due:
-            return Step.SYNC
-        return Step.WRITE if self.waiting else Step.WAIT
+        if sync_due:
+            return WriterStep.SYNC
+        return WriterStep.WRITE if self.queued else WriterStep.WAIT
 
-    def take(self) -> list[Record]:
-        """The next write: a group of what waits. It counts as written only after `wrote`."""
+    def next_group(self) -> list[Record]:
+        """The queued records for the next write. They leave the queue only with `record_write`."""
         group, size = list[Record](), 0
-        for record in self.waiting:
-            size += record.size()
-            if group and size > self.group_bytes:
+        for record in self.queued:
+            size += record.encoded_size()
+            if group and size > self.max_group_bytes:
                 break
             group.append(record)
         return group
 
-    def wrote(self, count: int, size: int, now: float) -> None:
+    def record_write(self, count: int, size: int, now: float) -> None:
         for _ in range(count):
-            self.written.append(self.waiting.popleft())
-        self.in_segment += size
-        self.since = now if self.since is None else self.since
-        self.well()
-
-    def synced(self, upto: int) -> None:
-        """All up to `upto` is on the disk."""
-        self.durable = max(self.durable, upto)
-        while self.written and self.written[0].seq <= upto:
-            self.held -= self.written.popleft().size()
-        if not self.written:
-            self.since = None
-        self.well()
-
-    def rolled(self) -> None:
-        self.fresh, self.in_segment = False, 0
-
-    def failed(self, why: str, now: float) -> None:
-        """A write or a sync failed. What is not durable goes again, to a fresh segment, after a pause."""
-        self.waiting.extendleft(reversed(self.written))
-        self.written.clear()
-        self.since, self.fresh, self.failing = None, True, why
-        self.failures += 1
-        self.pause = min(self.retry_most_ms, max(self.retry_ms, 2 * self.pause))
-        self.not_before = now + self.pause
-
-    def well(self) -> None:
-        self.failing, self.pause, self.not_before = "", 0.0, 0.0
+            self.unsynced.append(self.queued.popleft())
+        self.segment_size += size
+        self.unsynced_since = now if self.unsynced_since is None else self.unsynced_since
+        self.clear_failure()
+
+    def record_sync(self, last_seq: int) -> None:
+        """Records up to and including `last_seq` are durable."""
+        self.durable_seq = max(self.durable_seq, last_seq)
+        while self.unsynced and self.unsynced[0].seq <= last_seq:
+            self.pending_bytes -= self.unsynced.popleft().encoded_size()
+        if not self.unsynced:
+            self.unsynced_since = None
+        self.clear_failure()
+
+    def record_new_segment(self) -> None:
+        self.needs_new_segment, self.segment_size = False, 0
+
+    def record_failure(self, reason: str, now: float) -> None:
+        """A write or fsync failed: requeues every record that is not durable, for a new segment after a
+        delay."""
+        self.queued.extendleft(reversed(self.unsynced))
+        self.unsynced.clear()
+        self.unsynced_since, self.needs_new_segment, self.failure = None, True, reason
+        self.failure_count += 1
+        self.retry_delay_ms = min(self.max_retry_ms, max(self.min_retry_ms, 2 * self.retry_delay_ms))
+        self.retry_at = now + self.retry_delay_ms
+
+    def clear_failure(self) -> None:
+        self.failure, self.retry_delay_ms, self.retry_at = "", 0.0, 0.0
--- a/harrieryoke/store/decide/index.py
+++ b/harrieryoke/store/decide/index.py
@@ -1,8 +1,9 @@
-"""Where to look in a segment: a sparse index by sequence number and time, and a table of keys.
+"""In-memory index of a segment: a sparse index by sequence number and time, and a table of keys.
 
-Every `EVERY`th record has its number, time and offset kept; a seek bisects these and reads on from there.
-Times need not rise (clocks step), so each place keeps the latest time up to it. Keys are kept as 64-bit
-hashes in two arrays, sorted at the first seek: 12 bytes a record, against some 200 for a dict of lists.
+Every INDEX_INTERVAL-th record has its sequence number, time and offset stored; a seek bisects these and reads
+forward from there. Record times may decrease, because the wall clock can be set back, so each sparse entry
+stores the latest time before it. Keys are stored as 64-bit hashes in two parallel arrays, sorted on the first
+lookup: 12 bytes a record, against about 200 for a dict of lists.
 """
 
 from __future__ import annotations
@@ -12,53 +13,55 @@
 
 import xxhash
 
-EVERY = 64
+INDEX_INTERVAL = 64
 
 
 class SegmentIndex:
-    """Of one segment. `add` in the order of the records."""
+    """Index of one segment. Records must be added in the order in which they are stored."""
 
-    def __init__(self, number: int) -> None:
-        self.number = number
-        self.seqs, self.times, self.offsets = array("Q"), array("Q"), array("Q")  # of every EVERYth
-        self.hashes, self.places = array("Q"), array("I")  # of each key
-        self.sorted, self.count, self.latest = True, 0, 0
-        self.first = self.last = 0
+    def __init__(self, segment: int) -> None:
+        self.segment = segment
+        # of every INDEX_INTERVAL-th record
+        self.indexed_seqs, self.indexed_times, self.indexed_offsets = array("Q"), array("Q"), array("Q")
+        self.key_hashes, self.key_offsets = array("Q"), array("I")  # one entry for each record with a key
+        self.keys_sorted, self.record_count, self.latest_time = True, 0, 0
+        self.first_seq = self.last_seq = 0
 
-    def add(self, seq: int, at: int, key: bytes, offset: int) -> None:
-        if self.count % EVERY == 0:
-            self.seqs.append(seq)
-            self.times.append(self.latest)  # the latest before this place
-            self.offsets.append(offset)
-            self.first = self.first or seq
-        self.last = seq
-        if at > self.latest:
-            self.latest = at
-        self.count += 1
+    def add(self, seq: int, time_ms: int, key: bytes, offset: int) -> None:
+        if self.record_count % INDEX_INTERVAL == 0:
+            self.indexed_seqs.append(seq)
+            self.indexed_times.append(self.latest_time)  # latest time before this record
+            self.indexed_offsets.append(offset)
+            self.first_seq = self.first_seq or seq
+        self.last_seq = seq
+        if time_ms > self.latest_time:
+            self.latest_time = time_ms
+        self.record_count += 1
         if key:
-            self.hashes.append(xxhash.xxh3_64_intdigest(key))
-            self.places.append(offset)
-            self.sorted = False
+            self.key_hashes.append(xxhash.xxh3_64_intdigest(key))
+            self.key_offsets.append(offset)
+            self.keys_sorted = False
 
-    def at_seq(self, seq: int) -> int | None:
-        """An offset at or before the record `seq`, EVERY records at most."""
-        if not self.count or seq > self.last:
+    def offset_for_seq(self, seq: int) -> int | None:
+        """The offset of record `seq` or of one at most INDEX_INTERVAL records before it."""
+        if not self.record_count or seq > self.last_seq:
             return None
-        return self.offsets[max(0, bisect_right(self.seqs, seq) - 1)]
+        return self.indexed_offsets[max(0, bisect_right(self.indexed_seqs, seq) - 1)]
 
-    def at_time(self, at: int) -> int | None:
-        """An offset before which no record is as late as `at`; None where none in the segment is."""
-        if not self.count or at > self.latest:
+    def offset_for_time(self, time_ms: int) -> int | None:
+        """An offset before which every record is older than `time_ms`; None if the whole segment is older."""
+        if not self.record_count or time_ms > self.latest_time:
             return None
-        return self.offsets[max(0, bisect_left(self.times, at) - 1)]
+        return self.indexed_offsets[max(0, bisect_left(self.indexed_times, time_ms) - 1)]
 
-    def of_key(self, key: bytes) -> list[int]:
-        """Offsets where records under the key may be. Two keys may have one hash: look at the record."""
-        if not self.sorted:
-            order = sorted(range(len(self.hashes)), key=self.hashes.__getitem__)
-            self.places = array("I", [self.places[n] for n in order])
-            self.hashes = array("Q", [self.hashes[n] for n in order])
-            self.sorted = True
-        told = xxhash.xxh3_64_intdigest(key)
-        begin = bisect_left(self.hashes, told)
-        return sorted(self.places[begin : bisect_right(self.hashes, told)])
+    def offsets_for_key(self, key: bytes) -> list[int]:
+        """Candidate offsets of records with this key. Hashes can collide: the caller compares the record's
+        key."""
+        if not self.keys_sorted:
+            order = sorted(range(len(self.key_hashes)), key=self.key_hashes.__getitem__)
+            self.key_offsets = array("I", [self.key_offsets[position] for position in order])
+            self.key_hashes = array("Q", [self.key_hashes[position] for position in order])
+            self.keys_sorted = True
+        key_hash = xxhash.xxh3_64_intdigest(key)
+        begin = bisect_left(self.key_hashes, key_hash)
+        return sorted(self.key_offsets[begin : bisect_right(self.key_hashes, key_hash)])
--- a/harrieryoke/store/decide/keep.py
+++ b/harrieryoke/store/decide/keep.py
@@ -1,4 +1,4 @@
-"""Which segments and snapshots may go."""
+"""Retention: which segments and snapshots may be removed."""
 
 from __future__ import annotations
 
@@ -6,45 +6,54 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
-    """A sealed segment on the disk."""
+class SealedSegment:
+    """A segment on disk that is no longer written to. `size` is in bytes."""
 
     number: int
-    first: int
-    last: int
+    first_seq: int
+    last_seq: int
     size: int
 
 
 @dataclass(frozen=True, slots=True)
-class Removal:
+class CompactionPlan:
+    """Segment numbers and snapshot sequence numbers to remove."""
+
     segments: tuple[int, ...] = ()
     snapshots: tuple[int, ...] = ()
-    lost: tuple[int, int] | None = None  # sequence numbers that go though somebody needs them
+    lost_seqs: tuple[int, int] | None = None  # first and last one removed though needed
 
 
-def removable(
-    sealed: list[Held],
+def plan_compaction(
+    sealed: list[SealedSegment],
     snapshots: list[int],
-    needed: int,
-    budget: int,
-    active_size: int,
+    first_needed_seq: int,
+    budget_bytes: int,
+    active_bytes: int,
     keep_snapshots: int = 2,
-) -> Removal:
-    """`needed`: the first sequence number that a reader (the export) still wants. Segments go that the newest
-    snapshot stands for and nobody needs. Beyond `budget` bytes the oldest of those that a snapshot stands for
-    go though needed, and what is lost by it is told: never silently. What no snapshot stands for stays:
-    without it the state can't be built again."""
-    covered = max(snapshots, default=0)
-    gone, total = list[int](), active_size + sum(s.size for s in sealed)
-    lost: tuple[int, int] | None = None
-    for segment in sorted(sealed, key=lambda s: s.number):
-        if segment.last > covered:
+) -> CompactionPlan:
+    """Plans which segments and snapshots to remove.
+
+    `first_needed_seq` is the first sequence number that a reader (the export) still needs. A segment is
+    removable if the newest snapshot covers it and no reader needs it. While the total size exceeds
+    `budget_bytes`, the oldest covered segments are removed even though a reader needs them, and `lost_seqs`
+    reports what that loses. Segments that no snapshot covers are never removed: the state could not be rebuilt
+    without them.
+    """
+    covered_seq = max(snapshots, default=0)
+    removed, total_bytes = list[int](), active_bytes + sum(segment.size for segment in sealed)
+    lost_seqs: tuple[int, int] | None = None
+    for segment in sorted(sealed, key=lambda segment: segment.number):
+        if segment.last_seq > covered_seq:
             break
-        if segment.last >= needed:
-            if total <= budget:
+        if segment.last_seq >= first_needed_seq:
+            if total_bytes <= budget_bytes:
                 break
-            lost = (max(needed, segment.first) if lost is None else lost[0], segment.last)
-        gone.append(segment.number)
-        total -= segment.size
-    old = sorted(snapshots)[:-keep_snapshots] if keep_snapshots else []
-    return Removal(tuple(gone), tuple(old), lost)
+            lost_seqs = (
+                max(first_needed_seq, segment.first_seq) if lost_seqs is None else lost_seqs[0],
+                segment.last_seq,
+            )
+        removed.append(segment.number)
+        total_bytes -= segment.size
+    old_snapshots = sorted(snapshots)[:-keep_snapshots] if keep_snapshots else []
+    return CompactionPlan(tuple(removed), tuple(old_snapshots), lost_seqs)
--- a/harrieryoke/store/decide/segment.py
+++ b/harrieryoke/store/decide/segment.py
@@ -1,13 +1,14 @@
-"""The format of segments and snapshots.
+"""On-disk format of segments and snapshots.
 
     segment  = header record*
     header   = magic version:u16 0:u16 0:u32 number:u64 first:u64 created_ms:u64 check:u64
     record   = size:u32 check:u64 body
     body     = seq:u64 at_ms:u64 kind:u8 keylen:u8 key payload
 
-All numbers are little-endian; `check` is XXH3-64 of what it covers, seeded with the segment's number, so that
-bytes of another segment that the disk brings back are no records here. Version 1, which is read and never
-written, has the header `magic version:u16 0:u16 0:u32 first:u64`, CRC-32 as `check:u32`, and no key.
+All integers are little-endian. `check` is the XXH3-64 checksum of the bytes it covers, seeded with the
+segment number, so that stale blocks of another segment that reappear in this file never decode as valid
+records. Version 1 is read but never written: its header is `magic version:u16 0:u16 0:u32 first:u64`, its
+`check:u32` is CRC-32, and its records have no key.
 """
 
 from __future__ import annotations
@@ -20,219 +21,254 @@
 
 import xxhash
 
-MAGIC = b"HYSTORE\n"
-SNAP_MAGIC = b"HYSNAP1\n"
-VERSION = 2
-HEADER = struct.Struct("<8sHHIQQQQ")
-HEADER_1 = struct.Struct("<8sHHIQ")
-FRAME = struct.Struct("<IQ")
-FRAME_1 = struct.Struct("<II")
-BODY = struct.Struct("<QQBB")
-BODY_1 = struct.Struct("<QQB")
-WHOLE = struct.Struct("<IQQQBB")
-SNAP = struct.Struct("<8sQQQ")  # magic, the last sequence number in it, size, check
-MOST_BODY = 1 << 20
-CLOSED = 255  # the kind of the record that an orderly close leaves behind
+SEGMENT_MAGIC = b"HYSTORE\n"
+SNAPSHOT_MAGIC = b"HYSNAP1\n"
+FORMAT_VERSION = 2
+SEGMENT_HEADER = struct.Struct("<8sHHIQQQQ")
+SEGMENT_HEADER_V1 = struct.Struct("<8sHHIQ")
+RECORD_FRAME = struct.Struct("<IQ")
+RECORD_FRAME_V1 = struct.Struct("<II")
+RECORD_BODY = struct.Struct("<QQBB")
+RECORD_BODY_V1 = struct.Struct("<QQB")
+FRAME_AND_BODY = struct.Struct("<IQQQBB")
+SNAPSHOT_HEADER = struct.Struct("<8sQQQ")  # magic, last covered sequence number, payload size, checksum
+MAX_BODY_BYTES = 1 << 20
+CLEAN_CLOSE = 255  # kind of the record that a clean shutdown writes last
 
 
 class FormatError(ValueError):
-    """A file that is none of ours, or of a version that this program does not read."""
+    """The file has another format, or a version that this program cannot read."""
 
 
 class Record(NamedTuple):
-    """One entry. `seq` rises by one with each; `at` is milliseconds of the Unix clock."""
+    """One record. `seq` increases by one with each record; `time_ms` is Unix time."""
 
     seq: int
-    at: int
+    time_ms: int
     kind: int
     key: bytes
     payload: bytes
 
-    def size(self) -> int:
-        return WHOLE.size + len(self.key) + len(self.payload)
+    def encoded_size(self) -> int:
+        return FRAME_AND_BODY.size + len(self.key) + len(self.payload)
 
 
 @dataclass(frozen=True, slots=True)
-class Header:
+class SegmentHeader:
     version: int
     number: int
-    first: int
-    created: int
+    first_seq: int
+    created_ms: int
     size: int
 
 
 @dataclass(frozen=True, slots=True)
-class Fence:
-    """Bytes of a segment that can't be read, and the sequence numbers that were there: `after` < lost <
-    `before`. `before` is 0 where nothing readable follows."""
+class DamagedRange:
+    """Unreadable bytes of a segment and the sequence numbers lost with them: `after` < lost < `before`.
+    `before` is 0 if no readable record follows."""
 
     begin: int
     end: int
     after: int
     before: int
 
-    def lost(self) -> int:
+    def lost_count(self) -> int:
         return max(0, self.before - self.after - 1) if self.before else 0
 
 
 @dataclass(slots=True)
-class Scan:
-    """What a segment holds. `good` is where its last readable record ends."""
+class SegmentScan:
+    """Contents of a segment. `valid_end` is the end offset of its last valid record."""
 
-    header: Header
-    good: int
+    header: SegmentHeader
+    valid_end: int
     records: list[tuple[int, Record]] = field(default_factory=list)  # with their offsets
-    fences: list[Fence] = field(default_factory=list)
-    torn: int = 0  # bytes behind `good` that are no whole record
-    whole: bool = False  # those bytes have a whole record's length: a write cut short, or a flipped bit
-    closed: bool = False  # an orderly close is the last thing in it
+    damaged: list[DamagedRange] = field(default_factory=list)
+    torn_bytes: int = 0  # bytes after `valid_end` that are not a whole record
+    torn_is_record_sized: bool = False  # an interrupted write, or bit rot
+    closed_cleanly: bool = False  # its last record is CLEAN_CLOSE
 
-    def last(self) -> int:
-        return self.records[-1][1].seq if self.records else self.header.first - 1
+    def last_seq(self) -> int:
+        return self.records[-1][1].seq if self.records else self.header.first_seq - 1
 
 
-def encode_header(number: int, first: int, created: int) -> bytes:
-    head = HEADER.pack(MAGIC, VERSION, 0, 0, number, first, created, 0)[:-8]
-    return head + struct.pack("<Q", xxhash.xxh3_64_intdigest(head))
+def encode_header(number: int, first_seq: int, created_ms: int) -> bytes:
+    header = SEGMENT_HEADER.pack(SEGMENT_MAGIC, FORMAT_VERSION, 0, 0, number, first_seq, created_ms, 0)[:-8]
+    return header + struct.pack("<Q", xxhash.xxh3_64_intdigest(header))
 
 
-def decode_header(data: bytes) -> Header | None:
-    """None where its bytes are not whole or not right. Raises FormatError for a version from later times."""
-    if len(data) < HEADER_1.size or data[:8] != MAGIC:
+def decode_header(data: bytes) -> SegmentHeader | None:
+    """None if the header is incomplete or its checksum is wrong. Raises FormatError for a newer version."""
+    if len(data) < SEGMENT_HEADER_V1.size or data[:8] != SEGMENT_MAGIC:
         return None
     version = struct.unpack_from("<H", data, 8)[0]
     if version == 1:
-        return Header(1, 0, HEADER_1.unpack_from(data)[4], 0, HEADER_1.size)
-    if len(data) < HEADER.size:
+        return SegmentHeader(1, 0, SEGMENT_HEADER_V1.unpack_from(data)[4], 0, SEGMENT_HEADER_V1.size)
+    if len(data) < SEGMENT_HEADER.size:
         return None
-    told = HEADER.unpack_from(data)
-    if xxhash.xxh3_64_intdigest(data[: HEADER.size - 8]) != told[7]:
+    fields = SEGMENT_HEADER.unpack_from(data)
+    if xxhash.xxh3_64_intdigest(data[: SEGMENT_HEADER.size - 8]) != fields[7]:
         return None
-    if version > VERSION:
-        raise FormatError(f"version {version} is newer than this program's {VERSION}")
-    return Header(version, told[4], told[5], told[6], HEADER.size)
-
-
-def encode(record: Record, number: int) -> bytes:
-    """A record's bytes in segment `number`. Raises ValueError for what is too large."""
-    if len(record.key) > 255 or len(record.payload) > MOST_BODY - 512:
-        raise ValueError(f"a record of {len(record.payload)} bytes under a key of {len(record.key)}")
-    body = BODY.pack(record.seq, record.at, record.kind, len(record.key)) + record.key + record.payload
-    return FRAME.pack(len(body), xxhash.xxh3_64_intdigest(body, number)) + body
-
-
-def record_at(data: bytes | memoryview, at: int, header: Header) -> tuple[Record, int] | None:
-    """The record that begins at `at`, and where it ends; None where there is no right one."""
-    old = header.version == 1
-    frame, least = (FRAME_1, BODY_1.size) if old else (FRAME, BODY.size)
-    begin = at + frame.size
-    if begin > len(data):
+    if version > FORMAT_VERSION:
+        raise FormatError(f"version {version} is newer than this program's version {FORMAT_VERSION}")
+    return SegmentHeader(version, fields[4], fields[5], fields[6], SEGMENT_HEADER.size)
+
+
+def encode_record(record: Record, segment: int) -> bytes:
+    """Encodes a record of that segment. Raises ValueError if its key or payload is too large."""
+    if len(record.key) > 255 or len(record.payload) > MAX_BODY_BYTES - 512:
+        raise ValueError(
+            f"record too large: payload of {len(record.payload)} bytes, key of {len(record.key)} bytes"
+        )
+    body = (
+        RECORD_BODY.pack(record.seq, record.time_ms, record.kind, len(record.key))
+        + record.key
+        + record.payload
+    )
+    return RECORD_FRAME.pack(len(body), xxhash.xxh3_64_intdigest(body, segment)) + body
+
+
+def decode_record(data: bytes | memoryview, offset: int, header: SegmentHeader) -> tuple[Record, int] | None:
+    """Decodes the record at `offset`; returns it and its end offset, or None if there is no valid record."""
+    is_v1 = header.version == 1
+    frame, min_body_bytes = (
+        (RECORD_FRAME_V1, RECORD_BODY_V1.size) if is_v1 else (RECORD_FRAME, RECORD_BODY.size)
+    )
+    body_begin = offset + frame.size
+    if body_begin > len(data):
         return None
-    size, check = frame.unpack_from(data, at)
-    end = begin + size
-    if not least <= size <= MOST_BODY or end > len(data):
+    size, check = frame.unpack_from(data, offset)
+    end = body_begin + size
+    if not min_body_bytes <= size <= MAX_BODY_BYTES or end > len(data):
         return None
-    if not old:
-        if xxhash.xxh3_64_intdigest(data[begin:end], header.number) != check:
+    if not is_v1:
+        if xxhash.xxh3_64_intdigest(data[body_begin:end], header.number) != check:
             return None
-        seq, ms, kind, keylen = BODY.unpack_from(data, begin)
-        cut = begin + BODY.size + keylen
-        return Record(seq, ms, kind, bytes(data[begin + BODY.size : cut]), bytes(data[cut:end])), end
-    body = bytes(data[begin:end])
+        seq, time_ms, kind, key_length = RECORD_BODY.unpack_from(data, body_begin)
+        payload_begin = body_begin + RECORD_BODY.size + key_length
+        return Record(
+            seq,
+            time_ms,
+            kind,
+            bytes(data[body_begin + RECORD_BODY.size : payload_begin]),
+            bytes(data[payload_begin:end]),
+        ), end
+    body = bytes(data[body_begin:end])
     if zlib.crc32(body) != check:
         return None
-    seq, ms, kind = BODY_1.unpack_from(body)
-    return Record(seq, ms, kind, b"", body[BODY_1.size :]), end
-
-
-def resync(data: bytes | memoryview, at: int, header: Header, last: int) -> tuple[int, Record] | None:
-    """The first right record behind a bad place. A size and a sequence number that can't be are passed over
-    without a checksum, so that this is one pass over the bytes."""
-    old = header.version == 1
-    frame, least = (FRAME_1, BODY_1.size) if old else (FRAME, BODY.size)
-    for place in range(at + 1, len(data) - frame.size - least + 1):
-        size = frame.unpack_from(data, place)[0]
-        if not least <= size <= min(MOST_BODY, len(data) - place - frame.size):
+    seq, time_ms, kind = RECORD_BODY_V1.unpack_from(body)
+    return Record(seq, time_ms, kind, b"", body[RECORD_BODY_V1.size :]), end
+
+
+def find_next_record(
+    data: bytes | memoryview, offset: int, header: SegmentHeader, last_seq: int
+) -> tuple[int, Record] | None:
+    """The offset of the first valid record after `offset`, and the record. Implausible sizes and sequence
+    numbers are skipped without computing a checksum, which keeps this a single pass over the bytes."""
+    is_v1 = header.version == 1
+    frame, min_body_bytes = (
+        (RECORD_FRAME_V1, RECORD_BODY_V1.size) if is_v1 else (RECORD_FRAME, RECORD_BODY.size)
+    )
+    for candidate in range(offset + 1, len(data) - frame.size - min_body_bytes + 1):
+        size = frame.unpack_from(data, candidate)[0]
+        if not min_body_bytes <= size <= min(MAX_BODY_BYTES, len(data) - candidate - frame.size):
             continue
-        seq = struct.unpack_from("<Q", data, place + frame.size)[0]
-        if last < seq < last + (1 << 32) and (found := record_at(data, place, header)) is not None:
-            return place, found[0]
+        seq = struct.unpack_from("<Q", data, candidate + frame.size)[0]
+        if (
+            last_seq < seq < last_seq + (1 << 32)
+            and (decoded := decode_record(data, candidate, header)) is not None
+        ):
+            return candidate, decoded[0]
     return None
 
 
-def run_of(data: bytes, view: memoryview, at: int, found: Scan, last: int) -> int:
-    """The right records from `at` on that follow one another without a hole; where they end. The plain loop
-    over `record_at` does the same: this is it for the millions of a recovery, with nothing called that need
-    not be."""
-    number, whole, check_of = found.header.number, WHOLE.unpack_from, xxhash.xxh3_64_intdigest
-    take, head, end_of_all = found.records.append, FRAME.size, len(data)
-    while at + WHOLE.size <= end_of_all:
-        size, check, seq, ms, kind, keylen = whole(data, at)
-        body = at + head
-        end = body + size
-        if seq != last + 1 or not BODY.size <= size <= MOST_BODY or end > end_of_all:
+def scan_contiguous(data: bytes, view: memoryview, offset: int, scan: SegmentScan, last_seq: int) -> int:
+    """Reads valid records from `offset` on while their sequence numbers are contiguous; returns the end
+    offset. Equivalent to a loop over `decode_record`, inlined because recovery decodes millions of records.
+    """
+    number, unpack_prefix, checksum_of = (
+        scan.header.number,
+        FRAME_AND_BODY.unpack_from,
+        xxhash.xxh3_64_intdigest,
+    )
+    append_record, frame_bytes, data_end = scan.records.append, RECORD_FRAME.size, len(data)
+    while offset + FRAME_AND_BODY.size <= data_end:
+        size, checksum, seq, time_ms, kind, key_length = unpack_prefix(data, offset)
+        body_begin = offset + frame_bytes
+        end = body_begin + size
+        if seq != last_seq + 1 or not RECORD_BODY.size <= size <= MAX_BODY_BYTES or end > data_end:
             break
-        if check_of(view[body:end], number) != check:
+        if checksum_of(view[body_begin:end], number) != checksum:
             break
-        key = at + WHOLE.size
-        cut = key + keylen
-        take((at, Record(seq, ms, kind, data[key:cut], data[cut:end])))
-        at, last = end, seq
-    found.good = at
-    return at
-
-
-def scan(data: bytes) -> Scan | None:
-    """All that a segment's bytes hold; None where even the header can't be read. Raises FormatError."""
+        key_begin = offset + FRAME_AND_BODY.size
+        payload_begin = key_begin + key_length
+        append_record(
+            (offset, Record(seq, time_ms, kind, data[key_begin:payload_begin], data[payload_begin:end]))
+        )
+        offset, last_seq = end, seq
+    scan.valid_end = offset
+    return offset
+
+
+def scan_segment(data: bytes) -> SegmentScan | None:
+    """Reads all records of a segment; None if the header is unreadable. Raises FormatError."""
     header = decode_header(data)
     if header is None:
         return None
-    view, at = memoryview(data), header.size
-    found = Scan(header, at)
-    last = header.first - 1
-    while at < len(data):
-        if header.version == VERSION:
-            at = run_of(data, view, at, found, last)
-            last = found.last()
-            if at == len(data):
+    view, offset = memoryview(data), header.size
+    scan = SegmentScan(header, offset)
+    last_seq = header.first_seq - 1
+    while offset < len(data):
+        if header.version == FORMAT_VERSION:
+            offset = scan_contiguous(data, view, offset, scan, last_seq)
+            last_seq = scan.last_seq()
+            if offset == len(data):
                 break
-        got = record_at(view, at, header)
-        # guards against bytes of an earlier life of the file: what does not rise is no record of this one
-        if got is not None and got[0].seq > last:
-            record, end = got
-            if record.seq != last + 1:
-                found.fences.append(Fence(at, at, last, record.seq))
-            found.records.append((at, record))
-            at, last = end, record.seq
-            found.good = at
+        decoded = decode_record(view, offset, header)
+        # Stale blocks from an earlier use of the file can hold valid records; those have lower sequence
+        # numbers.
+        if decoded is not None and decoded[0].seq > last_seq:
+            record, end = decoded
+            if record.seq != last_seq + 1:
+                scan.damaged.append(DamagedRange(offset, offset, last_seq, record.seq))
+            scan.records.append((offset, record))
+            offset, last_seq = end, record.seq
+            scan.valid_end = offset
             continue
-        again = resync(view, at, header, last)
-        if again is None:
-            frame = FRAME_1 if header.version == 1 else FRAME
-            size = frame.unpack_from(data, at)[0] if at + frame.size <= len(data) else MOST_BODY
-            found.torn, found.whole = len(data) - at, at + frame.size + size <= len(data)
+        resumed = find_next_record(view, offset, header, last_seq)
+        if resumed is None:
+            frame = RECORD_FRAME_V1 if header.version == 1 else RECORD_FRAME
+            size = frame.unpack_from(data, offset)[0] if offset + frame.size <= len(data) else MAX_BODY_BYTES
+            scan.torn_bytes, scan.torn_is_record_sized = (
+                len(data) - offset,
+                offset + frame.size + size <= len(data),
+            )
             break
-        found.fences.append(Fence(at, again[0], last, again[1].seq))
-        last, at = again[1].seq - 1, again[0]
-    found.closed = bool(found.records) and found.records[-1][1].kind == CLOSED and not found.torn
-    return found
-
-
-def snapshot_head(seq: int, parts: Sequence[bytes]) -> bytes:
-    """What a file begins with whose rest is `parts`: a state that stands for all records up to `seq`."""
-    check = xxhash.xxh3_64(seed=seq)
+        scan.damaged.append(DamagedRange(offset, resumed[0], last_seq, resumed[1].seq))
+        last_seq, offset = resumed[1].seq - 1, resumed[0]
+    scan.closed_cleanly = (
+        bool(scan.records) and scan.records[-1][1].kind == CLEAN_CLOSE and not scan.torn_bytes
+    )
+    return scan
+
+
+def encode_snapshot_header(seq: int, parts: Sequence[bytes]) -> bytes:
+    """The header of a snapshot whose payload is the concatenation of `parts` and covers all records up to
+    `seq`."""
+    checksum = xxhash.xxh3_64(seed=seq)
     for part in parts:
-        check.update(part)
-    return SNAP.pack(SNAP_MAGIC, seq, sum(map(len, parts)), check.intdigest())
+        checksum.update(part)
+    return SNAPSHOT_HEADER.pack(SNAPSHOT_MAGIC, seq, sum(map(len, parts)), checksum.intdigest())
 
 
 def decode_snapshot(data: bytes) -> tuple[int, bytes] | None:
-    if len(data) < SNAP.size or data[:8] != SNAP_MAGIC:
+    """The sequence number and payload of a snapshot; None if it is incomplete or its checksum is wrong."""
+    if len(data) < SNAPSHOT_HEADER.size or data[:8] != SNAPSHOT_MAGIC:
         return None
-    _, seq, size, check = SNAP.unpack_from(data)
-    payload = data[SNAP.size :]
-    right = len(payload) == size and xxhash.xxh3_64_intdigest(payload, seq) == check
-    return (seq, payload) if right else None
+    _, seq, size, checksum = SNAPSHOT_HEADER.unpack_from(data)
+    payload = data[SNAPSHOT_HEADER.size :]
+    valid = len(payload) == size and xxhash.xxh3_64_intdigest(payload, seq) == checksum
+    return (seq, payload) if valid else None
 
 
 def segment_name(number: int) -> str:
@@ -243,9 +279,9 @@
     return f"snapshot-{seq:020d}.snap"
 
 
-def numbered(names: list[str], begin: str, end: str) -> Iterator[tuple[int, str]]:
-    """The files of one sort, by their numbers."""
+def numbered_files(names: list[str], prefix: str, suffix: str) -> Iterator[tuple[int, str]]:
+    """The files whose names are `prefix` + number + `suffix`, with their numbers, in order of name."""
     for name in sorted(names):
-        middle = name[len(begin) : -len(end)]
-        if name.startswith(begin) and name.endswith(end) and middle.isdecimal():
-            yield int(middle), name
+        digits = name[len(prefix) : -len(suffix)]
+        if name.startswith(prefix) and name.endswith(suffix) and digits.isdecimal():
+            yield int(digits), name
--- a/harrieryoke/store/files.py
+++ b/harrieryoke/store/files.py
@@ -1,4 +1,4 @@
-"""The one way to the disk. A faulty one stands in for it in the tests."""
+"""File system access of the store, behind protocols so that tests can inject faults."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from typing import Protocol
 
 
-class Handle(Protocol):
-    """A file that is being written. Each call may raise OSError."""
+class WritableFile(Protocol):
+    """A file being written. Every method may raise OSError."""
 
     def write(self, data: bytes) -> int:
-        """How many bytes were taken, which may be fewer than all."""
+        """Returns how many bytes were written, which may be fewer than given."""
         ...
 
     def sync(self) -> None: ...
@@ -19,11 +19,11 @@
     def close(self) -> None: ...
 
 
-class Files(Protocol):
-    """One folder."""
+class Directory(Protocol):
+    """The directory of one store."""
 
     def lock(self) -> None:
-        """Raises BlockingIOError where another process has it."""
+        """Raises BlockingIOError if another process holds the lock."""
         ...
 
     def unlock(self) -> None: ...
@@ -32,26 +32,28 @@
 
     def size(self, name: str) -> int: ...
 
-    def read(self, name: str, begin: int = 0, size: int = -1) -> bytes: ...
+    def read(self, name: str, offset: int = 0, size: int = -1) -> bytes: ...
 
-    def create(self, name: str) -> Handle:
-        """A new file. Raises FileExistsError."""
+    def create(self, name: str) -> WritableFile:
+        """Creates a file. Raises FileExistsError."""
         ...
 
-    def cut(self, name: str, size: int) -> None:
-        """Shortens a file and brings all that is left of it to the disk."""
+    def truncate(self, name: str, size: int) -> None:
+        """Truncates a file to `size` bytes and syncs it."""
         ...
 
     def rename(self, old: str, new: str) -> None: ...
 
     def remove(self, name: str) -> None: ...
 
-    def sync_folder(self) -> None:
-        """Brings the names to the disk: files made, renamed and removed."""
+    def sync_names(self) -> None:
+        """Syncs the directory itself: files created, renamed and removed."""
         ...
 
 
-class RealHandle:
+class DiskFile:
+    """A WritableFile on the local file system."""
+
     def __init__(self, path: str) -> None:
         self.fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o640)
 
@@ -67,7 +69,9 @@
             os.close(fd)
 
 
-class RealFiles:
+class DiskDirectory:
+    """A Directory on the local file system; created if missing."""
+
     def __init__(self, folder: str) -> None:
         self.folder, self.lock_fd = folder, -1
         os.makedirs(folder, mode=0o750, exist_ok=True)
@@ -95,15 +99,15 @@
     def size(self, name: str) -> int:
         return os.stat(self.path(name)).st_size
 
-    def read(self, name: str, begin: int = 0, size: int = -1) -> bytes:
+    def read(self, name: str, offset: int = 0, size: int = -1) -> bytes:
         with open(self.path(name), "rb", buffering=0) as file:
-            file.seek(begin)
+            file.seek(offset)
             return file.read(size)
 
-    def create(self, name: str) -> RealHandle:
-        return RealHandle(self.path(name))
+    def create(self, name: str) -> DiskFile:
+        return DiskFile(self.path(name))
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         fd = os.open(self.path(name), os.O_WRONLY | os.O_CLOEXEC)
         try:
             if os.fstat(fd).st_size != size:
@@ -118,7 +122,7 @@
     def remove(self, name: str) -> None:
         os.remove(self.path(name))
 
-    def sync_folder(self) -> None:
+    def sync_names(self) -> None:
         fd = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(fd)
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -96,7 +96,7 @@
         self.synced.pop(name, None)
         return File(self, name)
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         self.operation()
         del self.volatile[name][size:]
         self.synced[name] = bytes(self.volatile[name])
@@ -110,7 +110,7 @@
         self.operation()
         del self.volatile[name]
 
-    def sync_folder(self) -> None:
+    def sync_names(self) -> None:
         self.operation()
         self.durable = {name: b"" for name in self.volatile}
 
--- a/tests/test_council_disk.py
+++ b/tests/test_council_disk.py
@@ -20,7 +20,7 @@
 from harrieryoke.council.disk import Disk
 from harrieryoke.log import Log
 from harrieryoke.store import actor
-from harrieryoke.store.files import RealFiles
+from harrieryoke.store.files import DiskDirectory
 from harrieryoke.store.settings import StoreError, StoreSettings
 from harrieryoke.store.store import Store
 
@@ -87,7 +87,7 @@
 
     def __init__(self, folder: Folder | None, told: StoreSettings = TOLD, name: str = "a") -> None:
         self.disk = Disk(told, name, Quiet(), folder)
-        self.disk.keeper.store.commit.retry_ms = 0.0
+        self.disk.keeper.store.commit.min_retry_ms = 0.0
         self.pool: Any = self.disk.keeper.pool
         self.told, self.numbered, self.failed = 0, 0, list[str]()
         self.disk.done, self.disk.failed = self.done, self.failed.append
@@ -406,7 +406,7 @@
     assert life.disk.kept.log.last() == 300 and life.disk.kept.vote == ME
     with pytest.raises(StoreError, match="another process"):
         real(tmp_path / "a")
-    ledger = Store(RealFiles(str(tmp_path / "ledger")), TOLD, 0.0)
+    ledger = Store(DiskDirectory(str(tmp_path / "ledger")), TOLD, 0.0)
     ledger.append(0.0, 1, b"", b"x")
     ledger.close(0.0)
     with pytest.raises(StoreError, match="record 1 of kind 1"):
@@ -435,7 +435,7 @@
 
 
 def test_a_snapshot_that_cannot_be_read_lets_no_segment_go(tmp_path: Path) -> None:
-    store = Store(RealFiles(str(tmp_path)), TOLD, 0.0)
+    store = Store(DiskDirectory(str(tmp_path)), TOLD, 0.0)
     for _ in range(100):
         store.append(0.0, 1, b"", b"x" * 100)
     store.flush(0.0)
@@ -443,8 +443,8 @@
     store.take_snapshot(100, b"another")
     store.close(0.0)
     (tmp_path / "snapshot-00000000000000000100.snap").write_bytes(b"damaged")
-    again = Store(RealFiles(str(tmp_path)), TOLD, 0.0)
+    again = Store(DiskDirectory(str(tmp_path)), TOLD, 0.0)
     assert again.snapshot == (50, b"one state")
     again.compact(1000)
     again.close(0.0)
-    assert not Store(RealFiles(str(tmp_path)), TOLD, 0.0).recovery.damaged
+    assert not Store(DiskDirectory(str(tmp_path)), TOLD, 0.0).recovery.damaged
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -215,7 +215,7 @@
     again = Rig(tmp_path, None, period_s=1, grace_s=0)
     after = again.part.actor.ask_status(1000)
     assert after["periods"] == before["periods"] and after["totals"] == before["totals"]
-    assert not after["damaged"] and again.part.actor.keeper.store.recovery.snapshot > 0  # type: ignore[union-attr]
+    assert not after["damaged"] and again.part.actor.keeper.store.recovery.snapshot_seq > 0  # type: ignore[union-attr]
     again.part.stop()
 
 
@@ -332,7 +332,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     disk = Disk(1)
-    monkeypatch.setattr("harrieryoke.store.actor.RealFiles", lambda folder: disk)
+    monkeypatch.setattr("harrieryoke.store.actor.DiskDirectory", lambda folder: disk)
     rig = Rig(tmp_path, None, store={"queue_mb": 0.03}, hold_ms=1000)
     rig.ends(5)
     until(lambda: all(caller.answers for caller in rig.callers))
--- a/tests/test_ledger_crash.py
+++ b/tests/test_ledger_crash.py
@@ -69,7 +69,7 @@
         elif step == "export":
             self.export()
         elif step == "snapshot" and self.flush():
-            self.store.take_snapshot(self.store.commit.durable, self.ledger.dump())
+            self.store.take_snapshot(self.store.commit.durable_seq, self.ledger.dump())
         elif step == "compact" and self.flush():
             self.store.compact(self.ledger.needed(self.store.commit.next_seq))
         elif step == "flush":
@@ -80,7 +80,7 @@
 
     def export(self) -> None:
         """As the daemon does it: cut, the cut durable, send, and only then the end."""
-        durable = self.store.commit.durable
+        durable = self.store.commit.durable_seq
         while run := self.ledger.due(self.now, durable, flush=True):
             batch = self.ledger.cut(run, str(run[0].entry.id))
             cut = Cut(*batch.id, batch.first, batch.last, batch.begin, batch.end, batch.digest)
@@ -90,7 +90,7 @@
         while (chosen := self.ledger.export.next_to_send(self.now)) is not None:
             found = [
                 decode(r.payload)
-                for r in self.store.from_seq(chosen.begin)
+                for r in self.store.records_from_seq(chosen.begin)
                 if r.seq <= chosen.end and r.kind in ENTRIES
             ]
             assert [e.id.number for e in found] == list(range(chosen.first, chosen.last + 1))
@@ -150,7 +150,7 @@
     disk.fail = {}
     if life is not None:
         life.flush()
-        life.store.leave()
+        life.store.close_segment()
     disk.unlock()
     epoch += 1
     last = begin()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -13,11 +13,11 @@
 from hypothesis import strategies as st
 
 from harrieryoke.store.decide import segment as fmt
-from harrieryoke.store.decide.keep import Held, removable
+from harrieryoke.store.decide.keep import SealedSegment, plan_compaction
 from harrieryoke.store.decide.segment import Record
-from harrieryoke.store.files import RealFiles
+from harrieryoke.store.files import DiskDirectory
 from harrieryoke.store.settings import StoreError, StoreSettings
-from harrieryoke.store.store import Reader, Store
+from harrieryoke.store.store import Store, StoreReader
 
 from .faulty import Crash, Disk, Killed
 
@@ -47,7 +47,7 @@
         if self.store is None:
             self.state = {}
             store = Store(self.disk, self.told, self.now, self.visit, self.restore)
-            last = store.recovery.last
+            last = store.recovery.last_seq
             assert not store.recovery.damaged, store.recovery
             assert last >= self.durable
             # nothing durable is missing, nothing else has taken its place, and there is no hole
@@ -80,17 +80,17 @@
                 self.all[seq] = payload
         elif step == "turn":
             for _ in range(value):
-                store.turn(self.now)
+                store.advance(self.now)
         elif step == "snapshot":
-            store.take_snapshot(store.commit.durable, self.dump(store.commit.durable))
+            store.take_snapshot(store.commit.durable_seq, self.dump(store.commit.durable_seq))
         elif step == "compact":
-            store.compact(store.commit.durable)
+            store.compact(store.commit.durable_seq)
         else:
             store.close(self.now)
-            self.durable = max(self.durable, store.commit.durable)
+            self.durable = max(self.durable, store.commit.durable_seq)
             self.store = None
             return
-        self.durable = max(self.durable, store.commit.durable)
+        self.durable = max(self.durable, store.commit.durable_seq)
 
 
 WRITES = [("append", 200), ("turn", 4)] * 16
@@ -122,7 +122,7 @@
             model.play(step, value)
         except (Crash, Killed) as ended:
             if model.store is not None:
-                model.durable = max(model.durable, model.store.commit.durable)
+                model.durable = max(model.durable, model.store.commit.durable_seq)
             if isinstance(ended, Crash):
                 disk.crash()
             disk.unlock()
@@ -137,7 +137,7 @@
 
 
 def filled(folder: Path, count: int = 200, told: StoreSettings | None = None) -> Store:
-    store = Store(RealFiles(str(folder)), told or StoreSettings(str(folder), segment_mb=0.01), 0.0)
+    store = Store(DiskDirectory(str(folder)), told or StoreSettings(str(folder), segment_mb=0.01), 0.0)
     for n in range(count):
         store.append(1000.0 + n, 1, b"key%d" % (n % 10), b"payload of %d" % n)
     assert store.flush(0.0)
@@ -152,7 +152,9 @@
     """In a sealed segment and in the last one; each byte of a small folder."""
     store = filled(tmp_path, 40, StoreSettings("x", segment_mb=0.001))
     store.close(0.0)
-    whole = {record.seq: record.payload for record in Reader(RealFiles(str(tmp_path))).from_seq(1)}
+    whole = {
+        record.seq: record.payload for record in StoreReader(DiskDirectory(str(tmp_path))).records_from_seq(1)
+    }
     assert len(whole) == 40
     for path in sorted(tmp_path.glob("segment-*.log")):
         data = path.read_bytes()
@@ -160,17 +162,20 @@
             path.write_bytes(data[:at] + bytes([data[at] ^ 0x10]) + data[at + 1 :])
             seen: dict[int, bytes] = {}
             try:
-                reader = Reader(RealFiles(str(tmp_path)), collect(seen))
+                reader = StoreReader(DiskDirectory(str(tmp_path)), collect(seen))
             except fmt.FormatError:
                 continue
             told = reader.recovery
             assert all(whole[seq] == payload for seq, payload in seen.items())
             missing = whole.keys() - seen.keys()
-            assert not missing or told.damaged or told.suspect or told.cut, (path.name, at)
-            counted = sum(f.lost() for _, f in told.damaged if f.before)
-            if not told.cut and all(f.before for _, f in told.damaged):
+            assert not missing or told.damaged or told.tail_is_record_sized or told.truncated_bytes, (
+                path.name,
+                at,
+            )
+            counted = sum(f.lost_count() for _, f in told.damaged if f.before)
+            if not told.truncated_bytes and all(f.before for _, f in told.damaged):
                 assert counted >= len(missing)
-            assert not (told.clean and missing and not told.damaged)
+            assert not (told.closed_cleanly and missing and not told.damaged)
         path.write_bytes(data)
 
 
@@ -178,60 +183,66 @@
     store = filled(tmp_path)
     with pytest.raises(StoreError, match="another process"):
         filled(tmp_path)
-    assert Reader(RealFiles(str(tmp_path))).recovery.records == 200  # reading is free
+    assert StoreReader(DiskDirectory(str(tmp_path))).recovery.records == 200  # reading is free
     store.close(0.0)
     filled(tmp_path, 1).close(0.0)
 
 
 def test_seeks_by_number_time_and_key_find_what_a_scan_finds(tmp_path: Path) -> None:
     store = filled(tmp_path, 1000)
-    everything = list(store.from_seq(1))
+    everything = list(store.records_from_seq(1))
     assert len(everything) == 1000 and len(store.segments) >= 3
     for seq in (1, 2, 63, 64, 65, 500, 999, 1000):
-        assert list(store.from_seq(seq)) == everything[seq - 1 :]
+        assert list(store.records_from_seq(seq)) == everything[seq - 1 :]
     for at in (0, 1000, 1001, 1500, 1999, 2000, 5000):
-        assert list(store.from_time(at)) == [r for r in everything if r.at >= at]
-    assert list(store.of_key(b"key7")) == [r for r in everything if r.key == b"key7"]
-    assert not list(store.of_key(b"nobody"))
+        assert list(store.records_from_time(at)) == [r for r in everything if r.time_ms >= at]
+    assert list(store.records_with_key(b"key7")) == [r for r in everything if r.key == b"key7"]
+    assert not list(store.records_with_key(b"nobody"))
     store.close(0.0)
-    assert [r.seq for r in Reader(RealFiles(str(tmp_path))).from_seq(990)] == list(range(990, 1001))
+    assert [r.seq for r in StoreReader(DiskDirectory(str(tmp_path))).records_from_seq(990)] == list(
+        range(990, 1001)
+    )
 
 
 def test_clock_steps_hide_no_record_from_a_seek_by_time(tmp_path: Path) -> None:
-    store = Store(RealFiles(str(tmp_path)), TOLD, 0.0)
+    store = Store(DiskDirectory(str(tmp_path)), TOLD, 0.0)
     times = [1000 + n if n % 130 < 60 else 5000 - n for n in range(400)]
     for at in times:
         store.append(float(at), 1, b"", b"x")
     store.flush(0.0)
     for at in (0, 1100, 4700, 4990, 6000):
-        assert len(list(store.from_time(at))) == sum(t >= at for t in times)
+        assert len(list(store.records_from_time(at))) == sum(t >= at for t in times)
     store.close(0.0)
 
 
 def test_a_folder_of_an_older_version_is_read_and_gone_on_with(tmp_path: Path) -> None:
-    data = fmt.HEADER_1.pack(fmt.MAGIC, 1, 0, 0, 1)
+    data = fmt.SEGMENT_HEADER_V1.pack(fmt.SEGMENT_MAGIC, 1, 0, 0, 1)
     for n in range(1, 6):
-        body = fmt.BODY_1.pack(n, 1000 + n, 1) + b"old%d" % n
+        body = fmt.RECORD_BODY_V1.pack(n, 1000 + n, 1) + b"old%d" % n
         data += struct.pack("<II", len(body), zlib.crc32(body)) + body
     (tmp_path / fmt.segment_name(1)).write_bytes(data)
-    store = Store(RealFiles(str(tmp_path)), TOLD, 0.0)
+    store = Store(DiskDirectory(str(tmp_path)), TOLD, 0.0)
     assert store.recovery.records == 5
     store.append(2000.0, 1, b"k", b"new")
     store.close(0.0)
-    assert [r.payload for r in Reader(RealFiles(str(tmp_path))).from_seq(4)] == [b"old4", b"old5", b"new"]
+    assert [r.payload for r in StoreReader(DiskDirectory(str(tmp_path))).records_from_seq(4)] == [
+        b"old4",
+        b"old5",
+        b"new",
+    ]
 
 
 def test_a_folder_of_a_later_version_is_refused_and_left_alone(tmp_path: Path) -> None:
     filled(tmp_path, 3).close(0.0)
     path = tmp_path / fmt.segment_name(1)
-    head = bytearray(path.read_bytes()[: fmt.HEADER.size - 8])
+    head = bytearray(path.read_bytes()[: fmt.SEGMENT_HEADER.size - 8])
     head[8] = 9
     import xxhash
 
     path.write_bytes(bytes(head) + struct.pack("<Q", xxhash.xxh3_64_intdigest(bytes(head))) + b"rest")
     before = path.read_bytes()
     with pytest.raises(StoreError, match="version 9"):
-        Store(RealFiles(str(tmp_path)), TOLD, 0.0)
+        Store(DiskDirectory(str(tmp_path)), TOLD, 0.0)
     assert path.read_bytes() == before
 
 
@@ -243,13 +254,13 @@
     disk.failing_sync, taken = True, 0
     for n in range(1000):
         taken += store.append(1.0, 1, b"", b"x" * 50) is not None
-        store.turn(float(n))
-    assert store.commit.failing and store.commit.durable == 1
-    assert store.refused == 1000 - taken > 0 and store.commit.held <= 0.02 * 2**20
+        store.advance(float(n))
+    assert store.commit.failure and store.commit.durable_seq == 1
+    assert store.refused_count == 1000 - taken > 0 and store.commit.pending_bytes <= 0.02 * 2**20
     disk.failing_sync = False
-    assert store.flush(1e9) and store.commit.durable == 1 + taken and not store.commit.failing
+    assert store.flush(1e9) and store.commit.durable_seq == 1 + taken and not store.commit.failure
     disk.crash()
-    assert Reader(disk).recovery.records == 1 + taken
+    assert StoreReader(disk).recovery.records == 1 + taken
 
 
 def test_after_a_failed_sync_all_that_is_not_durable_goes_to_a_fresh_segment() -> None:
@@ -257,21 +268,21 @@
     store = Store(disk, StoreSettings("x"), 0.0)
     for n in range(5):
         store.append(0.0, 1, b"", b"%d" % n)
-    store.turn(0.0)  # the segment
-    store.turn(0.0)  # the write
+    store.advance(0.0)  # the segment
+    store.advance(0.0)  # the write
     disk.fail = {disk.operations + 1: errno.EIO}
-    assert not store.turn(0.0) and "EIO" in store.commit.failing and store.commit.durable == 0
-    assert store.flush(1e6) and store.number == 2
+    assert not store.advance(0.0) and "EIO" in store.commit.failure and store.commit.durable_seq == 0
+    assert store.flush(1e6) and store.active_segment == 2
     disk.crash()
-    reader = Reader(disk)
-    assert [r.payload for r in reader.from_seq(1)] == [b"0", b"1", b"2", b"3", b"4"]
+    reader = StoreReader(disk)
+    assert [r.payload for r in reader.records_from_seq(1)] == [b"0", b"1", b"2", b"3", b"4"]
     assert not reader.recovery.damaged
 
 
 def test_what_nobody_needs_goes_and_beyond_the_budget_the_loss_is_told() -> None:
-    sealed = [Held(n, 10 * n + 1, 10 * n + 10, 100) for n in range(5)]
-    assert removable(sealed, [], 1000, 0, 0).segments == ()  # without a snapshot nothing may go
-    assert removable(sealed, [30], 25, 10_000, 0).segments == (0, 1)
-    told = removable(sealed, [50], 15, 250, 0)
-    assert told.segments == (0, 1, 2) and told.lost == (15, 30)
-    assert removable(sealed, [10, 20, 50], 1, 10_000, 0).snapshots == (10,)
+    sealed = [SealedSegment(n, 10 * n + 1, 10 * n + 10, 100) for n in range(5)]
+    assert plan_compaction(sealed, [], 1000, 0, 0).segments == ()  # without a snapshot nothing may go
+    assert plan_compaction(sealed, [30], 25, 10_000, 0).segments == (0, 1)
+    told = plan_compaction(sealed, [50], 15, 250, 0)
+    assert told.segments == (0, 1, 2) and told.lost_seqs == (15, 30)
+    assert plan_compaction(sealed, [10, 20, 50], 1, 10_000, 0).snapshots == (10,)
