--- a/harrieryoke/background/__init__.py
+++ b/harrieryoke/background/__init__.py
@@ -1,6 +1,6 @@
-"""Background work: snapshot, compaction, export, reconciliation. Serving always goes first.
+"""Background work: snapshots, compaction, export and reconciliation. Serving calls always takes precedence.
 
-`decide/` says which job runs its next slice, within budgets of time and bytes a second, by priority, age and
-deadline; `runner.py` is the greenlet that runs it. A job is cut into slices; one that fails waits longer each
-time; what a job needs to go on after a crash is its own progress, which it keeps where it keeps its work.
+`decide/` picks the job that runs its next slice, by priority, age and deadline, within budgets of loop time
+and bytes per second; `runner.py` is the greenlet that runs the slices. A job that fails is retried with
+exponential back-off. A job that must resume after a crash stores its own progress with its data.
 """
--- a/harrieryoke/background/decide/__init__.py
+++ b/harrieryoke/background/decide/__init__.py
@@ -1,1 +1,1 @@
-"""Which background job goes next. No I/O, no clock: times come in as milliseconds."""
+"""Scheduling of background jobs. No I/O and no clock: callers pass times in milliseconds."""
--- a/harrieryoke/background/runner.py
+++ b/harrieryoke/background/runner.py
@@ -10,7 +10,7 @@
 from ..core.actor import Actor
 from ..core.clock import now_ms
 from ..log import Log
-from .decide.schedule import Ended, Job, Schedule
+from .decide.schedule import Job, JobScheduler, SliceResult
 from .settings import BackgroundSettings
 
 
@@ -33,7 +33,7 @@
 
     def __init__(self, told: BackgroundSettings, log: Log, seed: int, busy: Callable[[], bool]) -> None:
         super().__init__("background", 256, log)
-        self.schedule = Schedule(told.time_share, told.mb_per_s * 2**20, seed)
+        self.schedule = JobScheduler(told.time_share, told.mb_per_s * 2**20, seed)
         self.busy, self.slices = busy, dict[str, Callable[[], Slice]]()
 
     def add(self, job: Job, run: Callable[[], Slice]) -> None:
@@ -46,10 +46,10 @@
 
     def run(self) -> None:
         while not self.over:
-            at = self.schedule.wake_at(now_ms(), self.busy())
+            at = self.schedule.next_wake(now_ms(), self.busy())
             self.wait(1000.0 if at is None else min(1000.0, at - now_ms()))
             self.work()
-            name = self.schedule.pick(now_ms(), self.busy())
+            name = self.schedule.start_next(now_ms(), self.busy())
             if name is not None:
                 self.one(name)
 
@@ -57,15 +57,15 @@
         began, cpu, did = now_ms(), time.thread_time(), Slice()
         try:
             did = self.slices[name]()
-            how = Ended.MORE if did.more else Ended.DONE
+            how = SliceResult.MORE if did.more else SliceResult.DONE
         except Exception as error:
-            how = Ended.FAILED
+            how = SliceResult.FAILED
             self.log("job-failed", f"{name}: {type(error).__name__}: {error}", job=name)
         # what it waited for in a thread or on a socket took none of the loop's time; a part of its bytes did
         took = min(max(0.0, now_ms() - began), 1000 * (time.thread_time() - cpu))
-        self.schedule.ended(now_ms(), how, took, did.size)
+        self.schedule.finish_slice(now_ms(), how, took, did.size)
 
     def receive(self, message: Any) -> None:
         match message:
             case Want(name):
-                self.schedule.want(name, now_ms())
+                self.schedule.request(name, now_ms())
--- a/harrieryoke/background/settings.py
+++ b/harrieryoke/background/settings.py
@@ -1,4 +1,4 @@
-"""The operator's [background] table."""
+"""The [background] table of the operator's configuration."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class BackgroundError(ValueError):
-    """A key that can't be used; the message begins with its name."""
+    """An invalid [background] key; the message begins with the key."""
 
 
 class BackgroundSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """Bounds of all background work together."""
+    """Limits on all background work together."""
 
-    time_share: float = 0.1  # of the loop's time in each second
+    time_share: float = 0.1  # share of the event loop's time
     mb_per_s: float = 16.0
 
     def check(self) -> None:
         if not 0.001 <= self.time_share <= 0.9:
-            raise BackgroundError("background.time_share: 0.001 to 0.9 is wanted")
+            raise BackgroundError("background.time_share: must be between 0.001 and 0.9")
         if not 0.01 <= self.mb_per_s <= 10_000:
-            raise BackgroundError("background.mb_per_s: 0.01 to 10000 is wanted")
+            raise BackgroundError("background.mb_per_s: must be between 0.01 and 10000")
--- a/harrieryoke/lab/collector.py
+++ b/harrieryoke/lab/collector.py
@@ -12,7 +12,7 @@
 from gevent.server import StreamServer
 
 from ..council.decide.hold import Fence
-from ..ledger.decide.reconcile import Session
+from ..ledger.decide.reconcile import ReconcileSession
 from ..ledger.wire import codec
 from ..ledger.wire.codec import pb
 from ..wire.frames import Decoder, WireError, encode
@@ -73,7 +73,7 @@
 
     def serve(self, sock: Any, peer: Any) -> None:
         self.links.add(sock)
-        decoder, instance = Decoder(pb.Frame, codec.MOST_FRAME), ""
+        decoder, instance = Decoder(pb.Frame, codec.MAX_FRAME_BYTES), ""
         try:
             while data := sock.recv(65536):
                 for frame in decoder.feed(data):
@@ -103,7 +103,7 @@
                 while (instance, epoch, upto[epoch] + 1) in self.kept:
                     upto[epoch] += 1
         held = [pb.Epoch(epoch=epoch, batches=number) for epoch, number in upto.items()]
-        return pb.Welcome(version=codec.VERSION, held=held)
+        return pb.Welcome(version=codec.PROTOCOL_VERSION, held=held)
 
     def fault(self) -> str:
         draw = self.rng.random()
@@ -125,7 +125,7 @@
             gevent.sleep(self.rng.uniform(0, 0.3))
         if fault in ("refuse", "never") and key not in self.kept:
             answer.refused, answer.for_good = f"a fault: {fault}", fault == "never"
-        elif codec.digest(batch.entries) != batch.digest:
+        elif codec.batch_digest(batch.entries) != batch.digest:
             answer.refused, answer.for_good = "the digest is not that of the entries", True
             self.counts["wrong"] += 1
         else:
@@ -159,19 +159,19 @@
         if newer := self.newer(instance, asked.period, asked.token):
             return pb.Sketch(period=asked.period, cells=asked.cells, token=asked.token, newer=newer)
         ids = {
-            codec.wire_id(data)
+            codec.entry_wire_id(data)
             for data in self.raw(instance)
             if pb.Entry.FromString(data).period == asked.period
         }
-        session = Session(ids, asked.seed)
-        data = session.table(asked.cells) if asked.cells else session.strata()
+        session = ReconcileSession(ids, asked.seed)
+        data = session.encode_table(asked.cells) if asked.cells else session.encode_strata()
         return pb.Sketch(period=asked.period, cells=asked.cells, data=data, token=asked.token)
 
     def repair(self, instance: str, repair: pb.Repair) -> None:
         if self.newer(instance, repair.period, repair.token):
             return
-        had = {codec.wire_id(data) for data in self.raw(instance)}
-        new = [data for data in repair.entries if codec.wire_id(data) not in had]
+        had = {codec.entry_wire_id(data) for data in self.raw(instance)}
+        new = [data for data in repair.entries if codec.entry_wire_id(data) not in had]
         self.counts["repaired"] += len(new)
         self.repaired.setdefault(instance, []).extend(new)
 
--- a/harrieryoke/lab/storage.py
+++ b/harrieryoke/lab/storage.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..ledger.decide.reconcile import Session
+from ..ledger.decide.reconcile import ReconcileSession
 from ..store.files import DiskDirectory
 from ..store.settings import StoreSettings
 from ..store.store import Store, StoreReader
@@ -60,20 +60,20 @@
     rng = random.Random(seed)
     common = {rng.getrandbits(64) for _ in range(size)}
     theirs = set(rng.sample(sorted(common), size - differ))
-    one, other = Session(common, seed), Session(theirs, seed)
+    one, other = ReconcileSession(common, seed), ReconcileSession(theirs, seed)
     began = time.perf_counter()
-    cells = one.wanted(other.strata())
-    found = one.settle(other.table(cells))
+    cells = one.cells_needed(other.encode_strata())
+    found = one.resolve(other.encode_table(cells))
     while found is None and one.cells:
-        found = one.settle(other.table(one.cells))
+        found = one.resolve(other.encode_table(one.cells))
     took = time.perf_counter() - began
-    assert found is not None and found.ours == common - theirs
+    assert found is not None and found.only_here == common - theirs
     return {
         "case": f"reconcile-{size}-{differ}",
-        "reconcile_bytes": one.sent,
+        "reconcile_bytes": one.transferred_bytes,
         "bytes_of_all_ids": 8 * len(theirs),
         "bytes_of_all_entries": ENTRY_BYTES * len(theirs),
-        "ratio_to_ids": round(one.sent / (8 * len(theirs)), 4),
+        "ratio_to_ids": round(one.transferred_bytes / (8 * len(theirs)), 4),
         "seconds": round(took, 2),
     }
 
--- a/harrieryoke/ledger/actor.py
+++ b/harrieryoke/ledger/actor.py
@@ -24,13 +24,25 @@
 from ..store.decide.segment import Record
 from ..store.settings import StoreError, StoreSettings
 from ..store.store import Store
-from .decide.book import Book, BookError, Use, billed
-from .decide.entry import Amounts, Entry, Id, decode
+from .decide.book import Book, BookError, CallUsage, bill_by_tenant
+from .decide.entry import Amounts, Entry, EntryId, decode_entry
 from .decide.export import Batch, BatchId, ExportState
-from .decide.ledger import CUT, DONE, ENTRIES, EPOCH, POINTER, SEAL, Began, Cut, Done, Ledger, Sealed
+from .decide.ledger import (
+    BATCH_CREATED,
+    BATCH_FINISHED,
+    CORRECTION_ROOT,
+    ENTRY_KINDS,
+    EPOCH_STARTED,
+    PERIOD_SEALED,
+    BatchCreated,
+    BatchFinished,
+    EpochStarted,
+    LedgerState,
+    PeriodSealed,
+)
 from .decide.periods import PeriodError, Periods
 from .settings import LedgerError, LedgerSettings
-from .wire.codec import digest, entry_bytes, wire_id
+from .wire.codec import batch_digest, encode_entry, entry_wire_id
 
 T = TypeVar("T")
 NO_TENANT = "(none)"
@@ -103,9 +115,12 @@
         book = Book(instance, self.epoch, periods, int(told.key_window_s * 1000))
         collector = told.collector
         export = ExportState() if collector is None else ExportState(collector.window, collector.answer_ms)
-        self.ledger = Ledger(book, export)
+        self.ledger = LedgerState(book, export)
         if collector is not None:
-            self.ledger.batch, self.ledger.batch_ms = collector.batch, collector.batch_ms
+            self.ledger.max_batch_entries, self.ledger.max_batch_delay_ms = (
+                collector.batch,
+                collector.batch_ms,
+            )
         self.shares: dict[int, Bucket] = {}
         self.counts: Counter[str] = Counter()
         # with another policy nothing is durable soon, by the operator's choice
@@ -130,9 +145,9 @@
                 log("ledger-damaged", words)
         self.sealed: Callable[[int], object] = lambda period: None  # a period has been closed
         self.wanted: Callable[[], object] = lambda: None  # tells the export that there may be something to do
-        began = Began(instance, self.epoch, began_at)
+        began = EpochStarted(instance, self.epoch, began_at)
         self.ledger.epochs[self.epoch] = began
-        self.keep(EPOCH, b"", PACK(began))
+        self.keep(EPOCH_STARTED, b"", PACK(began))
 
     def replay(self, record: Record) -> None:
         self.ledger.replay(record.kind, record.seq, record.payload, now_ms())
@@ -214,8 +229,8 @@
         if self.missed and self.room():
             count, self.missed = self.missed, 0
             said = f"{count} entries found no room"
-            self.write(self.ledger.book.gap(now, self.missed_first, self.missed_last, said))
-        for number in self.ledger.book.periods.due(now) if self.room() else ():
+            self.write(self.ledger.book.add_gap(now, self.missed_first, self.missed_last, said))
+        for number in self.ledger.book.periods.due_for_sealing(now) if self.room() else ():
             self.seal(number)
 
     def seal(self, number: int) -> str:
@@ -224,11 +239,13 @@
             raise PeriodError("the store takes nothing just now")
         now = int(wall_ms())
         period = self.ledger.book.seal(number, now)
-        self.keep(SEAL, b"", PACK(Sealed(number, period.sealed, now)))
-        gaps = f", {period.gaps} gaps in it" if period.gaps else ""
+        self.keep(PERIOD_SEALED, b"", PACK(PeriodSealed(number, period.seal_digest, now)))
+        gaps = f", {period.gap_count} gaps in it" if period.gap_count else ""
         self.sealed(number)
-        self.log("period-sealed", f"{number}: {period.sealed}{gaps}", period=number, gaps=period.gaps)
-        return period.sealed
+        self.log(
+            "period-sealed", f"{number}: {period.seal_digest}{gaps}", period=number, gaps=period.gap_count
+        )
+        return period.seal_digest
 
     def receive(self, message: Any) -> None:
         match message:
@@ -265,7 +282,7 @@
             share = self.shares.setdefault(call.tenant, Bucket())
             over = rate > 0 and not share.take(now, rate / 1000, max(1.0, rate))
         took = max(0, int(now - call.taken)) if call.taken else 0
-        use = Use(
+        use = CallUsage(
             int(wall_ms()),
             tenant,
             kind.name,
@@ -280,18 +297,18 @@
             call.rid,
         )
         self.counts[how] += 1
-        return self.write(self.ledger.book.use(use))
+        return self.write(self.ledger.book.add_usage(use))
 
-    def write(self, entry: Entry, root: Id | None = None) -> int:
+    def write(self, entry: Entry, root: EntryId | None = None) -> int:
         """Keeps an entry that the book has made. A correction stands under the key of what it corrects in the
         end, and its own key points there."""
-        seq = self.keep(entry.kind, (root or entry.id).key(), entry.encode())
+        seq = self.keep(entry.kind, (root or entry.id).store_key(), entry.encode())
         if root is not None:
-            self.keep(POINTER, entry.id.key(), PACK(root))
+            self.keep(CORRECTION_ROOT, entry.id.store_key(), PACK(root))
         if self.keeper is None:
             self.memory[seq] = entry
-        self.ledger.entered(seq, entry, now_ms())
-        if len(self.ledger.fresh) >= self.ledger.batch:
+        self.ledger.add_unbatched(seq, entry, now_ms())
+        if len(self.ledger.unbatched) >= self.ledger.max_batch_entries:
             self.wanted()
         return seq
 
@@ -326,10 +343,12 @@
         """The batch that goes to the collector now; it counts as out from here on."""
         now, durable = now_ms(), self.durable()
         # guards against a batch whose cut could not be written down: it would be cut otherwise after a crash
-        while self.room() and (run := self.ledger.due(now, durable, flush)):
-            batch = self.ledger.cut(run, digest(entry_bytes(f.entry) for f in run))
-            cut = Cut(*batch.id, batch.first, batch.last, batch.begin, batch.end, batch.digest)
-            self.cut_seqs[batch.id] = self.keep(CUT, b"", PACK(cut))
+        while self.room() and (run := self.ledger.next_batch_entries(now, durable, flush)):
+            batch = self.ledger.create_batch(run, batch_digest(encode_entry(f.entry) for f in run))
+            cut = BatchCreated(
+                *batch.id, batch.first_entry, batch.last_entry, batch.first_seq, batch.last_seq, batch.digest
+            )
+            self.cut_seqs[batch.id] = self.keep(BATCH_CREATED, b"", PACK(cut))
         waiting = self.ledger.export.waiting
         # guards against a crash after the sending: what was sent under a number must be cut the same again
         if not waiting or self.cut_seqs.get(waiting[0], 0) > self.durable():
@@ -341,17 +360,19 @@
 
     def all_sent(self) -> bool:
         """Whether the collector has acknowledged all batches that were cut."""
-        return not (self.ledger.export.waiting or self.ledger.export.out)
+        return not (self.ledger.export.waiting or self.ledger.export.in_flight)
 
     def entries_of(self, batch: Batch) -> list[Entry]:
         """Read beside the loop. Raises LookupError where not all are there."""
         if self.keeper is None:
-            found = [self.memory[seq] for seq in range(batch.begin, batch.end + 1) if seq in self.memory]
+            found = [
+                self.memory[seq] for seq in range(batch.first_seq, batch.last_seq + 1) if seq in self.memory
+            ]
         else:
             found = self.keeper.ask(lambda store: read_entries(store, batch))
         numbers = [e.id.number for e in found]
-        if numbers != list(range(batch.first, batch.last + 1)):
-            wanted = batch.last - batch.first + 1
+        if numbers != list(range(batch.first_entry, batch.last_entry + 1)):
+            wanted = batch.last_entry - batch.first_entry + 1
             raise LookupError(f"batch {batch.id}: {len(found)} of {wanted} entries are there")
         return found
 
@@ -360,25 +381,25 @@
         loop."""
         if self.keeper is not None:
             return self.keeper.ask(lambda store: period_entries(store, period))
-        made = (entry_bytes(entry) for entry in self.memory.values() if entry.period == period)
-        return {wire_id(data): data for data in made}
+        made = (encode_entry(entry) for entry in self.memory.values() if entry.period == period)
+        return {entry_wire_id(data): data for data in made}
 
     def batch_ended(self, id: BatchId, reason: str = "") -> None:
         """It is acknowledged, or set aside with a reason."""
         if reason:
             self.log("batch-aside", f"{id.epoch:x}/{id.number}: {reason}", batch=id.number)
         if self.room():
-            self.keep(DONE, b"", PACK(Done(id.epoch, id.number, reason)))
+            self.keep(BATCH_FINISHED, b"", PACK(BatchFinished(id.epoch, id.number, reason)))
         if self.keeper is None:
-            needed = self.ledger.needed(self.serial + 1)
+            needed = self.ledger.first_needed_seq(self.serial + 1)
             self.memory = {seq: entry for seq, entry in self.memory.items() if seq >= needed}
 
     # --- background work ---
 
     def add_jobs(self, runner: Runner) -> None:
         if self.keeper is not None:
-            runner.add(Job("snapshot", 4, every_ms=5000.0), self.snapshot_slice)
-            runner.add(Job("compact", 2, every_ms=20_000.0), self.compact_slice)
+            runner.add(Job("snapshot", 4, period_ms=5000.0), self.snapshot_slice)
+            runner.add(Job("compact", 2, period_ms=20_000.0), self.compact_slice)
 
     def snapshot_slice(self) -> Slice:
         """A snapshot once enough records came since the last; then the older segments may go."""
@@ -396,7 +417,7 @@
     def compact_slice(self) -> Slice:
         keeper = self.keeper
         assert keeper is not None
-        needed = self.ask(lambda: self.ledger.needed(keeper.next_seq))
+        needed = self.ask(lambda: self.ledger.first_needed_seq(keeper.next_seq))
         removal = keeper.ask(lambda store: store.compact(needed))
         if removal.lost_seqs is not None:
             first, last = removal.lost_seqs
@@ -405,11 +426,11 @@
 
     def lost(self, first: int, last: int) -> None:
         """The disk's budget was spent while the collector was away: the oldest went, and totals say so."""
-        now, batches = int(wall_ms()), self.ledger.lose(first, last)
+        now, batches = int(wall_ms()), self.ledger.discard_lost_records(first, last)
         words = f"records {first} to {last} went for want of room, {len(batches)} batches not exported"
         self.log("ledger-lost", words)
         if batches and self.room():
-            self.write(self.ledger.book.gap(now, first, last, words))
+            self.write(self.ledger.book.add_gap(now, first, last, words))
         elif batches:
             self.miss()  # the gap is told as soon as there is room
 
@@ -419,7 +440,7 @@
         """Raises PeriodError."""
         return self.ask(lambda: self.seal(number))
 
-    def correct(self, id: Id, to: Amounts, reason: str) -> Entry:
+    def correct(self, id: EntryId, to: Amounts, reason: str) -> Entry:
         """Raises BookError for what is not there or can't be corrected."""
         keeper = self.keeper
         if keeper is None:
@@ -435,14 +456,14 @@
         def enter() -> Entry:
             if not self.room():
                 raise BookError("the store takes nothing just now")
-            entry = self.ledger.book.correct(named, earlier, to, reason, int(wall_ms()))
+            entry = self.ledger.book.add_correction(named, earlier, to, reason, int(wall_ms()))
             self.write(entry, root)
             return entry
 
         return self.ask(enter)
 
     def try_again(self, id: BatchId) -> bool:
-        done = self.ask(lambda: self.ledger.export.again(id))
+        done = self.ask(lambda: self.ledger.export.retry_set_aside(id))
         self.wanted()
         return done
 
@@ -453,15 +474,15 @@
 
     def status(self) -> dict[str, Any]:
         ledger, export = self.ledger, self.ledger.export
-        money = billed(ledger.book.totals.lines, self.told.prices)
+        money = bill_by_tenant(ledger.book.totals.lines, self.told.prices)
         return {
             "instance": self.instance,
             "epoch": f"{self.epoch:x}",
-            "entries": ledger.book.number,
+            "entries": ledger.book.last_number,
             "counts": dict(self.counts),
             "missed_open": self.missed,
-            "repeats": ledger.book.repeats,
-            "late": ledger.book.late,
+            "repeats": ledger.book.repeat_count,
+            "late": ledger.book.late_count,
             "damaged": ledger.damaged[:100],
             "periods": ledger.book.periods.rows(),
             "totals": ledger.book.totals.rows(),
@@ -470,19 +491,19 @@
                 for (period, tenant), amount in sorted(money.items())
             ],
             "export": {
-                "not_in_a_batch": len(ledger.fresh),
-                "unsent": export.unsent(),
+                "not_in_a_batch": len(ledger.unbatched),
+                "unsent": export.unsent_entries(),
                 "waiting": len(export.waiting),
-                "out": len(export.out),
+                "out": len(export.in_flight),
                 "aside": [
                     {"epoch": f"{b.id.epoch:x}", "batch": b.id.number, "reason": b.reason}
-                    for b in export.aside.values()
+                    for b in export.set_aside_batches.values()
                 ],
-                "sent_again": export.sent_again,
-                "answered_twice": export.twice,
-                "wrong_digests": export.wrong,
-                "lost": [[f"{e:x}", a, b] for e, a, b in export.lost],
-                "holes": [[f"{e:x}", a, b] for e, a, b in export.holes],
+                "sent_again": export.resent_count,
+                "answered_twice": export.duplicate_answers,
+                "wrong_digests": export.digest_mismatches,
+                "lost": [[f"{e:x}", a, b] for e, a, b in export.lost_batches],
+                "holes": [[f"{e:x}", a, b] for e, a, b in export.missing_entries],
             },
             "store": None if self.keeper is None else self.keeper.status(),
         }
@@ -500,30 +521,32 @@
 
 def read_entries(store: Store, batch: Batch) -> list[Entry]:
     found = []
-    for record in store.records_from_seq(batch.begin):
-        if record.seq > batch.end:
+    for record in store.records_from_seq(batch.first_seq):
+        if record.seq > batch.last_seq:
             break
-        if record.kind in ENTRIES:
-            found.append(decode(record.payload))
+        if record.kind in ENTRY_KINDS:
+            found.append(decode_entry(record.payload))
     return found
 
 
 def period_entries(store: Store, period: int) -> dict[int, bytes]:
     found: dict[int, bytes] = {}
     for record in store.records_from_seq(1):
-        if record.kind in ENTRIES and (entry := decode(record.payload)).period == period:
-            data = entry_bytes(entry)
-            found[wire_id(data)] = data
+        if record.kind in ENTRY_KINDS and (entry := decode_entry(record.payload)).period == period:
+            data = encode_entry(entry)
+            found[entry_wire_id(data)] = data
     return found
 
 
-def find(store: Store, id: Id) -> tuple[Id, list[Entry]]:
+def find(store: Store, id: EntryId) -> tuple[EntryId, list[Entry]]:
     """What the id is of in the end, and that entry with all corrections of it."""
     root = id
-    for record in store.records_with_key(id.key()):
-        if record.kind == POINTER:
-            root = msgspec.msgpack.decode(record.payload, type=Id)
-    return root, [decode(r.payload) for r in store.records_with_key(root.key()) if r.kind in ENTRIES]
+    for record in store.records_with_key(id.store_key()):
+        if record.kind == CORRECTION_ROOT:
+            root = msgspec.msgpack.decode(record.payload, type=EntryId)
+    return root, [
+        decode_entry(r.payload) for r in store.records_with_key(root.store_key()) if r.kind in ENTRY_KINDS
+    ]
 
 
 __all__ = ["LedgerActor", "LedgerError", "PeriodError"]
--- a/harrieryoke/ledger/decide/__init__.py
+++ b/harrieryoke/ledger/decide/__init__.py
@@ -1,1 +1,1 @@
-"""What the ledger decides and remembers. No I/O, no clock; amounts are whole numbers, money is decimal."""
+"""The ledger's state. No I/O and no clock; amounts are integers, money is decimal."""
--- a/harrieryoke/ledger/decide/book.py
+++ b/harrieryoke/ledger/decide/book.py
@@ -1,4 +1,4 @@
-"""The book of one instance: makes entries of what happened, and derives totals from entries alone."""
+"""The book of one instance: creates entries and derives totals from entries alone."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 import msgspec
 
-from .entry import CORRECTION, GAP, NOTHING, USE, Amounts, Entry, Id, Sum, key_of
+from .entry import CORRECTION, GAP, USAGE, ZERO_AMOUNTS, Amounts, Entry, EntryId, SetDigest, digest_key
 from .periods import Period, PeriodError, Periods
 
-OTHERS = "(others)"
+OTHER_TENANTS = "(others)"
 
 
 class BookError(ValueError):
-    """What can't be written; the message says why."""
+    """An entry that can't be created or applied; the message gives the reason."""
 
 
-class Line(NamedTuple):
-    """Where amounts are summed up."""
+class TotalsKey(NamedTuple):
+    """The key by which amounts are summed."""
 
     period: int
     tenant: str
@@ -30,210 +30,226 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Use:
-    """A final answer, as the invoker saw it. Times are milliseconds."""
+class CallUsage:
+    """A call with its final answer, as the invoker observed it. Times are milliseconds."""
 
-    at: int
+    time_ms: int
     tenant: str
-    klass: str
+    class_name: str
     outcome: str
-    worth: int  # thousandths, of a served call of the class
-    took: int
+    worth_thousandths: int  # of a served call of the class
+    duration_ms: int
     memory_mb: int
-    over: bool = False
+    over_share: bool = False
     function: str = ""
     label: str = ""
-    key: str | None = None
-    call: str = ""
+    idempotency_key: str | None = None
+    call_id: str = ""
 
 
 @dataclass(slots=True)
 class Totals:
-    """Sums of amounts by line. Bounded by `most` lines: beyond it a tenant that is new counts as OTHERS,
-    which keeps all sums right and is counted."""
+    """Sums of amounts by TotalsKey. Beyond `max_lines` lines, new tenants are summed under OTHER_TENANTS and
+    counted in `lumped_count`, so that all sums stay correct."""
 
-    most: int = 100_000
-    lines: dict[Line, Amounts] = field(default_factory=dict)
-    lumped: int = 0
+    max_lines: int = 100_000
+    lines: dict[TotalsKey, Amounts] = field(default_factory=dict)
+    lumped_count: int = 0
 
     def add(self, entry: Entry) -> None:
-        line = Line(entry.period, entry.tenant, entry.klass, entry.outcome, entry.over)
-        if line not in self.lines and len(self.lines) >= self.most:
-            line = line._replace(tenant=OTHERS)
-            self.lumped += 1
-        self.lines[line] = self.lines.get(line, NOTHING) + entry.amounts
+        key = TotalsKey(entry.period, entry.tenant, entry.class_name, entry.outcome, entry.over_share)
+        if key not in self.lines and len(self.lines) >= self.max_lines:
+            key = key._replace(tenant=OTHER_TENANTS)
+            self.lumped_count += 1
+        self.lines[key] = self.lines.get(key, ZERO_AMOUNTS) + entry.amounts
 
-    def of(self, period: int | None = None, tenant: str | None = None) -> dict[Line, Amounts]:
+    def select(self, period: int | None = None, tenant: str | None = None) -> dict[TotalsKey, Amounts]:
         return {
-            line: amounts
-            for line, amounts in sorted(self.lines.items())
-            if period in (None, line.period) and tenant in (None, line.tenant)
+            key: amounts
+            for key, amounts in sorted(self.lines.items())
+            if period in (None, key.period) and tenant in (None, key.tenant)
         }
 
     def rows(self) -> list[dict[str, object]]:
-        """For operators."""
-        return [{**line._asdict(), **msgspec.structs.asdict(a)} for line, a in self.of().items()]
+        return [
+            {**key._asdict(), **msgspec.structs.asdict(amounts)} for key, amounts in self.select().items()
+        ]
 
 
 class Price(msgspec.Struct, forbid_unknown_fields=True):
-    """What a class costs: decimals, as texts. Only served calls are billed."""
+    """Price of a class, as decimal strings. Only served calls are billed."""
 
     call: str = "0"
     gb_second: str = "0"
 
-    def of(self, amounts: Amounts) -> Decimal:
+    def cost(self, amounts: Amounts) -> Decimal:
         """Exact: a megabyte-millisecond is a millionth of a gigabyte-second."""
         return Decimal(self.call) * amounts.calls + Decimal(self.gb_second) * amounts.held / 1_000_000
 
 
-def billed(lines: dict[Line, Amounts], prices: dict[str, Price]) -> dict[tuple[int, str], Decimal]:
+def bill_by_tenant(
+    lines: dict[TotalsKey, Amounts], prices: dict[str, Price]
+) -> dict[tuple[int, str], Decimal]:
     """Money by period and tenant."""
     sums: dict[tuple[int, str], Decimal] = {}
-    for line, amounts in lines.items():
-        if line.outcome == "served":
-            at = (line.period, line.tenant)
-            sums[at] = sums.get(at, Decimal(0)) + prices.get(line.klass, Price()).of(amounts)
+    for key, amounts in lines.items():
+        if key.outcome == "served":
+            period_and_tenant = (key.period, key.tenant)
+            sums[period_and_tenant] = sums.get(period_and_tenant, Decimal(0)) + prices.get(
+                key.klass, Price()
+            ).cost(amounts)
     return sums
 
 
 class Book:
-    """`use`, `correct` and `gap` make the next entry and apply it; `apply` takes one from the store. The same
-    entries give the same book, in whatever way they came into it."""
+    """`add_usage`, `add_correction` and `add_gap` create the next entry and apply it; `apply` applies one
+    read from the store. The same entries always give the same book."""
 
     def __init__(
-        self, instance: str, epoch: int, periods: Periods, key_window: int, most_keys: int = 50_000
+        self, instance: str, epoch: int, periods: Periods, key_window_ms: int, max_keys: int = 50_000
     ) -> None:
         self.instance, self.epoch, self.periods = instance, epoch, periods
-        self.number = 0  # of the newest entry of this epoch
+        self.last_number = 0  # of the newest entry of this epoch
         self.totals = Totals()
-        self.key_window, self.most_keys = key_window, most_keys
-        self.keys: OrderedDict[int, int] = OrderedDict()  # billed keys, by their time
-        self.repeats = self.late = 0
+        self.key_window_ms, self.max_keys = key_window_ms, max_keys
+        self.billed_keys: OrderedDict[int, int] = OrderedDict()  # time of billing by key digest, oldest first
+        self.repeat_count = self.late_count = 0
 
     # --- new entries ---
 
-    def use(self, use: Use) -> Entry:
-        key = 0 if use.key is None or use.outcome != "served" else key_of(use.tenant, use.klass, use.key)
-        repeat = bool(key) and self.billed_before(key, use.at)
+    def add_usage(self, usage: CallUsage) -> Entry:
+        key_digest = (
+            0
+            if usage.idempotency_key is None or usage.outcome != "served"
+            else digest_key(usage.tenant, usage.class_name, usage.idempotency_key)
+        )
+        is_repeat = bool(key_digest) and self.was_billed(key_digest, usage.time_ms)
         amounts = Amounts(
-            0 if repeat else 1,
-            use.worth if use.outcome == "served" and not repeat else 0,
-            0 if repeat else use.took,
-            0 if repeat else use.took * use.memory_mb,
+            0 if is_repeat else 1,
+            usage.worth_thousandths if usage.outcome == "served" and not is_repeat else 0,
+            0 if is_repeat else usage.duration_ms,
+            0 if is_repeat else usage.duration_ms * usage.memory_mb,
         )
-        return self.enter(
-            USE,
-            use.at,
-            tenant=use.tenant,
-            klass=use.klass,
-            outcome=use.outcome,
+        return self.add_entry(
+            USAGE,
+            usage.time_ms,
+            tenant=usage.tenant,
+            class_name=usage.class_name,
+            outcome=usage.outcome,
             amounts=amounts,
-            over=use.over,
-            function=use.function,
-            label=use.label,
-            repeat=repeat,
-            key=key,
-            call=use.call,
+            over_share=usage.over_share,
+            function=usage.function,
+            label=usage.label,
+            is_repeat=is_repeat,
+            key_digest=key_digest,
+            call_id=usage.call_id,
         )
 
-    def correct(self, old: Entry, earlier: Amounts, to: Amounts, reason: str, at: int) -> Entry:
-        """An entry that brings what `old` and all corrections of it amount to from `earlier` to `to`. A
-        correction may itself be corrected. Raises BookError."""
+    def add_correction(
+        self, old: Entry, earlier: Amounts, corrected: Amounts, reason: str, time_ms: int
+    ) -> Entry:
+        """Adds an entry that changes the amounts of `old` and all its corrections from `earlier` to
+        `corrected`. A correction may itself be corrected. Raises BookError."""
         if not reason.strip():
             raise BookError("a correction needs a reason")
         if old.kind == GAP:
-            raise BookError(f"{old.id} tells of a gap: there is nothing to correct")
-        if to == earlier:
-            raise BookError(f"{old.id} amounts to that already")
-        return self.enter(
+            raise BookError(f"{old.id} records a gap: there is nothing to correct")
+        if corrected == earlier:
+            raise BookError(f"{old.id} already has these amounts")
+        return self.add_entry(
             CORRECTION,
-            at,
+            time_ms,
             tenant=old.tenant,
-            klass=old.klass,
+            class_name=old.class_name,
             outcome=old.outcome,
-            amounts=to - earlier,
-            over=old.over,
+            amounts=corrected - earlier,
+            over_share=old.over_share,
             function=old.function,
             label=old.label,
             corrects=old.id,
             reason=reason,
-            home=old.period,
-            call=old.call,
+            corrected_period=old.period,
+            call_id=old.call_id,
         )
 
-    def gap(self, at: int, first: int, last: int, reason: str) -> Entry:
-        """Says that entries are missing, from one time to another: totals of the period are no longer
-        whole."""
-        said = f"{reason} ({first} to {last})"
-        return self.enter(GAP, at, tenant="", klass="", outcome="", amounts=NOTHING, reason=said)
+    def add_gap(self, time_ms: int, first_ms: int, last_ms: int, reason: str) -> Entry:
+        """Records that entries between two times are missing: the totals of the period are incomplete."""
+        description = f"{reason} ({first_ms} to {last_ms})"
+        return self.add_entry(
+            GAP, time_ms, tenant="", class_name="", outcome="", amounts=ZERO_AMOUNTS, reason=description
+        )
 
-    def enter(
+    def add_entry(
         self,
         kind: int,
-        at: int,
+        time_ms: int,
         *,
         tenant: str,
-        klass: str,
+        class_name: str,
         outcome: str,
         amounts: Amounts,
-        over: bool = False,
+        over_share: bool = False,
         function: str = "",
         label: str = "",
-        repeat: bool = False,
-        key: int = 0,
-        corrects: Id | None = None,
+        is_repeat: bool = False,
+        key_digest: int = 0,
+        corrects: EntryId | None = None,
         reason: str = "",
-        home: int | None = None,
-        call: str = "",
+        corrected_period: int | None = None,
+        call_id: str = "",
     ) -> Entry:
-        wanted = self.periods.of(at) if home is None else home
-        period = self.periods.open_for(at if home is None else self.periods.begin(home))
-        came = -1 if period == wanted else wanted
-        number = self.number + 1
-        id = Id(self.instance, self.epoch, number)
+        own_period = self.periods.period_at(time_ms) if corrected_period is None else corrected_period
+        period = self.periods.open_period_for(
+            time_ms if corrected_period is None else self.periods.start_of(corrected_period)
+        )
+        original_period = -1 if period == own_period else own_period
+        number = self.last_number + 1
+        entry_id = EntryId(self.instance, self.epoch, number)
         entry = Entry(
-            id,
+            entry_id,
             kind,
-            at,
+            time_ms,
             period,
             tenant,
-            klass,
+            class_name,
             outcome,
             amounts,
-            over,
+            over_share,
             function,
             label,
-            repeat,
-            key,
-            came,
+            is_repeat,
+            key_digest,
+            original_period,
             corrects,
             reason,
-            call,
+            call_id,
         )
         self.apply(entry)
         return entry
 
-    def billed_before(self, key: int, at: int) -> bool:
-        """A key that was served within its window is billed once, whoever sent it again."""
-        while self.keys and (
-            len(self.keys) > self.most_keys or at - next(iter(self.keys.values())) > self.key_window
+    def was_billed(self, key_digest: int, time_ms: int) -> bool:
+        """Whether this key was billed within its window. A key that is served several times in its window is
+        billed once."""
+        while self.billed_keys and (
+            len(self.billed_keys) > self.max_keys
+            or time_ms - next(iter(self.billed_keys.values())) > self.key_window_ms
         ):
-            self.keys.popitem(last=False)
-        return key in self.keys
+            self.billed_keys.popitem(last=False)
+        return key_digest in self.billed_keys
 
     # --- entries that were made before ---
 
     def apply(self, entry: Entry) -> None:
         """Raises PeriodError for an entry of a sealed period, BookError for one that was applied before."""
-        if entry.id.epoch == self.epoch and entry.id.number != self.number + 1:
-            raise BookError(f"{entry.id} does not follow number {self.number}")
+        if entry.id.epoch == self.epoch and entry.id.number != self.last_number + 1:
+            raise BookError(f"{entry.id} does not follow number {self.last_number}")
         self.periods.add(entry, entry.kind == GAP)
         if entry.id.epoch == self.epoch:
-            self.number = entry.id.number
-        if entry.key and not entry.repeat:
-            self.keys[entry.key] = entry.at
-        self.repeats += entry.repeat
-        self.late += entry.came >= 0
+            self.last_number = entry.id.number
+        if entry.key_digest and not entry.is_repeat:
+            self.billed_keys[entry.key_digest] = entry.time_ms
+        self.repeat_count += entry.is_repeat
+        self.late_count += entry.original_period >= 0
         if entry.kind != GAP:
             self.totals.add(entry)
 
@@ -243,45 +259,64 @@
     # --- snapshots ---
 
     def dump(self) -> bytes:
-        """All of it."""
-        p = self.periods
+        """Encodes the book for a snapshot."""
+        periods = self.periods
         return msgspec.msgpack.encode(
             {
                 "version": 1,
                 "epoch": self.epoch,
-                "number": self.number,
-                "floor": p.floor,
-                "length": p.length,
+                "number": self.last_number,
+                "floor": periods.sealed_up_to,
+                "length": periods.length_ms,
                 "periods": [
-                    [x.number, x.sum.count, x.sum.hex(), x.sealed, x.sealed_at, x.gaps]
-                    for x in p.known.values()
+                    [
+                        period.number,
+                        period.entry_set.count,
+                        period.entry_set.to_text(),
+                        period.seal_digest,
+                        period.sealed_at_ms,
+                        period.gap_count,
+                    ]
+                    for period in periods.by_number.values()
                 ],
                 "lines": [[*line, amounts] for line, amounts in self.totals.lines.items()],
-                "keys": [[key, at] for key, at in self.keys.items()],
-                "counts": [self.repeats, self.late, self.totals.lumped],
+                "keys": [[key, billed_ms] for key, billed_ms in self.billed_keys.items()],
+                "counts": [self.repeat_count, self.late_count, self.totals.lumped_count],
             }
         )
 
     def load(self, data: bytes) -> None:
-        """Takes over what another epoch's book held. Raises BookError for what is none."""
+        """Restores the book of another epoch from a snapshot. Raises BookError if it is not a valid one."""
         try:
-            told = msgspec.msgpack.decode(data)
-            if told["version"] != 1:
-                raise BookError(f"a snapshot of version {told['version']}")
-            if told["length"] != self.periods.length:
+            snapshot = msgspec.msgpack.decode(data)
+            if snapshot["version"] != 1:
+                raise BookError(f"unsupported snapshot version {snapshot['version']}")
+            if snapshot["length"] != self.periods.length_ms:
                 raise BookError("ledger.period_s: the folder was written with another length of the periods")
-            self.periods.floor = told["floor"]
-            for number, count, digest, sealed, sealed_at, gaps in told["periods"]:
-                held = Sum(count, int(digest.partition(":")[2], 16))
-                self.periods.known[number] = Period(number, held, sealed, sealed_at, gaps)
-            for *line, amounts in told["lines"]:
-                self.totals.lines[Line(*line)] = Amounts(*amounts)
-            self.keys.update((key, at) for key, at in told["keys"])
-            self.repeats, self.late, self.totals.lumped = told["counts"]
-            if told["epoch"] == self.epoch:
-                self.number = told["number"]
+            self.periods.sealed_up_to = snapshot["floor"]
+            for number, count, digest, seal_digest, sealed_at_ms, gap_count in snapshot["periods"]:
+                entry_set = SetDigest(count, int(digest.partition(":")[2], 16))
+                self.periods.by_number[number] = Period(
+                    number, entry_set, seal_digest, sealed_at_ms, gap_count
+                )
+            for *line, amounts in snapshot["lines"]:
+                self.totals.lines[TotalsKey(*line)] = Amounts(*amounts)
+            self.billed_keys.update((key, billed_ms) for key, billed_ms in snapshot["keys"])
+            self.repeat_count, self.late_count, self.totals.lumped_count = snapshot["counts"]
+            if snapshot["epoch"] == self.epoch:
+                self.last_number = snapshot["number"]
         except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as error:
             raise BookError(str(error)) from None
 
 
-__all__ = ["Book", "BookError", "Line", "Period", "PeriodError", "Price", "Totals", "Use", "billed"]
+__all__ = [
+    "Book",
+    "BookError",
+    "CallUsage",
+    "Period",
+    "PeriodError",
+    "Price",
+    "Totals",
+    "TotalsKey",
+    "bill_by_tenant",
+]
--- a/harrieryoke/ledger/decide/entry.py
+++ b/harrieryoke/ledger/decide/entry.py
@@ -1,7 +1,7 @@
-"""Entries: what the ledger consists of. Everything else is derived from them.
+"""Ledger entries, from which everything else in the ledger is derived.
 
-An entry's identity is its instance, the instance's epoch (new with each start) and its number in the epoch.
-All amounts are whole numbers: counts, milliseconds, thousandths of worth, megabyte-milliseconds.
+An entry is identified by its instance, the instance's epoch (new with each start) and its number in the
+epoch. All amounts are integers: counts, milliseconds, thousandths of worth, megabyte-milliseconds.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 
 import msgspec
 
-USE, CORRECTION, GAP = 1, 2, 3
+USAGE, CORRECTION, GAP = 1, 2, 3
 OUTCOMES = ("served", "refused", "failed", "withdrawn")
-HASHED = 1 << 128
+DIGEST_MODULUS = 1 << 128
 
 
-class Id(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """Whose entry it is, and which."""
+class EntryId(msgspec.Struct, array_like=True, frozen=True, order=True):
+    """Identity of an entry."""
 
     instance: str
     epoch: int
@@ -27,25 +27,25 @@
         return f"{self.instance}/{self.epoch:x}/{self.number}"
 
     @staticmethod
-    def read(text: str) -> Id:
-        """Raises ValueError for what is none."""
+    def parse(text: str) -> EntryId:
+        """Raises ValueError if `text` is not an entry id."""
         instance, epoch, number = text.rsplit("/", 2)
         if not instance:
-            raise ValueError(f"{text!r}: INSTANCE/EPOCH/NUMBER is wanted")
-        return Id(instance, int(epoch, 16), int(number))
+            raise ValueError(f"{text!r}: expected INSTANCE/EPOCH/NUMBER")
+        return EntryId(instance, int(epoch, 16), int(number))
 
-    def key(self) -> bytes:
-        """Under which the store keeps it."""
+    def store_key(self) -> bytes:
+        """The key of the entry's record in the store."""
         return b"%x/%x" % (self.epoch, self.number)
 
 
 class Amounts(msgspec.Struct, array_like=True, frozen=True):
-    """What is billed. Of a correction: what it adds, which may be negative."""
+    """Billed amounts. In a correction: the change, which may be negative."""
 
     calls: int = 0
     worth: int = 0  # thousandths
-    took: int = 0  # milliseconds from taking the call to its answer
-    held: int = 0  # memory as told times that time: megabyte-milliseconds
+    took: int = 0  # milliseconds from receiving the call to its answer
+    held: int = 0  # declared memory times that duration: megabyte-milliseconds
 
     def __add__(self, other: Amounts) -> Amounts:
         return Amounts(
@@ -64,36 +64,36 @@
         )
 
 
-NOTHING = Amounts()
+ZERO_AMOUNTS = Amounts()
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One entry. `period` is where it counts; `came` the period of its time, where that was closed
-    already."""
+    """One ledger entry. It counts in `period`; `original_period` is the period of its time if that was sealed
+    already, else -1."""
 
-    id: Id
+    id: EntryId
     kind: int
-    at: int  # ms, Unix clock
+    time_ms: int  # Unix time
     period: int
     tenant: str
-    klass: str
+    class_name: str
     outcome: str
     amounts: Amounts
-    over: bool = False  # beyond the tenant's share
+    over_share: bool = False  # beyond the tenant's share
     function: str = ""
     label: str = ""
-    repeat: bool = False  # a key that was billed before: it counts nothing
-    key: int = 0  # a digest of the key of a served call
-    came: int = -1
-    corrects: Id | None = None
+    is_repeat: bool = False  # its idempotency key was billed before: amounts are zero
+    key_digest: int = 0  # digest of the idempotency key of a served call; 0: none
+    original_period: int = -1
+    corrects: EntryId | None = None
     reason: str = ""
-    call: str = ""  # the id that the client gave it
+    call_id: str = ""  # request id from the client
 
     def encode(self) -> bytes:
         return ENCODER.encode(self)
 
     def digest(self) -> int:
-        """Of all that it says. Sums of these stand for sets of entries, in whatever order they came."""
+        """Digest of the whole entry. Sums of these identify sets of entries independently of their order."""
         return int.from_bytes(hashlib.blake2b(self.encode(), digest_size=16).digest(), "little")
 
 
@@ -101,28 +101,29 @@
 DECODER: msgspec.msgpack.Decoder[Entry] = msgspec.msgpack.Decoder(Entry)
 
 
-def key_of(tenant: str, klass: str, key: str) -> int:
-    """Keys of other tenants or classes are other keys."""
-    told = b"\0".join(text.encode() for text in (tenant, klass, key))
-    return int.from_bytes(hashlib.blake2b(told, digest_size=8).digest(), "little") or 1
+def digest_key(tenant: str, klass: str, key: str) -> int:
+    """Digest of an idempotency key, which is scoped to its tenant and class."""
+    scoped_key = b"\0".join(text.encode() for text in (tenant, klass, key))
+    return int.from_bytes(hashlib.blake2b(scoped_key, digest_size=8).digest(), "little") or 1
 
 
-def decode(data: bytes) -> Entry:
+def decode_entry(data: bytes) -> Entry:
     """Raises msgspec.MsgspecError."""
     return DECODER.decode(data)
 
 
 @dataclass(slots=True)
-class Sum:
-    """A set of entries, as their count and the sum of their digests (Bellare and Micciancio's AdHash with 128
-    bits): it tells two sets apart that differ by accident, not by an adversary with years of time."""
+class SetDigest:
+    """Digest of a set of entries: their count and the sum of their digests (AdHash by Bellare and Micciancio,
+    128 bits). It detects accidental differences, but does not withstand an adversary with years of computing
+    time."""
 
     count: int = 0
-    digest: int = 0
+    digest_sum: int = 0
 
     def add(self, entry: Entry) -> None:
         self.count += 1
-        self.digest = (self.digest + entry.digest()) % HASHED
+        self.digest_sum = (self.digest_sum + entry.digest()) % DIGEST_MODULUS
 
-    def hex(self) -> str:
-        return f"{self.count}:{self.digest:032x}"
+    def to_text(self) -> str:
+        return f"{self.count}:{self.digest_sum:032x}"
--- a/harrieryoke/ledger/decide/ledger.py
+++ b/harrieryoke/ledger/decide/ledger.py
@@ -1,7 +1,8 @@
-"""One instance's ledger as a state machine: the book, what is not in a batch yet, and the export.
+"""The ledger of one instance as a state machine: the book, entries that are not in a batch yet, and the
+export.
 
-Everything that changes it is a record of the store, or is made into one: an entry, the begin of an epoch, a
-sealed period, a cut batch, the end of a batch. So the same records give the same ledger after a crash.
+Every change is a record in the store: an entry, the start of an epoch, a sealed period, the creation or the
+end of a batch. Replaying the same records after a crash gives the same ledger.
 """
 
 from __future__ import annotations
@@ -12,178 +13,207 @@
 import msgspec
 
 from .book import Book, BookError
-from .entry import CORRECTION, GAP, USE, Entry, decode
+from .entry import CORRECTION, GAP, USAGE, Entry, decode_entry
 from .export import Batch, BatchId, ExportState
 from .periods import PeriodError
 
-EPOCH, SEAL, CUT, DONE, POINTER = 10, 11, 12, 13, 14
-ENTRIES = (USE, CORRECTION, GAP)
+EPOCH_STARTED, PERIOD_SEALED, BATCH_CREATED, BATCH_FINISHED, CORRECTION_ROOT = 10, 11, 12, 13, 14
+ENTRY_KINDS = (USAGE, CORRECTION, GAP)
 
 
-class Began(msgspec.Struct, array_like=True, frozen=True):
+class EpochStarted(msgspec.Struct, array_like=True, frozen=True):
+    """An instance has started."""
+
     instance: str
     epoch: int
-    at: int
+    started_ms: int
+
 
+class PeriodSealed(msgspec.Struct, array_like=True, frozen=True):
+    """A period has been sealed."""
 
-class Sealed(msgspec.Struct, array_like=True, frozen=True):
     period: int
     digest: str
-    at: int
+    sealed_ms: int
+
 
+class BatchCreated(msgspec.Struct, array_like=True, frozen=True):
+    """Entries have been put into a batch."""
 
-class Cut(msgspec.Struct, array_like=True, frozen=True):
     epoch: int
     number: int
-    first: int
-    last: int
-    begin: int
-    end: int
+    first_entry: int
+    last_entry: int
+    first_seq: int
+    last_seq: int
     digest: str
 
 
-class Done(msgspec.Struct, array_like=True, frozen=True):
+class BatchFinished(msgspec.Struct, array_like=True, frozen=True):
+    """A batch has been acknowledged, or set aside with a reason."""
+
     epoch: int
     number: int
     reason: str  # empty: acknowledged; else why it was set aside
 
 
 @dataclass(slots=True)
-class Fresh:
+class UnbatchedEntry:
     """An entry that is in no batch yet."""
 
     seq: int
     entry: Entry
-    since: float
+    added_at: float
 
 
 @dataclass(slots=True)
-class Ledger:
-    """`damaged` names what recovery found wrong; nothing of it changes what is right."""
+class LedgerState:
+    """`damaged` describes what recovery could not apply; the rest of the ledger is unaffected."""
 
     book: Book
     export: ExportState
-    batch: int = 500
-    batch_ms: float = 1000.0
-    fresh: deque[Fresh] = field(default_factory=deque)
-    epochs: dict[int, Began] = field(default_factory=dict)
+    max_batch_entries: int = 500
+    max_batch_delay_ms: float = 1000.0
+    unbatched: deque[UnbatchedEntry] = field(default_factory=deque)
+    epochs: dict[int, EpochStarted] = field(default_factory=dict)
     damaged: list[str] = field(default_factory=list)
 
-    def entered(self, seq: int, entry: Entry, now: float) -> None:
-        self.fresh.append(Fresh(seq, entry, now))
+    def add_unbatched(self, seq: int, entry: Entry, now: float) -> None:
+        self.unbatched.append(UnbatchedEntry(seq, entry, now))
 
-    def due(self, now: float, durable: int, flush: bool = False) -> list[Fresh]:
-        """The next batch's entries, if it is time to cut it: full, old enough, of an epoch that has ended, or
-        at the end. Only what is durable goes into one."""
-        if not self.fresh:
+    def next_batch_entries(self, now: float, durable_seq: int, flush: bool = False) -> list[UnbatchedEntry]:
+        """The entries of the next batch if one is due: it is full or old enough, its epoch has ended, or
+        `flush` is set. Only durable entries are included."""
+        if not self.unbatched:
             return []
-        epoch = self.fresh[0].entry.id.epoch
-        run: list[Fresh] = []
-        for each in self.fresh:
-            if each.entry.id.epoch != epoch or each.seq > durable or len(run) >= self.batch:
+        epoch = self.unbatched[0].entry.id.epoch
+        entries: list[UnbatchedEntry] = []
+        for candidate in self.unbatched:
+            if (
+                candidate.entry.id.epoch != epoch
+                or candidate.seq > durable_seq
+                or len(entries) >= self.max_batch_entries
+            ):
                 break
-            run.append(each)
-        if not run:
+            entries.append(candidate)
+        if not entries:
             return []
-        old = not 0 <= now - run[0].since < self.batch_ms
-        return run if flush or old or len(run) >= self.batch or epoch != self.book.epoch else []
-
-    def cut(self, run: list[Fresh], digest: str) -> Batch:
-        for _ in run:
-            self.fresh.popleft()
-        first, last = run[0], run[-1]
-        return self.export.cut(
+        old_enough = not 0 <= now - entries[0].added_at < self.max_batch_delay_ms
+        return (
+            entries
+            if flush or old_enough or len(entries) >= self.max_batch_entries or epoch != self.book.epoch
+            else []
+        )
+
+    def create_batch(self, entries: list[UnbatchedEntry], digest: str) -> Batch:
+        for _ in entries:
+            self.unbatched.popleft()
+        first, last = entries[0], entries[-1]
+        return self.export.create_batch(
             first.entry.id.epoch, first.entry.id.number, last.entry.id.number, first.seq, last.seq, digest
         )
 
-    def needed(self, next_seq: int) -> int:
-        """The store's first sequence number that the export still wants."""
-        wanted = [next_seq]
-        if self.fresh:
-            wanted.append(self.fresh[0].seq)
-        if (batches := self.export.needed()) is not None:
-            wanted.append(batches)
-        return min(wanted)
-
-    def lose(self, first: int, last: int) -> list[Batch]:
-        """Records up to `last` have gone for want of room. Batches that they were in are set aside: they
-        can't be sent any more, and are not passed over."""
-        gone = [b for b in self.export.batches.values() if b.begin <= last and b.end >= first]
-        lost = [b for b in gone if b.state.value in ("waiting", "out")]
-        for batch in lost:
-            self.export.set_aside(batch.id, "its entries went for want of room on the disk")
-        while self.fresh and self.fresh[0].seq <= last:
-            self.fresh.popleft()
-        return lost
+    def first_needed_seq(self, next_seq: int) -> int:
+        """The first sequence number of the store that the export still needs."""
+        needed_seqs = [next_seq]
+        if self.unbatched:
+            needed_seqs.append(self.unbatched[0].seq)
+        if (first_batch_seq := self.export.first_needed_seq()) is not None:
+            needed_seqs.append(first_batch_seq)
+        return min(needed_seqs)
+
+    def discard_lost_records(self, first: int, last: int) -> list[Batch]:
+        """Records up to `last` were removed to free disk space. Their unacknowledged batches can no longer be
+        sent and are set aside."""
+        affected = [
+            batch
+            for batch in self.export.batches.values()
+            if batch.first_seq <= last and batch.last_seq >= first
+        ]
+        unsent = [batch for batch in affected if batch.state.value in ("waiting", "out")]
+        for batch in unsent:
+            self.export.set_aside(batch.id, "its entries were removed for want of room on the disk")
+        while self.unbatched and self.unbatched[0].seq <= last:
+            self.unbatched.popleft()
+        return unsent
 
     # --- recovery ---
 
     def replay(self, kind: int, seq: int, payload: bytes, now: float) -> None:
-        """One record of the store. What can't be applied is told in `damaged`, never an error: the rest of
-        the ledger is worth having."""
+        """Applies one record of the store. A record that can't be applied is reported in `damaged` instead of
+        raising, so that the rest of the ledger stays usable."""
         try:
-            if kind in ENTRIES:
-                entry = decode(payload)
+            if kind in ENTRY_KINDS:
+                entry = decode_entry(payload)
                 self.book.apply(entry)
-                self.entered(seq, entry, now)
-            elif kind == EPOCH:
-                began: Began = msgspec.msgpack.decode(payload, type=Began)
-                self.epochs[began.epoch] = began
-            elif kind == SEAL:
-                self.replay_seal(msgspec.msgpack.decode(payload, type=Sealed))
-            elif kind == CUT:
-                self.replay_cut(msgspec.msgpack.decode(payload, type=Cut))
-            elif kind == DONE:
-                done: Done = msgspec.msgpack.decode(payload, type=Done)
-                self.replay_done(BatchId(done.epoch, done.number), done.reason)
+                self.add_unbatched(seq, entry, now)
+            elif kind == EPOCH_STARTED:
+                started: EpochStarted = msgspec.msgpack.decode(payload, type=EpochStarted)
+                self.epochs[started.epoch] = started
+            elif kind == PERIOD_SEALED:
+                self.replay_period_sealed(msgspec.msgpack.decode(payload, type=PeriodSealed))
+            elif kind == BATCH_CREATED:
+                self.replay_batch_created(msgspec.msgpack.decode(payload, type=BatchCreated))
+            elif kind == BATCH_FINISHED:
+                finished: BatchFinished = msgspec.msgpack.decode(payload, type=BatchFinished)
+                self.replay_batch_finished(BatchId(finished.epoch, finished.number), finished.reason)
         except (msgspec.MsgspecError, BookError, PeriodError, ValueError) as error:
             self.damaged.append(f"record {seq}: {error}")
 
-    def replay_seal(self, sealed: Sealed) -> None:
-        period = self.book.seal(sealed.period, sealed.at)
-        if period.sealed != sealed.digest:
+    def replay_period_sealed(self, sealed: PeriodSealed) -> None:
+        period = self.book.seal(sealed.period, sealed.sealed_ms)
+        if period.seal_digest != sealed.digest:
             self.damaged.append(
-                f"period {sealed.period} was sealed as {sealed.digest}, its entries give {period.sealed}"
+                f"period {sealed.period} was sealed as {sealed.digest}, its entries give {period.seal_digest}"
             )
-            period.sealed = sealed.digest
-
-    def replay_cut(self, cut: Cut) -> None:
-        while self.fresh and self.fresh[0].seq <= cut.end:
-            self.fresh.popleft()
-        self.export.cut(cut.epoch, cut.first, cut.last, cut.begin, cut.end, cut.digest)
+            period.seal_digest = sealed.digest
+
+    def replay_batch_created(self, created: BatchCreated) -> None:
+        while self.unbatched and self.unbatched[0].seq <= created.last_seq:
+            self.unbatched.popleft()
+        self.export.create_batch(
+            created.epoch,
+            created.first_entry,
+            created.last_entry,
+            created.first_seq,
+            created.last_seq,
+            created.digest,
+        )
 
-    def replay_done(self, id: BatchId, reason: str) -> None:
-        batch = self.export.batches.get(id)
+    def replay_batch_finished(self, batch_id: BatchId, reason: str) -> None:
+        batch = self.export.batches.get(batch_id)
         if batch is not None:
             if reason:
-                self.export.set_aside(id, reason)
+                self.export.set_aside(batch_id, reason)
             else:
-                self.export.welcomed(batch)
+                self.export.mark_acknowledged(batch)
 
     def dump(self) -> bytes:
         return msgspec.msgpack.encode(
             {
                 "book": self.book.dump(),
                 "export": self.export.dump(),
-                "fresh": [[f.seq, f.entry] for f in self.fresh],
+                "fresh": [[unbatched.seq, unbatched.entry] for unbatched in self.unbatched],
                 "epochs": list(self.epochs.values()),
             }
         )
 
     def load(self, data: bytes, now: float) -> None:
-        """Raises BookError for what is none of ours: then the folder can't be used."""
+        """Raises BookError if the snapshot is not the ledger's: the store is then unusable."""
         try:
-            told: Snapshot = msgspec.msgpack.decode(data, type=Snapshot)
-            self.book.load(told.book)
-            self.export.load(told.export)
+            snapshot: LedgerSnapshot = msgspec.msgpack.decode(data, type=LedgerSnapshot)
+            self.book.load(snapshot.book)
+            self.export.load(snapshot.export)
         except (msgspec.MsgspecError, ValueError) as error:
-            raise BookError(f"a snapshot that can't be read: {error}") from None
-        self.fresh.extend(Fresh(seq, entry, now) for seq, entry in told.fresh)
-        self.epochs.update((began.epoch, began) for began in told.epochs)
+            raise BookError(f"unreadable snapshot: {error}") from None
+        self.unbatched.extend(UnbatchedEntry(seq, entry, now) for seq, entry in snapshot.fresh)
+        self.epochs.update((started.epoch, started) for started in snapshot.epochs)
+
 
+class LedgerSnapshot(msgspec.Struct):
+    """Payload of a store snapshot. Field names are stored."""
 
-class Snapshot(msgspec.Struct):
     book: bytes
     export: tuple[list[list[int]], list[tuple[int, int, int, int, int, int, str, str, str]]]
     fresh: list[tuple[int, Entry]]
-    epochs: list[Began]
+    epochs: list[EpochStarted]
--- a/harrieryoke/ledger/decide/reconcile.py
+++ b/harrieryoke/ledger/decide/reconcile.py
@@ -1,13 +1,15 @@
-"""Reconciliation: what differs between two sets of entries, in messages that grow with the difference.
+"""Set reconciliation: finds the entries by which two sets differ, with messages proportional to the
+difference.
 
 An invertible Bloom lookup table (Goodrich and Mitzenmacher 2011; Eppstein and others, "What's the
-difference?", 2011): each entry falls into three cells, one of each part of the table; a cell keeps the count,
-the sum (XOR) of the entries' ids and of their checks. One table less the other holds only what differs; a
-cell with a single entry gives it away, which empties other cells further. Some 1.5 cells for each difference
-suffice. How many there are is estimated first by strata: small tables of samples of 1/2, 1/4, 1/8 and so on
-of the entries.
-
-An entry is known by a 64-bit id made of its bytes: an entry that differs in content differs in its id.
+difference?", 2011): each entry is hashed to three cells, one in each part of the table. A cell holds a count,
+the XOR of its entries' ids and the XOR of their checksums. Subtracting one table from the other leaves only
+the entries that differ; a cell with a single entry reveals it, and removing it uncovers others (peeling).
+About 1.5 cells per difference suffice. The size of the difference is estimated first with strata: small
+tables over samples of 1/2, 1/4, 1/8 and so on of the entries.
+
+An entry is identified by a 64-bit id derived from its bytes, so entries that differ in content have different
+ids.
 """
 
 from __future__ import annotations
@@ -18,172 +20,188 @@
 
 import xxhash
 
-CELL = struct.Struct("<iQQ")  # count, xor of ids, xor of checks
+CELL = struct.Struct("<iQQ")  # count, XOR of ids, XOR of checksums
 PARTS = 3
-STRATA, STRATUM = 32, 60
-CHECK = 0x5EED
+STRATA_COUNT, CELLS_PER_STRATUM = 32, 60
+CHECKSUM_SEED = 0x5EED
 
 
-def check_of(id: int) -> int:
-    return xxhash.xxh3_64_intdigest(id.to_bytes(8, "little"), CHECK)
+def id_checksum(entry_id: int) -> int:
+    return xxhash.xxh3_64_intdigest(entry_id.to_bytes(8, "little"), CHECKSUM_SEED)
 
 
 class Sketch:
-    """A table of `cells`, a multiple of three, seeded: both sides must have the same of both."""
+    """An invertible Bloom lookup table of `cells` cells, rounded up to a multiple of three. Both sides must
+    use the same size and seed."""
 
     def __init__(self, cells: int, seed: int) -> None:
-        self.each, self.seed = max(1, (cells + PARTS - 1) // PARTS), seed
-        size = self.each * PARTS
-        self.counts, self.ids, self.checks = [0] * size, [0] * size, [0] * size
-
-    def places(self, id: int) -> list[int]:
-        told = xxhash.xxh3_128_intdigest(id.to_bytes(8, "little"), self.seed)
-        return [part * self.each + (told >> 40 * part & (1 << 40) - 1) % self.each for part in range(PARTS)]
-
-    def add(self, id: int, times: int = 1) -> None:
-        check = check_of(id)
-        for at in self.places(id):
-            self.counts[at] += times
-            self.ids[at] ^= id
-            self.checks[at] ^= check
-
-    def less(self, other: Sketch) -> Sketch:
-        """What differs. Raises ValueError where the two are not alike."""
-        if (self.each, self.seed) != (other.each, other.seed):
+        self.cells_per_part, self.seed = max(1, (cells + PARTS - 1) // PARTS), seed
+        size = self.cells_per_part * PARTS
+        self.counts, self.id_xors, self.checksum_xors = [0] * size, [0] * size, [0] * size
+
+    def cells_of(self, entry_id: int) -> list[int]:
+        hashed = xxhash.xxh3_128_intdigest(entry_id.to_bytes(8, "little"), self.seed)
+        return [
+            part * self.cells_per_part + (hashed >> 40 * part & (1 << 40) - 1) % self.cells_per_part
+            for part in range(PARTS)
+        ]
+
+    def add(self, entry_id: int, count: int = 1) -> None:
+        checksum = id_checksum(entry_id)
+        for cell in self.cells_of(entry_id):
+            self.counts[cell] += count
+            self.id_xors[cell] ^= entry_id
+            self.checksum_xors[cell] ^= checksum
+
+    def subtract(self, other: Sketch) -> Sketch:
+        """The table of the difference. Raises ValueError if size or seed differ."""
+        if (self.cells_per_part, self.seed) != (other.cells_per_part, other.seed):
             raise ValueError("sketches of another size or seed")
-        made = Sketch(self.each * PARTS, self.seed)
-        for at in range(len(self.counts)):
-            made.counts[at] = self.counts[at] - other.counts[at]
-            made.ids[at] = self.ids[at] ^ other.ids[at]
-            made.checks[at] = self.checks[at] ^ other.checks[at]
-        return made
+        difference = Sketch(self.cells_per_part * PARTS, self.seed)
+        for cell in range(len(self.counts)):
+            difference.counts[cell] = self.counts[cell] - other.counts[cell]
+            difference.id_xors[cell] = self.id_xors[cell] ^ other.id_xors[cell]
+            difference.checksum_xors[cell] = self.checksum_xors[cell] ^ other.checksum_xors[cell]
+        return difference
 
     def peel(self) -> tuple[set[int], set[int], bool]:
-        """Ids that only the first side has, those that only the second has, and whether that is all. Takes
-        the table apart."""
-        ours, theirs = set[int](), set[int]()
-        todo = list(range(len(self.counts)))
-        while todo:
-            at = todo.pop()
-            count, id = self.counts[at], self.ids[at]
-            if count not in (1, -1) or self.checks[at] != check_of(id):
+        """Ids that only the first side has, ids that only the second side has, and whether the result is
+        complete. Consumes the table."""
+        only_first, only_second = set[int](), set[int]()
+        pending = list(range(len(self.counts)))
+        while pending:
+            cell = pending.pop()
+            count, entry_id = self.counts[cell], self.id_xors[cell]
+            if count not in (1, -1) or self.checksum_xors[cell] != id_checksum(entry_id):
                 continue
-            side = ours if count == 1 else theirs
-            if id in side:  # guards against a table made wrong on purpose, which would go round for ever
-                return ours, theirs, False
-            side.add(id)
-            self.add(id, -count)
-            todo += self.places(id)
-        return ours, theirs, not any(self.counts) and not any(self.ids)
+            found = only_first if count == 1 else only_second
+            if entry_id in found:  # a malicious table could otherwise make this loop endless
+                return only_first, only_second, False
+            found.add(entry_id)
+            self.add(entry_id, -count)
+            pending += self.cells_of(entry_id)
+        return only_first, only_second, not any(self.counts) and not any(self.id_xors)
 
     def encode(self) -> bytes:
-        parts = [struct.pack("<IQ", self.each, self.seed)]
-        parts += [CELL.pack(*cell) for cell in zip(self.counts, self.ids, self.checks, strict=True)]
+        parts = [struct.pack("<IQ", self.cells_per_part, self.seed)]
+        parts += [
+            CELL.pack(*cell) for cell in zip(self.counts, self.id_xors, self.checksum_xors, strict=True)
+        ]
         return b"".join(parts)
 
     @classmethod
-    def decode(cls, data: bytes, most: int = 1 << 20) -> Sketch:
-        """Raises ValueError for what is none, or has more cells than `most`."""
+    def decode(cls, data: bytes, max_cells: int = 1 << 20) -> Sketch:
+        """Raises ValueError if `data` is not a sketch or has more than `max_cells` cells."""
         if len(data) < 12:
-            raise ValueError("no sketch")
-        each, seed = struct.unpack_from("<IQ", data)
-        if not 1 <= each <= most // PARTS or len(data) != 12 + each * PARTS * CELL.size:
-            raise ValueError("a sketch of a wrong size")
-        made = cls(each * PARTS, seed)
-        for at, cell in enumerate(CELL.iter_unpack(data[12:])):
-            made.counts[at], made.ids[at], made.checks[at] = cell
-        return made
-
-
-class Strata:
-    """An estimate of how much two sets differ: the n-th table holds the ids that end in n zero bits."""
+            raise ValueError("not a sketch")
+        cells_per_part, seed = struct.unpack_from("<IQ", data)
+        if (
+            not 1 <= cells_per_part <= max_cells // PARTS
+            or len(data) != 12 + cells_per_part * PARTS * CELL.size
+        ):
+            raise ValueError("a sketch of the wrong size")
+        sketch = cls(cells_per_part * PARTS, seed)
+        for cell, values in enumerate(CELL.iter_unpack(data[12:])):
+            sketch.counts[cell], sketch.id_xors[cell], sketch.checksum_xors[cell] = values
+        return sketch
+
+
+class StrataEstimator:
+    """Estimates the size of the difference of two sets: the n-th table holds the ids whose hash ends in n
+    zero bits."""
 
     def __init__(self, seed: int) -> None:
-        self.tables = [Sketch(STRATUM, seed + n) for n in range(STRATA)]
+        self.tables = [Sketch(CELLS_PER_STRATUM, seed + stratum) for stratum in range(STRATA_COUNT)]
         self.seed = seed
 
-    def add(self, id: int) -> None:
-        mixed = xxhash.xxh3_64_intdigest(id.to_bytes(8, "little"), self.seed)
-        self.tables[min(STRATA - 1, (mixed & -mixed).bit_length() - 1 if mixed else STRATA - 1)].add(id)
+    def add(self, entry_id: int) -> None:
+        hashed = xxhash.xxh3_64_intdigest(entry_id.to_bytes(8, "little"), self.seed)
+        self.tables[
+            min(STRATA_COUNT - 1, (hashed & -hashed).bit_length() - 1 if hashed else STRATA_COUNT - 1)
+        ].add(entry_id)
 
-    def difference(self, other: Strata) -> int:
-        """About how many differ; errs to the high side by its last factor."""
+    def estimate_difference(self, other: StrataEstimator) -> int:
+        """Estimates how many ids differ. A table that can't be peeled makes the estimate err high."""
         found = 0
-        for n in reversed(range(STRATA)):
-            ours, theirs, all = self.tables[n].less(other.tables[n]).peel()
-            if not all:
-                return 2 * max(1, found) << (n + 1)
-            found += len(ours) + len(theirs)
+        for stratum in reversed(range(STRATA_COUNT)):
+            only_first, only_second, complete = self.tables[stratum].subtract(other.tables[stratum]).peel()
+            if not complete:
+                return 2 * max(1, found) << (stratum + 1)
+            found += len(only_first) + len(only_second)
         return found
 
     def encode(self) -> bytes:
         return struct.pack("<Q", self.seed) + b"".join(table.encode()[12:] for table in self.tables)
 
     @classmethod
-    def decode(cls, data: bytes) -> Strata:
+    def decode(cls, data: bytes) -> StrataEstimator:
         """Raises ValueError."""
-        cells = STRATUM * CELL.size
-        if len(data) != 8 + STRATA * cells:
-            raise ValueError("no strata")
-        made = cls(struct.unpack_from("<Q", data)[0])
-        for n in range(STRATA):
-            head = struct.pack("<IQ", STRATUM // PARTS, made.seed + n)
-            made.tables[n] = Sketch.decode(head + data[8 + n * cells : 8 + (n + 1) * cells])
-        return made
+        stratum_bytes = CELLS_PER_STRATUM * CELL.size
+        if len(data) != 8 + STRATA_COUNT * stratum_bytes:
+            raise ValueError("not strata")
+        estimator = cls(struct.unpack_from("<Q", data)[0])
+        for stratum in range(STRATA_COUNT):
+            header = struct.pack("<IQ", CELLS_PER_STRATUM // PARTS, estimator.seed + stratum)
+            estimator.tables[stratum] = Sketch.decode(
+                header + data[8 + stratum * stratum_bytes : 8 + (stratum + 1) * stratum_bytes]
+            )
+        return estimator
 
 
 @dataclass(slots=True)
 class Difference:
-    """Ids that one side has and the other has not."""
+    """Ids that only one of the two sides has."""
 
-    ours: set[int]
-    theirs: set[int]
+    only_here: set[int]
+    only_there: set[int]
 
 
-class Session:
-    """One side's part: it makes the strata, then a table as large as is needed, twice as large where that did
-    not do, and past `most` cells it says that all must be sent."""
+class ReconcileSession:
+    """One side of a reconciliation: it sends strata, then a table of the estimated size, doubled each time
+    peeling fails. Beyond `max_cells` cells all entries must be sent."""
 
-    def __init__(self, ids: Iterable[int], seed: int, most: int = 1 << 18) -> None:
-        self.ids, self.seed, self.most = set(ids), seed, most
+    def __init__(self, ids: Iterable[int], seed: int, max_cells: int = 1 << 18) -> None:
+        self.ids, self.seed, self.max_cells = set(ids), seed, max_cells
         self.cells = 0
-        self.sent = 0  # bytes of all messages, both ways
+        self.transferred_bytes = 0  # bytes of all messages, both ways
 
-    def strata(self) -> bytes:
-        made = Strata(self.seed)
-        for id in self.ids:
-            made.add(id)
-        return self.told(made.encode())
+    def encode_strata(self) -> bytes:
+        estimator = StrataEstimator(self.seed)
+        for entry_id in self.ids:
+            estimator.add(entry_id)
+        return self.count_bytes(estimator.encode())
 
-    def told(self, data: bytes) -> bytes:
-        self.sent += len(data)
+    def count_bytes(self, data: bytes) -> bytes:
+        self.transferred_bytes += len(data)
         return data
 
-    def wanted(self, theirs: bytes) -> int:
-        """How many cells the table must have, by the other side's strata. Raises ValueError."""
-        self.sent += len(theirs)
-        mine = Strata(self.seed)
-        for id in self.ids:
-            mine.add(id)
-        self.cells = max(30, int(1.6 * mine.difference(Strata.decode(theirs))))
+    def cells_needed(self, other_strata: bytes) -> int:
+        """The table size that is needed, from the strata of the other side. Raises ValueError."""
+        self.transferred_bytes += len(other_strata)
+        own = StrataEstimator(self.seed)
+        for entry_id in self.ids:
+            own.add(entry_id)
+        self.cells = max(30, int(1.6 * own.estimate_difference(StrataEstimator.decode(other_strata))))
         return self.cells
 
-    def table(self, cells: int) -> bytes:
-        made = Sketch(cells, self.seed)
-        for id in self.ids:
-            made.add(id)
-        return made.encode()
-
-    def settle(self, theirs: bytes) -> Difference | None:
-        """What differs, or None where the table was too small: `cells` is the next size to ask for, 0 where
-        all must be sent. Raises ValueError."""
-        self.sent += len(theirs)
-        other = Sketch.decode(theirs)
-        mine = Sketch(other.each * PARTS, other.seed)
-        for id in self.ids:
-            mine.add(id)
-        ours, not_ours, all = mine.less(other).peel()
-        if all:
-            return Difference(ours, not_ours)
-        self.cells = 2 * other.each * PARTS if 2 * other.each * PARTS <= self.most else 0
+    def encode_table(self, cells: int) -> bytes:
+        sketch = Sketch(cells, self.seed)
+        for entry_id in self.ids:
+            sketch.add(entry_id)
+        return sketch.encode()
+
+    def resolve(self, other_table: bytes) -> Difference | None:
+        """The difference, or None if the table was too small: `cells` is then the next size to request, 0 if
+        all entries must be sent. Raises ValueError."""
+        self.transferred_bytes += len(other_table)
+        other = Sketch.decode(other_table)
+        own = Sketch(other.cells_per_part * PARTS, other.seed)
+        for entry_id in self.ids:
+            own.add(entry_id)
+        only_here, only_there, complete = own.subtract(other).peel()
+        if complete:
+            return Difference(only_here, only_there)
+        self.cells = (
+            2 * other.cells_per_part * PARTS if 2 * other.cells_per_part * PARTS <= self.max_cells else 0
+        )
         return None
--- a/harrieryoke/ledger/link.py
+++ b/harrieryoke/ledger/link.py
@@ -29,7 +29,7 @@
 from .decide.export import BatchId
 from .reconciler import Alone, Reconciler, Turns
 from .settings import CollectorSettings, LedgerError
-from .tls import context
+from .tls import create_context
 from .wire import codec
 from .wire.codec import pb
 
@@ -52,7 +52,7 @@
         turns: Turns | None = None,
     ) -> None:
         self.told, self.where, self.ledger, self.runner, self.log = told, where, ledger, runner, log
-        self.context = context(told)
+        self.context = create_context(told)
         self.sock: Any = None
         self.ready, self.over, self.gone = False, False, Event()
         self.pause, self.failed_with = PAUSE_S, ""
@@ -63,9 +63,9 @@
         by: Turns = Alone() if turns is None else turns
         by.given = lambda: runner.want("reconcile")
         self.reconciler = Reconciler(ledger, self.send, lambda: self.ready, log, told.answer_ms, by)
-        runner.add(Job("reconcile", 3, every_ms=told.answer_ms), self.reconciler.slice)
+        runner.add(Job("reconcile", 3, period_ms=told.answer_ms), self.reconciler.slice)
         ledger.sealed = self.reconcile
-        runner.add(Job("export", 6, every_ms=told.batch_ms, deadline_ms=10 * told.batch_ms), self.slice)
+        runner.add(Job("export", 6, period_ms=told.batch_ms, deadline_ms=10 * told.batch_ms), self.slice)
 
     def start(self) -> None:
         spawn(self.log, "collector link", self.run, self.gone.set)
@@ -77,7 +77,7 @@
     def reload(self) -> None:
         """SIGHUP: certificates and keys are read anew, and the next connection is made with them."""
         try:
-            self.context = context(self.told)
+            self.context = create_context(self.told)
         except LedgerError as error:
             self.log("collector-tls", f"the old files stay in force: {error}")
             return
@@ -117,21 +117,21 @@
     def hello(self) -> pb.Hello:
         ledger = self.ledger.ledger
         held = [
-            pb.Epoch(epoch=epoch, batches=out.cut, entries=out.last)
+            pb.Epoch(epoch=epoch, batches=out.last_batch, entries=out.last_entry)
             for epoch, out in ledger.export.epochs.items()
         ]
         began = ledger.epochs[self.ledger.epoch]
         return pb.Hello(
-            version=codec.VERSION,
+            version=codec.PROTOCOL_VERSION,
             instance=began.instance,
             epoch=began.epoch,
-            started_ms=began.at,
+            started_ms=began.started_ms,
             durable=self.ledger.keeper is not None,
             epochs=held,
         )
 
     def read(self) -> None:
-        decoder, welcomed, sock = Decoder(pb.Frame, codec.MOST_FRAME), False, self.sock
+        decoder, welcomed, sock = Decoder(pb.Frame, codec.MAX_FRAME_BYTES), False, self.sock
         while not self.over:
             try:
                 sock.settimeout(self.told.answer_ms / 2000)
@@ -139,7 +139,9 @@
             except TimeoutError as error:
                 if is_broken_off(error):
                     raise
-                if not welcomed or self.ledger.ask(lambda: self.ledger.ledger.export.overdue(now_ms())):
+                if not welcomed or self.ledger.ask(
+                    lambda: self.ledger.ledger.export.answer_overdue(now_ms())
+                ):
                     raise OSError("no answer in time") from None
                 continue
             if not data:
@@ -147,7 +149,7 @@
             for frame in decoder.feed(data):
                 what = frame.WhichOneof("said")
                 if what == "welcome" and not welcomed:
-                    if frame.welcome.version != codec.VERSION:
+                    if frame.welcome.version != codec.PROTOCOL_VERSION:
                         raise WireError(f"version {frame.welcome.version}")
                     welcomed = True
                     held = {e.epoch: e.batches for e in frame.welcome.held}
@@ -166,25 +168,25 @@
     def welcome(self, held: dict[int, int]) -> None:
         export = self.ledger.ledger.export
         open_before = {id for id, b in export.batches.items() if b.state.value in ("waiting", "out")}
-        lost = len(export.lost)
-        export.welcome(held)
+        lost = len(export.lost_batches)
+        export.resume(held)
         for id in sorted(open_before):
             batch = export.batches.get(id)
             if batch is None or batch.state.value == "done":
                 self.ledger.batch_ended(id)
-        for epoch, first, last in export.lost[lost:]:
+        for epoch, first, last in export.lost_batches[lost:]:
             self.log("collector-older", f"batches {first} to {last} of {epoch:x} are gone there and here")
 
     def answer(self, answer: pb.Answer) -> None:
         export, id = self.ledger.ledger.export, BatchId(answer.epoch, answer.number)
         if not answer.refused:
-            if export.acknowledged(id, answer.digest):
+            if export.record_acknowledgement(id, answer.digest):
                 self.ledger.batch_ended(id)
-            elif id in export.aside and "digest" in export.aside[id].reason:
-                self.ledger.batch_ended(id, export.aside[id].reason)
+            elif id in export.set_aside_batches and "digest" in export.set_aside_batches[id].reason:
+                self.ledger.batch_ended(id, export.set_aside_batches[id].reason)
             return
-        export.refused(id, answer.refused, answer.for_good)
-        if answer.for_good and id in export.aside:
+        export.record_refusal(id, answer.refused, answer.for_good)
+        if answer.for_good and id in export.set_aside_batches:
             self.ledger.batch_ended(id, answer.refused)
 
     def slice(self) -> Slice:
@@ -195,7 +197,7 @@
         if batch is None:
             return Slice()
         try:
-            entries = [codec.entry_bytes(entry) for entry in self.ledger.entries_of(batch)]
+            entries = [codec.encode_entry(entry) for entry in self.ledger.entries_of(batch)]
         except LookupError as error:
             reason = str(error)
 
@@ -208,8 +210,8 @@
         made = pb.Batch(
             epoch=batch.id.epoch,
             number=batch.id.number,
-            first=batch.first,
-            last=batch.last,
+            first=batch.first_entry,
+            last=batch.last_entry,
             digest=batch.digest,
             entries=entries,
         )
@@ -248,5 +250,5 @@
     def unfinished(self) -> bool:
         """Cuts what is left, at the end."""
         ledger = self.ledger.ledger
-        ledger.batch_ms = 0.0
-        return bool(ledger.fresh or ledger.export.waiting or ledger.export.out)
+        ledger.max_batch_delay_ms = 0.0
+        return bool(ledger.unbatched or ledger.export.waiting or ledger.export.in_flight)
--- a/harrieryoke/ledger/part.py
+++ b/harrieryoke/ledger/part.py
@@ -17,7 +17,7 @@
 from ..store.settings import StoreSettings
 from .actor import LedgerActor
 from .decide.book import BookError
-from .decide.entry import Amounts, Id
+from .decide.entry import Amounts, EntryId
 from .decide.export import BatchId
 from .decide.periods import PeriodError
 from .link import CollectorLink
@@ -96,8 +96,8 @@
                 return (200, {"again": True}) if done else (404, {"error": "no such batch is set aside"})
             if path == "/ledger/correct":
                 to = Amounts(*(int(query[key]) for key in ("calls", "worth", "took", "held")))
-                entry = self.actor.correct(Id.read(query["id"]), to, query.get("reason", ""))
-                return 200, {"id": str(entry.id), "period": entry.period, "came": entry.came}
+                entry = self.actor.correct(EntryId.parse(query["id"]), to, query.get("reason", ""))
+                return 200, {"id": str(entry.id), "period": entry.period, "came": entry.original_period}
         except KeyError as error:
             return 400, {"error": f"?{error.args[0]}= is wanted"}
         except (ValueError, BookError, PeriodError) as error:
--- a/harrieryoke/ledger/reconciler.py
+++ b/harrieryoke/ledger/reconciler.py
@@ -19,7 +19,7 @@
 from ..core.clock import now_ms
 from ..log import Log
 from .actor import LedgerActor
-from .decide.reconcile import Session
+from .decide.reconcile import ReconcileSession
 from .wire.codec import pb
 
 MOST_RESULTS = 64
@@ -91,7 +91,7 @@
 class Running:
     period: int
     token: int
-    session: Session
+    session: ReconcileSession
     entries: dict[int, bytes]  # ours, by id, as they go over the wire
     asked: float
     reply: pb.Sketch | None = None
@@ -157,7 +157,7 @@
 
     def begin(self, period: int, token: int) -> Slice:
         entries = self.ledger.period_bytes(period)
-        session = Session(entries, secrets.randbits(32))
+        session = ReconcileSession(entries, secrets.randbits(32))
         all_bytes = sum(map(len, entries.values()))
         self.running = run = Running(period, token, session, entries, now_ms(), None, all_bytes)
         # the entries were read beside the loop, which may have taken long
@@ -172,12 +172,12 @@
         reply, run.reply = run.reply, None
         assert reply is not None
         if not reply.cells:
-            return self.ask(run, run.session.wanted(reply.data))
-        found = run.session.settle(reply.data)
+            return self.ask(run, run.session.cells_needed(reply.data))
+        found = run.session.resolve(reply.data)
         if found is None and run.session.cells:
             return self.ask(run, run.session.cells)
         # past the largest table all is sent: the collector keeps what it lacks
-        lacking = list(run.entries) if found is None else sorted(found.ours)
+        lacking = list(run.entries) if found is None else sorted(found.only_here)
         size, part, held = 0, list[bytes](), 0
         for id in lacking:
             part.append(run.entries[id])
@@ -188,7 +188,7 @@
                 if self.over(run):  # a message may wait for the collector to read
                     return Slice(size=size)
         size += self.repair(run, part) if part else 0
-        self.finish(run, len(lacking), None if found is None else len(found.theirs), size)
+        self.finish(run, len(lacking), None if found is None else len(found.only_there), size)
         return Slice(more=self.turns.some(), size=size)
 
     def repair(self, run: Running, entries: list[bytes]) -> int:
@@ -196,7 +196,7 @@
 
     def finish(self, run: Running, sent: int, foreign: int | None, size: int) -> None:
         run.settled, self.running = True, None
-        moved = run.session.sent + size
+        moved = run.session.transferred_bytes + size
         self.turns.done(run.period, run.token, len(run.entries), sent, foreign, moved)
         result = {
             "period": run.period,
--- a/harrieryoke/ledger/settings.py
+++ b/harrieryoke/ledger/settings.py
@@ -1,4 +1,4 @@
-"""The operator's [ledger] table."""
+"""The [ledger] table of the operator's configuration."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 
 
 class LedgerError(ValueError):
-    """A key that can't be used; the message begins with its name."""
+    """An invalid [ledger] key; the message begins with the key."""
 
 
 class CollectorSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """Where the ledger goes. With `ca` the connection is TLS."""
+    """Connection to the collector. With `ca` set it uses TLS."""
 
     address: str
-    ca: str = ""  # certificates (PEM) of those that may sign the collector's
-    certificate: str = ""  # our own, and its key, where the collector wants one
+    ca: str = ""  # CA certificates (PEM) that may sign the collector's certificate
+    certificate: str = ""  # client certificate, with its key, if the collector requires one
     key: str = ""
     server_name: str = ""
-    batch: int = 500  # entries
-    batch_ms: float = 1000.0  # a smaller batch goes after this
-    window: int = 4  # batches without an answer
+    batch: int = 500  # entries per batch
+    batch_ms: float = 1000.0  # a smaller batch is sent after this time
+    window: int = 4  # batches awaiting an answer
     answer_ms: float = 5000.0
 
 
 class LedgerSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The ledger of uses. Without [store] its entries are in memory alone until they are exported."""
+    """The billing ledger. Without a [store] its entries are only in memory until they are exported."""
 
     period_s: int = 86_400
-    grace_s: int = 600  # after a period's end until it is closed
-    key_window_s: float = 600.0  # a key that was served is billed once within it
-    hold_ms: float = 20.0  # that an answer waits for its entry to be durable; 0: it does not wait
-    memory_entries: int = 100_000  # without a store: that wait for the collector
+    grace_s: int = 600  # between the end of a period and its sealing
+    key_window_s: float = 600.0  # a served idempotency key is billed once within this time
+    hold_ms: float = 20.0  # how long an answer waits for its entry to be durable; 0: not at all
+    memory_entries: int = 100_000  # without a store: entries waiting for the collector
     collector: CollectorSettings | None = None
     prices: dict[str, Price] = {}  # by class
 
@@ -46,31 +46,31 @@
             ("hold_ms", 0, 1000),
             ("memory_entries", 1, 100_000_000),
         )
-        for key, least, most in bounds:
-            if not least <= getattr(self, key) <= most:
-                raise LedgerError(f"ledger.{key}: {least:g} to {most:g} is wanted")
+        for key, minimum, maximum in bounds:
+            if not minimum <= getattr(self, key) <= maximum:
+                raise LedgerError(f"ledger.{key}: must be between {minimum:g} and {maximum:g}")
         for name, price in self.prices.items():
             if name not in classes:
-                raise LedgerError(f"ledger.prices.{name}: there is no such class")
+                raise LedgerError(f"ledger.prices.{name}: no such class")
             for key in ("call", "gb_second"):
                 try:
-                    good = Decimal(getattr(price, key)) >= 0
+                    valid = Decimal(getattr(price, key)) >= 0
                 except InvalidOperation:
-                    good = False
-                if not good:
-                    where = f"ledger.prices.{name}.{key}"
-                    raise LedgerError(f"{where}: a decimal from 0 on, as a text, is wanted")
+                    valid = False
+                if not valid:
+                    full_key = f"ledger.prices.{name}.{key}"
+                    raise LedgerError(f"{full_key}: must be a non-negative decimal, as a string")
         if self.collector is not None:
-            c = self.collector
-            for key, least, most in (
+            collector = self.collector
+            for key, minimum, maximum in (
                 ("batch", 1, 5000),
                 ("batch_ms", 1, 3.6e6),
                 ("window", 1, 64),
                 ("answer_ms", 10, 600_000),
             ):
-                if not least <= getattr(c, key) <= most:
-                    raise LedgerError(f"ledger.collector.{key}: {least:g} to {most:g} is wanted")
-            if bool(c.certificate) != bool(c.key):
-                raise LedgerError("ledger.collector.key: a certificate and its key are wanted together")
-            if c.certificate and not c.ca:
-                raise LedgerError("ledger.collector.ca: a certificate is of use only with TLS")
+                if not minimum <= getattr(collector, key) <= maximum:
+                    raise LedgerError(f"ledger.collector.{key}: must be between {minimum:g} and {maximum:g}")
+            if bool(collector.certificate) != bool(collector.key):
+                raise LedgerError("ledger.collector.key: a certificate and its key must be set together")
+            if collector.certificate and not collector.ca:
+                raise LedgerError("ledger.collector.ca: must be set, since a client certificate requires TLS")
--- a/harrieryoke/ledger/tls.py
+++ b/harrieryoke/ledger/tls.py
@@ -1,4 +1,4 @@
-"""TLS towards the collector: its files are checked when they are read, so that a wrong one is named at
+"""TLS context for the collector. Files are checked when they are read, so that a bad one is reported at
 once."""
 
 from __future__ import annotations
@@ -13,35 +13,39 @@
 from .settings import CollectorSettings, LedgerError
 
 
-def context(told: CollectorSettings) -> SSLContext | None:
-    """For all connections until the next reload, whatever becomes of the files. None without TLS. Raises
-    LedgerError that names the key and the file: missing, no PEM, expired, not yet valid, a key that is not
-    the certificate's."""
-    if not told.ca:
+def create_context(settings: CollectorSettings) -> SSLContext | None:
+    """The context for all connections until the next reload; later changes to the files have no effect on it.
+    None without TLS. Raises LedgerError naming the key and the file: missing, not PEM, expired, not yet
+    valid, or a key that does not match the certificate."""
+    if not settings.ca:
         return None
-    for each in certificates("ca", told.ca):
-        valid("ca", told.ca, each)
-    made = SSLContext(ssl.PROTOCOL_TLS_CLIENT)  # it checks certificate and name
-    made.minimum_version = ssl.TLSVersion.TLSv1_2
-    made.load_verify_locations(told.ca)
-    if told.certificate:
-        own = certificates("certificate", told.certificate)[0]
-        valid("certificate", told.certificate, own)
+    for certificate in load_certificates("ca", settings.ca):
+        check_validity("ca", settings.ca, certificate)
+    tls_context = SSLContext(ssl.PROTOCOL_TLS_CLIENT)  # verifies the certificate and the host name
+    tls_context.minimum_version = ssl.TLSVersion.TLSv1_2
+    tls_context.load_verify_locations(settings.ca)
+    if settings.certificate:
+        client_certificate = load_certificates("certificate", settings.certificate)[0]
+        check_validity("certificate", settings.certificate, client_certificate)
         try:
-            with open(told.key, "rb") as file:
+            with open(settings.key, "rb") as file:
                 key = serialization.load_pem_private_key(file.read(), None)
         except OSError as error:
             raise LedgerError(f"ledger.collector.key: {error}") from None
         except (ValueError, TypeError) as error:
-            raise LedgerError(f"ledger.collector.key: {told.key}: {error}") from None
-        form = (serialization.Encoding.DER, serialization.PublicFormat.SubjectPublicKeyInfo)
-        if key.public_key().public_bytes(*form) != own.public_key().public_bytes(*form):
-            raise LedgerError(f"ledger.collector.key: {told.key} is not the key of {told.certificate}")
-        made.load_cert_chain(told.certificate, told.key)
-    return made
+            raise LedgerError(f"ledger.collector.key: {settings.key}: {error}") from None
+        encoding = (serialization.Encoding.DER, serialization.PublicFormat.SubjectPublicKeyInfo)
+        if key.public_key().public_bytes(*encoding) != client_certificate.public_key().public_bytes(
+            *encoding
+        ):
+            raise LedgerError(
+                f"ledger.collector.key: {settings.key} is not the key of {settings.certificate}"
+            )
+        tls_context.load_cert_chain(settings.certificate, settings.key)
+    return tls_context
 
 
-def certificates(key: str, path: str) -> list[x509.Certificate]:
+def load_certificates(key: str, path: str) -> list[x509.Certificate]:
     try:
         with open(path, "rb") as file:
             return x509.load_pem_x509_certificates(file.read())
@@ -51,10 +55,12 @@
         raise LedgerError(f"ledger.collector.{key}: {path}: {error}") from None
 
 
-def valid(key: str, path: str, certificate: x509.Certificate) -> None:
-    now, begin = time.time(), certificate.not_valid_before_utc
-    end = certificate.not_valid_after_utc
-    if now >= end.timestamp():
-        raise LedgerError(f"ledger.collector.{key}: {path} has expired at {end:%Y-%m-%d %H:%M} UTC")
-    if now < begin.timestamp():
-        raise LedgerError(f"ledger.collector.{key}: {path} is valid only from {begin:%Y-%m-%d %H:%M} UTC on")
+def check_validity(key: str, path: str, certificate: x509.Certificate) -> None:
+    now, not_before = time.time(), certificate.not_valid_before_utc
+    not_after = certificate.not_valid_after_utc
+    if now >= not_after.timestamp():
+        raise LedgerError(f"ledger.collector.{key}: {path} expired at {not_after:%Y-%m-%d %H:%M} UTC")
+    if now < not_before.timestamp():
+        raise LedgerError(
+            f"ledger.collector.{key}: {path} is not valid before {not_before:%Y-%m-%d %H:%M} UTC"
+        )
--- a/harrieryoke/ledger/wire/codec.py
+++ b/harrieryoke/ledger/wire/codec.py
@@ -1,4 +1,4 @@
-"""Entries as the collector gets them."""
+"""Encoding of entries for the collector."""
 
 from __future__ import annotations
 
@@ -8,48 +8,49 @@
 from ..decide.entry import Entry
 from . import ledger_pb2 as pb
 
-__all__ = ["MOST_FRAME", "VERSION", "digest", "entry_bytes", "pb", "wire_id"]
+__all__ = ["MAX_FRAME_BYTES", "PROTOCOL_VERSION", "batch_digest", "encode_entry", "entry_wire_id", "pb"]
 
-VERSION = 1
-MOST_FRAME = 4 << 20  # bytes
+PROTOCOL_VERSION = 1
+MAX_FRAME_BYTES = 4 << 20  # bytes
 
 
-def entry_bytes(entry: Entry) -> bytes:
-    """The same bytes each time: a batch that is sent again has the digest that it had."""
-    a = entry.amounts
-    made = pb.Entry(
+def encode_entry(entry: Entry) -> bytes:
+    """Deterministic: a batch that is sent again has the same digest."""
+    amounts = entry.amounts
+    message = pb.Entry(
         instance=entry.id.instance,
         epoch=entry.id.epoch,
         number=entry.id.number,
         kind=pb.Kind.Name(entry.kind),
-        at_ms=entry.at,
+        at_ms=entry.time_ms,
         period=entry.period,
         tenant=entry.tenant,
-        klass=entry.klass,
+        klass=entry.class_name,
         outcome=entry.outcome,
-        calls=a.calls,
-        worth=a.worth,
-        took=a.took,
-        held=a.held,
-        over=entry.over,
+        calls=amounts.calls,
+        worth=amounts.worth,
+        took=amounts.took,
+        held=amounts.held,
+        over=entry.over_share,
         function=entry.function,
         label=entry.label,
-        repeat=entry.repeat,
-        came=entry.came,
+        repeat=entry.is_repeat,
+        came=entry.original_period,
         corrects=str(entry.corrects) if entry.corrects is not None else "",
         reason=entry.reason,
-        call=entry.call,
+        call=entry.call_id,
     )
-    return made.SerializeToString(deterministic=True)
+    return message.SerializeToString(deterministic=True)
 
 
-def wire_id(data: bytes) -> int:
-    """By which the two sides of a reconciliation know an entry."""
+def entry_wire_id(data: bytes) -> int:
+    """Id of an encoded entry in reconciliation."""
     return int.from_bytes(hashlib.blake2b(data, digest_size=8).digest(), "little")
 
 
-def digest(entries: Iterable[bytes]) -> str:
-    told = hashlib.blake2b(digest_size=16)
+def batch_digest(entries: Iterable[bytes]) -> str:
+    """Digest of the encoded entries of a batch."""
+    hasher = hashlib.blake2b(digest_size=16)
     for entry in entries:
-        told.update(len(entry).to_bytes(4, "little") + entry)
-    return told.hexdigest()
+        hasher.update(len(entry).to_bytes(4, "little") + entry)
+    return hasher.hexdigest()
--- a/harrieryoke/store/decide/keep.py
+++ b/harrieryoke/store/decide/keep.py
@@ -37,8 +37,8 @@
     `first_needed_seq` is the first sequence number that a reader (the export) still needs. A segment is
     removable if the newest snapshot covers it and no reader needs it. While the total size exceeds
     `budget_bytes`, the oldest covered segments are removed even though a reader needs them, and `lost_seqs`
-    reports what that loses. Segments that no snapshot covers are never removed: the state could not be rebuilt
-    without them.
+    reports what that loses. Segments that no snapshot covers are never removed: the state could not be
+    rebuilt without them.
     """
     covered_seq = max(snapshots, default=0)
     removed, total_bytes = list[int](), active_bytes + sum(segment.size for segment in sealed)
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -7,23 +7,23 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from harrieryoke.background.decide.schedule import Ended, Job, Schedule
+from harrieryoke.background.decide.schedule import Job, JobScheduler, SliceResult
 
 FUZZ = settings(max_examples=120, deadline=None, derandomize=True)
 
 
 def play(
-    schedule: Schedule, until: float, took: float, size: int, step: float = 5.0, busy: bool = False
+    schedule: JobScheduler, until: float, took: float, size: int, step: float = 5.0, busy: bool = False
 ) -> list[tuple[float, str]]:
     ran, now = [], 0.0
     while now < until:
-        name = schedule.pick(now, busy)
+        name = schedule.start_next(now, busy)
         if name is None:
             now += step
             continue
         ran.append((now, name))
         now += took
-        schedule.ended(now, Ended.MORE, took, size)
+        schedule.finish_slice(now, SliceResult.MORE, took, size)
     return ran
 
 
@@ -32,10 +32,10 @@
 def test_no_second_holds_more_than_its_budget_and_one_slice(
     share: float, took: float, rate: float, size: int
 ) -> None:
-    schedule = Schedule(share, rate, 1)
+    schedule = JobScheduler(share, rate, 1)
     for name, priority in (("a", 9), ("b", 1)):
         schedule.add(Job(name, priority), 0.0)
-        schedule.want(name, 0.0)
+        schedule.request(name, 0.0)
     ran = play(schedule, 20_000.0, took, size)
     for begin in range(0, 19_000, 500):
         part = [at for at, _ in ran if begin <= at < begin + 1000]
@@ -46,10 +46,10 @@
 
 
 def test_the_higher_priority_goes_first_and_the_lower_does_not_starve() -> None:
-    schedule = Schedule(0.5, 1e9, 1, age_ms=500.0)
+    schedule = JobScheduler(0.5, 1e9, 1, aging_ms=500.0)
     for name, priority in (("export", 8), ("compact", 2)):
         schedule.add(Job(name, priority), 0.0)
-        schedule.want(name, 0.0)
+        schedule.request(name, 0.0)
     ran = play(schedule, 60_000.0, 10.0, 0)
     low = [at for at, name in ran if name == "compact"]
     assert ran[0][1] == "export" and len(low) < len(ran) / 20
@@ -57,53 +57,53 @@
 
 
 def test_while_serving_is_busy_only_what_is_past_its_deadline_runs() -> None:
-    schedule = Schedule(0.5, 1e9, 1)
+    schedule = JobScheduler(0.5, 1e9, 1)
     schedule.add(Job("export", 8, deadline_ms=2000.0), 0.0)
     schedule.add(Job("compact", 9), 0.0)
-    schedule.want("export", 0.0)
-    schedule.want("compact", 0.0)
-    assert schedule.pick(1000.0, busy=True) is None
-    assert schedule.wake_at(1000.0, busy=True) == 2001.0
-    assert schedule.pick(2001.0, busy=True) == "export"
-    schedule.ended(2002.0, Ended.DONE, 1.0, 0)
-    assert schedule.pick(2003.0, busy=True) is None and schedule.jobs["export"].late == 1
+    schedule.request("export", 0.0)
+    schedule.request("compact", 0.0)
+    assert schedule.start_next(1000.0, busy=True) is None
+    assert schedule.next_wake(1000.0, busy=True) == 2001.0
+    assert schedule.start_next(2001.0, busy=True) == "export"
+    schedule.finish_slice(2002.0, SliceResult.DONE, 1.0, 0)
+    assert schedule.start_next(2003.0, busy=True) is None and schedule.jobs["export"].late_count == 1
 
 
 def test_a_job_that_fails_pauses_longer_each_time_with_jitter_and_a_wish_does_not_shorten_it() -> None:
     pauses = []
     for seed in range(20):
-        schedule, now = Schedule(1.0, 1e9, seed), 0.0
+        schedule, now = JobScheduler(1.0, 1e9, seed), 0.0
         schedule.add(Job("export"), 0.0)
-        schedule.want("export", 0.0)
+        schedule.request("export", 0.0)
         for n in range(12):
-            while schedule.pick(now, False) is None:
-                schedule.want("export", now)
-                now = schedule.wake_at(now, False) or now
-            schedule.ended(now, Ended.FAILED, 0.0, 0)
-            pause = schedule.jobs["export"].next_at - now
+            while schedule.start_next(now, False) is None:
+                schedule.request("export", now)
+                now = schedule.next_wake(now, False) or now
+            schedule.finish_slice(now, SliceResult.FAILED, 0.0, 0)
+            pause = schedule.jobs["export"].next_run_at - now
             assert 0.5 * min(60_000.0, 250.0 * 2**n) <= pause <= 1.5 * min(60_000.0, 250.0 * 2**n)
-        pauses.append(schedule.jobs["export"].next_at)
+        pauses.append(schedule.jobs["export"].next_run_at)
     assert len(set(pauses)) == 20
 
 
 def test_what_is_wanted_while_it_runs_runs_once_more() -> None:
-    schedule = Schedule(1.0, 1e9, 1)
+    schedule = JobScheduler(1.0, 1e9, 1)
     schedule.add(Job("snapshot"), 0.0)
-    schedule.want("snapshot", 0.0)
-    assert schedule.pick(1.0, False) == "snapshot"
+    schedule.request("snapshot", 0.0)
+    assert schedule.start_next(1.0, False) == "snapshot"
     for _ in range(3):
-        schedule.want("snapshot", 1.0)
-    schedule.ended(2.0, Ended.DONE, 1.0, 0)
-    assert schedule.pick(3.0, False) == "snapshot"
-    schedule.ended(4.0, Ended.DONE, 1.0, 0)
-    assert schedule.pick(5.0, False) is None and schedule.wake_at(5.0, False) is None
+        schedule.request("snapshot", 1.0)
+    schedule.finish_slice(2.0, SliceResult.DONE, 1.0, 0)
+    assert schedule.start_next(3.0, False) == "snapshot"
+    schedule.finish_slice(4.0, SliceResult.DONE, 1.0, 0)
+    assert schedule.start_next(5.0, False) is None and schedule.next_wake(5.0, False) is None
 
 
 def test_a_clock_that_steps_back_delays_nothing_and_pays_no_budget_twice() -> None:
-    schedule = Schedule(0.1, 1e9, 1)
-    schedule.add(Job("compact", every_ms=1000.0), 1e9)
-    assert schedule.pick(1e9 + 1000.0, False) == "compact"
-    schedule.ended(1e9 + 1000.0, Ended.DONE, 500.0, 0)
-    left = schedule.time.left
-    assert schedule.pick(1e9 - 3_600_000.0, False) is None and schedule.time.left == left
-    assert schedule.jobs["compact"].next_at <= 1e9 - 3_600_000.0 + 1000.0
+    schedule = JobScheduler(0.1, 1e9, 1)
+    schedule.add(Job("compact", period_ms=1000.0), 1e9)
+    assert schedule.start_next(1e9 + 1000.0, False) == "compact"
+    schedule.finish_slice(1e9 + 1000.0, SliceResult.DONE, 500.0, 0)
+    left = schedule.time_budget.tokens
+    assert schedule.start_next(1e9 - 3_600_000.0, False) is None and schedule.time_budget.tokens == left
+    assert schedule.jobs["compact"].next_run_at <= 1e9 - 3_600_000.0 + 1000.0
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -21,10 +21,10 @@
 from harrieryoke.core.records import Call
 from harrieryoke.lab.collector import EmulatedCollector
 from harrieryoke.ledger.decide.book import BookError
-from harrieryoke.ledger.decide.entry import Amounts, Id
+from harrieryoke.ledger.decide.entry import Amounts, EntryId
 from harrieryoke.ledger.part import LedgerPart
 from harrieryoke.ledger.settings import CollectorSettings, LedgerError, LedgerSettings
-from harrieryoke.ledger.tls import context
+from harrieryoke.ledger.tls import create_context
 from harrieryoke.limits import Limits
 from harrieryoke.plugins.bench import SETTINGS, Caller, Quiet
 from harrieryoke.store.settings import StoreSettings
@@ -185,17 +185,17 @@
 def test_a_correction_of_a_correction_is_found_after_a_restart(tmp_path: Path) -> None:
     rig = Rig(tmp_path, None)
     rig.ends(3)
-    until(lambda: rig.part.actor.ledger.book.number == 3)
+    until(lambda: rig.part.actor.ledger.book.last_number == 3)
     epoch = rig.part.actor.epoch
-    first = rig.part.actor.correct(Id("n1", epoch, 2), Amounts(1, 0, 10, 4000), "measured wrong")
+    first = rig.part.actor.correct(EntryId("n1", epoch, 2), Amounts(1, 0, 10, 4000), "measured wrong")
     rig.part.stop()
     rig = Rig(tmp_path, None)
     second = rig.part.actor.correct(first.id, Amounts(), "it was a test call")
     assert second.amounts == Amounts(-1, 0, -10, -4000) and second.corrects == first.id
     with pytest.raises(BookError, match="already"):
-        rig.part.actor.correct(Id("n1", epoch, 2), Amounts(), "again")
+        rig.part.actor.correct(EntryId("n1", epoch, 2), Amounts(), "again")
     with pytest.raises(BookError, match="not in the store"):
-        rig.part.actor.correct(Id("n1", epoch, 99), Amounts(), "none")
+        rig.part.actor.correct(EntryId("n1", epoch, 99), Amounts(), "none")
     code, told = rig.part.answer("POST", "/ledger/correct", {"id": "x"}, 1000)
     assert code == 400 and "calls" in told["error"]
     totals = rig.part.actor.ask_status(1000)["totals"]
@@ -206,7 +206,7 @@
 def test_periods_close_by_themselves_and_a_snapshot_carries_them_over_a_restart(tmp_path: Path) -> None:
     rig = Rig(tmp_path, None, period_s=1, grace_s=0, store={"snapshot_every": 100})
     rig.ends(150)
-    until(lambda: rig.part.actor.ledger.book.number == 150)
+    until(lambda: rig.part.actor.ledger.book.last_number == 150)
     until(lambda: all(p["sealed"] for p in rig.part.actor.ask_status(1000)["periods"]), 30)
     rig.part.runner.want("snapshot")
     until(lambda: rig.part.actor.snapshot_seq > 0)
@@ -244,7 +244,7 @@
     actor = rig.part.actor
     actor.ask(actor.ledger.export.connection_lost)
     assert actor.keeper is not None and actor.keeper.wait_durable(actor.keeper.next_seq - 1, 5)
-    rig.part.runner.schedule.jobs["snapshot"].next_at = 0.0
+    rig.part.runner.schedule.jobs["snapshot"].next_run_at = 0.0
     rig.part.runner.want("snapshot")
     until(lambda: actor.snapshot_seq > 500)
     rig.part.runner.want("compact")
@@ -404,7 +404,7 @@
     )
     for files, words in wrong:
         with pytest.raises(LedgerError, match=words):
-            context(CollectorSettings("127.0.0.1:1", **files))
+            create_context(CollectorSettings("127.0.0.1:1", **files))
     from gevent.ssl import SSLContext
 
     server = SSLContext(ssl.PROTOCOL_TLS_SERVER)
--- a/tests/test_ledger_crash.py
+++ b/tests/test_ledger_crash.py
@@ -9,10 +9,19 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from harrieryoke.ledger.decide.book import Book, Use
-from harrieryoke.ledger.decide.entry import Amounts, Entry, decode
+from harrieryoke.ledger.decide.book import Book, CallUsage
+from harrieryoke.ledger.decide.entry import Amounts, Entry, decode_entry
 from harrieryoke.ledger.decide.export import BatchId, ExportState
-from harrieryoke.ledger.decide.ledger import CUT, DONE, ENTRIES, SEAL, Cut, Done, Ledger, Sealed
+from harrieryoke.ledger.decide.ledger import (
+    BATCH_CREATED,
+    BATCH_FINISHED,
+    ENTRY_KINDS,
+    PERIOD_SEALED,
+    BatchCreated,
+    BatchFinished,
+    LedgerState,
+    PeriodSealed,
+)
 from harrieryoke.ledger.decide.periods import Periods
 from harrieryoke.store.decide.segment import Record
 from harrieryoke.store.settings import StoreError, StoreSettings
@@ -30,7 +39,9 @@
 
     def __init__(self, disk: Disk, epoch: int, collector: dict[BatchId, tuple[str, list[Entry]]]) -> None:
         self.disk, self.collector, self.now = disk, collector, 10.0 * HOUR
-        self.ledger = Ledger(Book("n1", epoch, Periods(HOUR, 0), 6000), ExportState(keep=2), batch=3)
+        self.ledger = LedgerState(
+            Book("n1", epoch, Periods(HOUR, 0), 6000), ExportState(max_kept_batches=2), max_batch_entries=3
+        )
         self.store = Store(
             disk, StoreSettings("x", segment_mb=0.002, sync="group"), 0.0, self.visit, self.load
         )
@@ -52,52 +63,63 @@
     def act(self, step: str, value: int, rng: random.Random) -> None:
         book = self.ledger.book
         if step == "use":
-            use = Use(int(self.now), f"t{value % 3}", "c", "served", 1000, value, 400, key=f"k{value % 50}")
-            self.enter(book.use(use))
+            use = CallUsage(
+                int(self.now),
+                f"t{value % 3}",
+                "c",
+                "served",
+                1000,
+                value,
+                400,
+                idempotency_key=f"k{value % 50}",
+            )
+            self.enter(book.add_usage(use))
         elif step == "correct":
-            mine = [f.entry for f in self.ledger.fresh if f.entry.amounts != Amounts()]
+            mine = [f.entry for f in self.ledger.unbatched if f.entry.amounts != Amounts()]
             if mine:
                 old = rng.choice(mine)
                 to = Amounts(1, value, value, value)
                 if to != old.amounts:
-                    self.enter(book.correct(old, old.amounts, to, "wrong", int(self.now)))
+                    self.enter(book.add_correction(old, old.amounts, to, "wrong", int(self.now)))
         elif step == "seal":
             self.now += HOUR
-            for number in book.periods.due(int(self.now)):
+            for number in book.periods.due_for_sealing(int(self.now)):
                 period = book.seal(number, int(self.now))
-                self.keep(SEAL, PACK(Sealed(number, period.sealed, int(self.now))))
+                self.keep(PERIOD_SEALED, PACK(PeriodSealed(number, period.seal_digest, int(self.now))))
         elif step == "export":
             self.export()
         elif step == "snapshot" and self.flush():
             self.store.take_snapshot(self.store.commit.durable_seq, self.ledger.dump())
         elif step == "compact" and self.flush():
-            self.store.compact(self.ledger.needed(self.store.commit.next_seq))
+            self.store.compact(self.ledger.first_needed_seq(self.store.commit.next_seq))
         elif step == "flush":
             self.flush()
 
     def enter(self, entry: Entry) -> None:
-        self.ledger.entered(self.keep(entry.kind, entry.encode()), entry, self.now)
+        self.ledger.add_unbatched(self.keep(entry.kind, entry.encode()), entry, self.now)
 
     def export(self) -> None:
         """As the daemon does it: cut, the cut durable, send, and only then the end."""
         durable = self.store.commit.durable_seq
-        while run := self.ledger.due(self.now, durable, flush=True):
-            batch = self.ledger.cut(run, str(run[0].entry.id))
-            cut = Cut(*batch.id, batch.first, batch.last, batch.begin, batch.end, batch.digest)
-            self.keep(CUT, PACK(cut))
+        while run := self.ledger.next_batch_entries(self.now, durable, flush=True):
+            batch = self.ledger.create_batch(run, str(run[0].entry.id))
+            cut = BatchCreated(
+                *batch.id, batch.first_entry, batch.last_entry, batch.first_seq, batch.last_seq, batch.digest
+            )
+            self.keep(BATCH_CREATED, PACK(cut))
         if not self.flush():
             return
         while (chosen := self.ledger.export.next_to_send(self.now)) is not None:
             found = [
-                decode(r.payload)
-                for r in self.store.records_from_seq(chosen.begin)
-                if r.seq <= chosen.end and r.kind in ENTRIES
+                decode_entry(r.payload)
+                for r in self.store.records_from_seq(chosen.first_seq)
+                if r.seq <= chosen.last_seq and r.kind in ENTRY_KINDS
             ]
-            assert [e.id.number for e in found] == list(range(chosen.first, chosen.last + 1))
+            assert [e.id.number for e in found] == list(range(chosen.first_entry, chosen.last_entry + 1))
             held = self.collector.setdefault(chosen.id, (chosen.digest, found))
             assert held == (chosen.digest, found)  # under one number there is never another content
-            assert self.ledger.export.acknowledged(chosen.id, held[0])
-            self.keep(DONE, PACK(Done(*chosen.id, "")))
+            assert self.ledger.export.record_acknowledgement(chosen.id, held[0])
+            self.keep(BATCH_FINISHED, PACK(BatchFinished(*chosen.id, "")))
 
 
 @FUZZ
@@ -127,9 +149,9 @@
         made = Life(disk, epoch, collector)
         assert not made.ledger.damaged and not made.store.recovery.damaged
         for number, digest in sealed.items():  # what was sealed and durable is sealed for ever
-            assert made.ledger.book.periods.known[number].sealed == digest
+            assert made.ledger.book.periods.by_number[number].seal_digest == digest
         for id, (_, entries) in collector.items():  # nothing that was sent is unknown here
-            assert made.ledger.export.epochs[id.epoch].last >= entries[-1].id.number
+            assert made.ledger.export.epochs[id.epoch].last_entry >= entries[-1].id.number
         made.ledger.export.connection_lost()
         return made
 
@@ -138,7 +160,9 @@
             life = life or begin()
             life.act(step, value, rng)
             if step in ("seal", "flush") and life.flush():
-                sealed |= {n: p.sealed for n, p in life.ledger.book.periods.known.items() if p.sealed}
+                sealed |= {
+                    n: p.seal_digest for n, p in life.ledger.book.periods.by_number.items() if p.seal_digest
+                }
         except (Crash, Killed) as ended:
             if isinstance(ended, Crash):
                 disk.crash()
@@ -159,8 +183,8 @@
     assert len({e.id for e in entries}) == len(entries)  # each once
     book = last.ledger.book
     assert sum((e.amounts for e in entries), Amounts()) == sum(book.totals.lines.values(), Amounts())
-    assert sum(p.sum.count for p in book.periods.known.values()) == len(entries)
+    assert sum(p.entry_set.count for p in book.periods.by_number.values()) == len(entries)
     sums: dict[int, int] = {}
     for entry in entries:
         sums[entry.period] = (sums.get(entry.period, 0) + entry.digest()) % (1 << 128)
-    assert {n: p.sum.digest for n, p in book.periods.known.items() if p.sum.count} == sums
+    assert {n: p.entry_set.digest_sum for n, p in book.periods.by_number.items() if p.entry_set.count} == sums
--- a/tests/test_ledger_decide.py
+++ b/tests/test_ledger_decide.py
@@ -10,8 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from harrieryoke.ledger.decide.book import Book, BookError, Price, Use, billed
-from harrieryoke.ledger.decide.entry import Amounts, Entry, Id, decode
+from harrieryoke.ledger.decide.book import Book, BookError, CallUsage, Price, bill_by_tenant
+from harrieryoke.ledger.decide.entry import Amounts, Entry, EntryId, decode_entry
 from harrieryoke.ledger.decide.export import BatchId, ExportState
 from harrieryoke.ledger.decide.periods import PeriodError, Periods
 
@@ -25,8 +25,8 @@
 
 def use(
     at: int, tenant: str = "coop-kef", outcome: str = "served", key: str | None = None, took: int = 50
-) -> Use:
-    return Use(at, tenant, "harvest-log", outcome, 3000, took, 400, key=key)
+) -> CallUsage:
+    return CallUsage(at, tenant, "harvest-log", outcome, 3000, took, 400, idempotency_key=key)
 
 
 STEPS = st.lists(
@@ -46,13 +46,13 @@
 ) -> None:
     rng, made, now, sealed = random.Random(seed), book(), 10 * HOUR, dict[int, tuple[str, object]]()
     entries: list[Entry] = []
-    amount: dict[Id, Amounts] = {}  # what each root amounts to, by exact arithmetic
-    root: dict[Id, Id] = {}
+    amount: dict[EntryId, Amounts] = {}  # what each root amounts to, by exact arithmetic
+    root: dict[EntryId, EntryId] = {}
     for step, tenant, value in steps:
         if step == "clock":
             now += (value - 100) * 60_000  # back and forth over the ends of periods
         elif step == "use":
-            entries.append(made.use(use(now, tenant, took=value)))
+            entries.append(made.add_usage(use(now, tenant, took=value)))
             amount[entries[-1].id] = entries[-1].amounts
             root[entries[-1].id] = entries[-1].id
         elif step == "correct" and entries:
@@ -60,24 +60,27 @@
             first = root[old.id]  # a correction of a correction corrects what it corrected
             to = Amounts(1, value, value, 7 * value)
             if to != amount[first]:
-                entries.append(made.correct(old, amount[first], to, "counted wrong", now))
+                entries.append(made.add_correction(old, amount[first], to, "counted wrong", now))
                 root[entries[-1].id], amount[first] = first, to
         elif step == "seal":
-            for number in made.periods.due(now):
+            for number in made.periods.due_for_sealing(now):
                 made.seal(number, now)
-                sealed[number] = (made.periods.known[number].sealed, made.totals.of(number))
+                sealed[number] = (made.periods.by_number[number].seal_digest, made.totals.select(number))
     for number, (digest, lines) in sealed.items():
-        period = made.periods.known[number]
-        assert (period.sealed, made.totals.of(number)) == (digest, lines) and period.sum.hex() == digest
+        period = made.periods.by_number[number]
+        assert (period.seal_digest, made.totals.select(number)) == (
+            digest,
+            lines,
+        ) and period.entry_set.to_text() == digest
     total = sum(made.totals.lines.values(), Amounts())
     assert total == sum(amount.values(), Amounts())
     # the same entries give the same book, and a snapshot gives it too
     again = book()
     for entry in entries:
-        again.apply(decode(entry.encode()))
+        again.apply(decode_entry(entry.encode()))
     assert again.totals.lines == made.totals.lines
-    assert {n: p.sum.hex() for n, p in again.periods.known.items() if p.sum.count} == {
-        n: p.sum.hex() for n, p in made.periods.known.items() if p.sum.count
+    assert {n: p.entry_set.to_text() for n, p in again.periods.by_number.items() if p.entry_set.count} == {
+        n: p.entry_set.to_text() for n, p in made.periods.by_number.items() if p.entry_set.count
     }
     loaded = book(2)
     loaded.load(made.dump())
@@ -87,52 +90,56 @@
         (Fraction("0.0013") * a.calls + Fraction("0.0000007") * a.held / 1_000_000 for a in amount.values()),
         Fraction(0),
     )
-    assert Fraction(sum(billed(made.totals.lines, prices).values(), Decimal(0))) == exact
+    assert Fraction(sum(bill_by_tenant(made.totals.lines, prices).values(), Decimal(0))) == exact
 
 
 def test_what_comes_for_a_closed_period_counts_in_the_next_and_says_so() -> None:
     made = book()
-    old = made.use(use(10 * HOUR))
-    assert made.periods.due(11 * HOUR + 59_999) == [] and made.periods.due(11 * HOUR + 60_000) == [10]
+    old = made.add_usage(use(10 * HOUR))
+    assert made.periods.due_for_sealing(11 * HOUR + 59_999) == [] and made.periods.due_for_sealing(
+        11 * HOUR + 60_000
+    ) == [10]
     with pytest.raises(PeriodError, match="not over"):
         made.seal(10, 11 * HOUR - 1)
-    digest = made.seal(10, 12 * HOUR).sealed
-    late = made.use(use(11 * HOUR - 1))
-    fixed = made.correct(old, old.amounts, Amounts(), "billed by mistake", 12 * HOUR)
-    assert (late.period, late.came, fixed.period, fixed.came) == (11, 10, 11, 10)
-    assert fixed.reason == "billed by mistake" and made.periods.known[10].sealed == digest
+    digest = made.seal(10, 12 * HOUR).seal_digest
+    late = made.add_usage(use(11 * HOUR - 1))
+    fixed = made.add_correction(old, old.amounts, Amounts(), "billed by mistake", 12 * HOUR)
+    assert (late.period, late.original_period, fixed.period, fixed.original_period) == (11, 10, 11, 10)
+    assert fixed.reason == "billed by mistake" and made.periods.by_number[10].seal_digest == digest
     with pytest.raises(PeriodError, match="sealed already"):
         made.seal(10, 13 * HOUR)
     with pytest.raises(BookError, match="reason"):
-        made.correct(old, old.amounts, Amounts(2), " ", 0)
-    undone = made.correct(fixed, Amounts(), old.amounts, "it was none", 12 * HOUR)
+        made.add_correction(old, old.amounts, Amounts(2), " ", 0)
+    undone = made.add_correction(fixed, Amounts(), old.amounts, "it was none", 12 * HOUR)
     assert undone.corrects == fixed.id and sum(made.totals.lines.values(), Amounts()).calls == 2
 
 
 def test_a_keyed_repeat_is_billed_once_also_after_a_restart_and_a_step_of_the_clock() -> None:
     made = book()
-    entries = [made.use(use(HOUR, key="k1")), made.use(use(HOUR + 10, key="k1"))]
-    entries.append(made.use(use(HOUR - 5000, key="k1")))  # the clock stepped back
-    entries.append(made.use(use(HOUR + 20, "coop-jerba", key="k1")))  # another tenant's is another key
-    entries.append(made.use(use(HOUR + 20, outcome="refused", key="k2")))
-    entries.append(made.use(use(HOUR + 30, key="k2")))
-    assert [e.repeat for e in entries] == [False, True, True, False, False, False]
+    entries = [made.add_usage(use(HOUR, key="k1")), made.add_usage(use(HOUR + 10, key="k1"))]
+    entries.append(made.add_usage(use(HOUR - 5000, key="k1")))  # the clock stepped back
+    entries.append(made.add_usage(use(HOUR + 20, "coop-jerba", key="k1")))  # another tenant's is another key
+    entries.append(made.add_usage(use(HOUR + 20, outcome="refused", key="k2")))
+    entries.append(made.add_usage(use(HOUR + 30, key="k2")))
+    assert [e.is_repeat for e in entries] == [False, True, True, False, False, False]
     after = book(2)
     for entry in entries:
         after.apply(entry)
-    assert after.use(use(HOUR + 40, key="k1")).repeat
+    assert after.add_usage(use(HOUR + 40, key="k1")).is_repeat
     later = book(3)
     later.load(after.dump())
-    assert later.use(use(HOUR + 50, key="k1")).repeat
-    assert not later.use(use(HOUR + 50_000, key="k1")).repeat  # past its window: the rack ran it again
+    assert later.add_usage(use(HOUR + 50, key="k1")).is_repeat
+    assert not later.add_usage(
+        use(HOUR + 50_000, key="k1")
+    ).is_repeat  # past its window: the rack ran it again
 
 
 def test_totals_keep_their_sum_when_there_are_more_lines_than_room() -> None:
     made = book()
-    made.totals.most = 3
+    made.totals.max_lines = 3
     for n in range(10):
-        made.use(use(HOUR, f"coop-{n}"))
-    assert len(made.totals.lines) == 4 and made.totals.lumped == 7
+        made.add_usage(use(HOUR, f"coop-{n}"))
+    assert len(made.totals.lines) == 4 and made.totals.lumped_count == 7
     assert sum(made.totals.lines.values(), Amounts()).calls == 10
 
 
@@ -162,25 +169,25 @@
 )
 def test_whatever_the_collector_does_each_entry_is_there_once_in_the_end(steps: list[str], seed: int) -> None:
     rng = random.Random(seed)
-    export, collector = ExportState(window=3, keep=1000), Collector(rng)
+    export, collector = ExportState(max_in_flight=3, max_kept_batches=1000), Collector(rng)
     number, answers = 0, list[BatchId]()
 
     def send(batch: object) -> None:
         assert batch is not None
-        collector.kept.setdefault(batch.id, (batch.first, batch.last))  # type: ignore[attr-defined]
+        collector.kept.setdefault(batch.id, (batch.first_entry, batch.last_entry))  # type: ignore[attr-defined]
         answers.append(batch.id)  # type: ignore[attr-defined]
 
     def reconnect() -> None:
         export.connection_lost()
         answers.clear()
-        export.welcome({7: collector.upto(7)})
+        export.resume({7: collector.upto(7)})
 
     def act(step: str) -> None:
         nonlocal number, export
         match step:
             case "cut":
                 size = rng.randrange(1, 5)
-                export.cut(7, number + 1, number + size, number + 1, number + size, f"d{number + 1}")
+                export.create_batch(7, number + 1, number + size, number + 1, number + size, f"d{number + 1}")
                 number += size
             case "send":
                 batch = export.next_to_send(0.0)
@@ -189,11 +196,13 @@
             case "answer" | "twice" if answers:
                 id = answers.pop(rng.randrange(len(answers)))
                 for _ in range(1 + (step == "twice")):
-                    export.acknowledged(id, f"d{collector.kept[id][0]}" if id in collector.kept else "")
+                    export.record_acknowledgement(
+                        id, f"d{collector.kept[id][0]}" if id in collector.kept else ""
+                    )
             case "refuse" if answers:
                 id = answers.pop()
                 collector.kept.pop(id, None)
-                export.refused(id, "no", for_good=False)
+                export.record_refusal(id, "no", permanent=False)
             case "lose":
                 reconnect()
             case "save":
@@ -203,53 +212,61 @@
                 reconnect()
             case "restart":
                 told = export.dump()
-                export = ExportState(window=3, keep=1000)
+                export = ExportState(max_in_flight=3, max_kept_batches=1000)
                 export.load(told)
                 reconnect()
 
     for step in steps:
         act(step)
-        assert len(export.out) <= 3
+        assert len(export.in_flight) <= 3
     reconnect()
     for _ in range(400):
         act("send")
         act("answer")
     have = sorted(collector.kept.values())
     entries = [n for first, last in have for n in range(first, last + 1)]
-    assert entries == list(range(1, number + 1)) and not export.unsent() and not export.lost
+    assert entries == list(range(1, number + 1)) and not export.unsent_entries() and not export.lost_batches
 
 
 def test_a_batch_that_is_refused_for_good_is_set_aside_and_blocks_nothing() -> None:
-    export = ExportState(window=1, keep=1)
+    export = ExportState(max_in_flight=1, max_kept_batches=1)
     for n in range(1, 5):
-        export.cut(1, n, n, n, n, f"d{n}")
+        export.create_batch(1, n, n, n, n, f"d{n}")
     first = export.next_to_send(0.0)
     assert first is not None and export.next_to_send(0.0) is None
-    export.refused(first.id, "unknown tenant", for_good=True)
+    export.record_refusal(first.id, "unknown tenant", permanent=True)
     for _ in range(3):
         batch = export.next_to_send(1.0)
         assert batch is not None
-        export.acknowledged(batch.id, batch.digest)
-    assert list(export.aside) == [BatchId(1, 1)] and export.epochs[1].done == 4 and export.needed() == 1
-    assert export.unsent() == 1 and export.aside[first.id].reason == "unknown tenant"
-    assert export.again(first.id) and export.next_to_send(2.0) is first
+        export.record_acknowledgement(batch.id, batch.digest)
+    assert (
+        list(export.set_aside_batches) == [BatchId(1, 1)]
+        and export.epochs[1].done_up_to == 4
+        and export.first_needed_seq() == 1
+    )
+    assert export.unsent_entries() == 1 and export.set_aside_batches[first.id].reason == "unknown tenant"
+    assert export.retry_set_aside(first.id) and export.next_to_send(2.0) is first
 
 
 def test_another_digest_under_the_same_number_is_never_taken_for_ours() -> None:
     export = ExportState()
-    export.cut(1, 1, 5, 1, 5, "ours")
+    export.create_batch(1, 1, 5, 1, 5, "ours")
     batch = export.next_to_send(0.0)
-    assert batch is not None and not export.acknowledged(batch.id, "theirs")
-    assert "theirs" in export.aside[batch.id].reason and export.wrong == 1
+    assert batch is not None and not export.record_acknowledgement(batch.id, "theirs")
+    assert "theirs" in export.set_aside_batches[batch.id].reason and export.digest_mismatches == 1
 
 
 def test_what_the_collector_lost_and_nobody_kept_is_told() -> None:
-    export = ExportState(window=10, keep=2)
+    export = ExportState(max_in_flight=10, max_kept_batches=2)
     for n in range(1, 9):
-        export.cut(1, n, n, n, n, "d")
+        export.create_batch(1, n, n, n, n, "d")
         batch = export.next_to_send(0.0)
-        assert batch is not None and export.acknowledged(batch.id, "d")
-    assert export.needed() == 7
-    export.welcome({1: 3})
-    assert export.lost == [(1, 4, 6)] and [b.number for b in export.waiting] == [7, 8]
-    assert export.overdue(1e9) is False and export.next_to_send(0.0) is not None and export.overdue(1e9)
+        assert batch is not None and export.record_acknowledgement(batch.id, "d")
+    assert export.first_needed_seq() == 7
+    export.resume({1: 3})
+    assert export.lost_batches == [(1, 4, 6)] and [b.number for b in export.waiting] == [7, 8]
+    assert (
+        export.answer_overdue(1e9) is False
+        and export.next_to_send(0.0) is not None
+        and export.answer_overdue(1e9)
+    )
--- a/tests/test_reconcile.py
+++ b/tests/test_reconcile.py
@@ -8,19 +8,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from harrieryoke.ledger.decide.reconcile import Session, Sketch, Strata
+from harrieryoke.ledger.decide.reconcile import ReconcileSession, Sketch, StrataEstimator
 
 FUZZ = settings(max_examples=60, deadline=None, derandomize=True)
 
 
 def reconcile(ours: set[int], theirs: set[int], seed: int) -> tuple[set[int], set[int], int]:
     """Both sides in one place: what each has alone, and the bytes that went over."""
-    one, other = Session(ours, seed), Session(theirs, seed)
-    cells = one.wanted(other.strata())
+    one, other = ReconcileSession(ours, seed), ReconcileSession(theirs, seed)
+    cells = one.cells_needed(other.encode_strata())
     while True:
-        found = one.settle(other.table(cells))
+        found = one.resolve(other.encode_table(cells))
         if found is not None:
-            return found.ours, found.theirs, one.sent
+            return found.only_here, found.only_there, one.transferred_bytes
         cells = one.cells
         assert cells
 
@@ -55,15 +55,15 @@
         made = Sketch(30, 3)
         for at in range(30):
             made.counts[at] = rng.choice((-1, 0, 1))
-            made.ids[at] = rng.choice((5, 9))
+            made.id_xors[at] = rng.choice((5, 9))
             probe = Sketch(30, 3)
-            probe.add(made.ids[at])
-            made.checks[at] = next(check for check in probe.checks if check)
+            probe.add(made.id_xors[at])
+            made.checksum_xors[at] = next(check for check in probe.checksum_xors if check)
         assert not made.peel()[2]
     for data in (b"", b"x" * 13, Sketch(30, 1).encode()[:-1]):
         with pytest.raises(ValueError, match="sketch"):
             Sketch.decode(data)
     with pytest.raises(ValueError, match="strata"):
-        Strata.decode(b"x")
+        StrataEstimator.decode(b"x")
     with pytest.raises(ValueError, match="another size"):
-        Sketch(30, 1).less(Sketch(33, 1))
+        Sketch(30, 1).subtract(Sketch(33, 1))
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -200,5 +200,5 @@
         collector.repair("a", pb.Repair(period=7, entries=[entry], token=token))
     assert not collector.raw() and collector.counts["older"] == 6
     collector.repair("a", pb.Repair(period=8, entries=[entry], token=4))  # another period's turn
-    assert [codec.wire_id(data) for data in collector.raw("a")] == [codec.wire_id(entry)]
+    assert [codec.entry_wire_id(data) for data in collector.raw("a")] == [codec.entry_wire_id(entry)]
     collector.down()
