--- a/tests/test_ledger_crash.py
+++ b/tests/test_ledger_crash.py
@@ -1,4 +1,5 @@
-"""The ledger on the store, through crashes at any operation: what was durable is there, sealed is sealed."""
+"""The ledger on the store, with crashes at any operation: durable entries survive, and sealed periods stay
+sealed."""
 
 from __future__ import annotations
 
@@ -34,8 +35,8 @@
 FUZZ = settings(max_examples=200, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 
 
-class Life:
-    """One life of an instance: its ledger on a disk that may crash."""
+class InstanceRun:
+    """One run of an instance: its ledger on a disk that may crash."""
 
     def __init__(self, disk: Disk, epoch: int, collector: dict[BatchId, tuple[str, list[Entry]]]) -> None:
         self.disk, self.collector, self.now = disk, collector, 10.0 * HOUR
@@ -52,7 +53,7 @@
     def visit(self, record: Record) -> None:
         self.ledger.replay(record.kind, record.seq, record.payload, self.now)
 
-    def keep(self, kind: int, payload: bytes) -> int:
+    def append_record(self, kind: int, payload: bytes) -> int:
         seq = self.store.append(self.now, kind, b"k", payload)
         assert seq is not None
         return seq
@@ -63,7 +64,7 @@
     def act(self, step: str, value: int, rng: random.Random) -> None:
         book = self.ledger.book
         if step == "use":
-            use = CallUsage(
+            usage = CallUsage(
                 int(self.now),
                 f"t{value % 3}",
                 "c",
@@ -73,19 +74,23 @@
                 400,
                 idempotency_key=f"k{value % 50}",
             )
-            self.enter(book.add_usage(use))
+            self.add_entry(book.add_usage(usage))
         elif step == "correct":
-            mine = [f.entry for f in self.ledger.unbatched if f.entry.amounts != Amounts()]
-            if mine:
-                old = rng.choice(mine)
-                to = Amounts(1, value, value, value)
-                if to != old.amounts:
-                    self.enter(book.add_correction(old, old.amounts, to, "wrong", int(self.now)))
+            correctable = [
+                unbatched.entry for unbatched in self.ledger.unbatched if unbatched.entry.amounts != Amounts()
+            ]
+            if correctable:
+                old = rng.choice(correctable)
+                corrected = Amounts(1, value, value, value)
+                if corrected != old.amounts:
+                    self.add_entry(book.add_correction(old, old.amounts, corrected, "wrong", int(self.now)))
         elif step == "seal":
             self.now += HOUR
             for number in book.periods.due_for_sealing(int(self.now)):
                 period = book.seal(number, int(self.now))
-                self.keep(PERIOD_SEALED, PACK(PeriodSealed(number, period.seal_digest, int(self.now))))
+                self.append_record(
+                    PERIOD_SEALED, PACK(PeriodSealed(number, period.seal_digest, int(self.now)))
+                )
         elif step == "export":
             self.export()
         elif step == "snapshot" and self.flush():
@@ -95,31 +100,33 @@
         elif step == "flush":
             self.flush()
 
-    def enter(self, entry: Entry) -> None:
-        self.ledger.add_unbatched(self.keep(entry.kind, entry.encode()), entry, self.now)
+    def add_entry(self, entry: Entry) -> None:
+        self.ledger.add_unbatched(self.append_record(entry.kind, entry.encode()), entry, self.now)
 
     def export(self) -> None:
-        """As the daemon does it: cut, the cut durable, send, and only then the end."""
-        durable = self.store.commit.durable_seq
-        while run := self.ledger.next_batch_entries(self.now, durable, flush=True):
-            batch = self.ledger.create_batch(run, str(run[0].entry.id))
-            cut = BatchCreated(
+        """In the order of the daemon: create the batch, make that durable, send, then record the end."""
+        durable_seq = self.store.commit.durable_seq
+        while entries := self.ledger.next_batch_entries(self.now, durable_seq, flush=True):
+            batch = self.ledger.create_batch(entries, str(entries[0].entry.id))
+            created = BatchCreated(
                 *batch.id, batch.first_entry, batch.last_entry, batch.first_seq, batch.last_seq, batch.digest
             )
-            self.keep(BATCH_CREATED, PACK(cut))
+            self.append_record(BATCH_CREATED, PACK(created))
         if not self.flush():
             return
-        while (chosen := self.ledger.export.next_to_send(self.now)) is not None:
-            found = [
-                decode_entry(r.payload)
-                for r in self.store.records_from_seq(chosen.first_seq)
-                if r.seq <= chosen.last_seq and r.kind in ENTRY_KINDS
+        while (batch_to_send := self.ledger.export.next_to_send(self.now)) is not None:
+            sent_entries = [
+                decode_entry(record.payload)
+                for record in self.store.records_from_seq(batch_to_send.first_seq)
+                if record.seq <= batch_to_send.last_seq and record.kind in ENTRY_KINDS
             ]
-            assert [e.id.number for e in found] == list(range(chosen.first_entry, chosen.last_entry + 1))
-            held = self.collector.setdefault(chosen.id, (chosen.digest, found))
-            assert held == (chosen.digest, found)  # under one number there is never another content
-            assert self.ledger.export.record_acknowledgement(chosen.id, held[0])
-            self.keep(BATCH_FINISHED, PACK(BatchFinished(*chosen.id, "")))
+            assert [entry.id.number for entry in sent_entries] == list(
+                range(batch_to_send.first_entry, batch_to_send.last_entry + 1)
+            )
+            stored = self.collector.setdefault(batch_to_send.id, (batch_to_send.digest, sent_entries))
+            assert stored == (batch_to_send.digest, sent_entries)  # a batch number never has another content
+            assert self.ledger.export.record_acknowledgement(batch_to_send.id, stored[0])
+            self.append_record(BATCH_FINISHED, PACK(BatchFinished(*batch_to_send.id, "")))
 
 
 @FUZZ
@@ -136,32 +143,34 @@
     ),
     st.integers(0, 1000),
 )
-def test_after_any_crash_the_ledger_is_what_its_durable_records_say(
-    steps: list[tuple[str, int]], fail: dict[int, str | int], seed: int
+def test_after_any_crash_the_ledger_matches_its_durable_records(
+    steps: list[tuple[str, int]], faults: dict[int, str | int], seed: int
 ) -> None:
     disk, rng, epoch = Disk(seed), random.Random(seed), 1
-    disk.fail = fail
+    disk.fail = faults
     collector: dict[BatchId, tuple[str, list[Entry]]] = {}
     sealed: dict[int, str] = {}
-    life: Life | None = None
-
-    def begin() -> Life:
-        made = Life(disk, epoch, collector)
-        assert not made.ledger.damaged and not made.store.recovery.damaged
-        for number, digest in sealed.items():  # what was sealed and durable is sealed for ever
-            assert made.ledger.book.periods.by_number[number].seal_digest == digest
-        for id, (_, entries) in collector.items():  # nothing that was sent is unknown here
-            assert made.ledger.export.epochs[id.epoch].last_entry >= entries[-1].id.number
-        made.ledger.export.connection_lost()
-        return made
+    life: InstanceRun | None = None
+
+    def start_instance() -> InstanceRun:
+        started = InstanceRun(disk, epoch, collector)
+        assert not started.ledger.damaged and not started.store.recovery.damaged
+        for number, digest in sealed.items():  # durable seals are never lost
+            assert started.ledger.book.periods.by_number[number].seal_digest == digest
+        for id, (_, entries) in collector.items():  # every sent batch is known here
+            assert started.ledger.export.epochs[id.epoch].last_entry >= entries[-1].id.number
+        started.ledger.export.connection_lost()
+        return started
 
     for step, value in [*steps, ("flush", 1)]:
         try:
-            life = life or begin()
+            life = life or start_instance()
             life.act(step, value, rng)
             if step in ("seal", "flush") and life.flush():
                 sealed |= {
-                    n: p.seal_digest for n, p in life.ledger.book.periods.by_number.items() if p.seal_digest
+                    number: period.seal_digest
+                    for number, period in life.ledger.book.periods.by_number.items()
+                    if period.seal_digest
                 }
         except (Crash, Killed) as ended:
             if isinstance(ended, Crash):
@@ -177,14 +186,18 @@
         life.store.close_segment()
     disk.unlock()
     epoch += 1
-    last = begin()
-    last.export()
-    entries = [e for _, (_, batch) in sorted(collector.items()) for e in batch]
-    assert len({e.id for e in entries}) == len(entries)  # each once
-    book = last.ledger.book
-    assert sum((e.amounts for e in entries), Amounts()) == sum(book.totals.lines.values(), Amounts())
-    assert sum(p.entry_set.count for p in book.periods.by_number.values()) == len(entries)
+    last_run = start_instance()
+    last_run.export()
+    entries = [entry for _, (_, batch) in sorted(collector.items()) for entry in batch]
+    assert len({entry.id for entry in entries}) == len(entries)  # each exactly once
+    book = last_run.ledger.book
+    assert sum((entry.amounts for entry in entries), Amounts()) == sum(book.totals.lines.values(), Amounts())
+    assert sum(period.entry_set.count for period in book.periods.by_number.values()) == len(entries)
     sums: dict[int, int] = {}
     for entry in entries:
         sums[entry.period] = (sums.get(entry.period, 0) + entry.digest()) % (1 << 128)
-    assert {n: p.entry_set.digest_sum for n, p in book.periods.by_number.items() if p.entry_set.count} == sums
+    assert {
+        number: period.entry_set.digest_sum
+        for number, period in book.periods.by_number.items()
+        if period.entry_set.count
+    } == sums
--- a/tests/test_reconcile.py
+++ b/tests/test_reconcile.py
@@ -1,4 +1,4 @@
-"""Reconciliation finds just what differs, in few bytes, and is not led round for ever."""
+"""Reconciliation finds exactly the difference, in few bytes, and terminates on malicious tables."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 def reconcile(ours: set[int], theirs: set[int], seed: int) -> tuple[set[int], set[int], int]:
-    """Both sides in one place: what each has alone, and the bytes that went over."""
-    one, other = ReconcileSession(ours, seed), ReconcileSession(theirs, seed)
-    cells = one.cells_needed(other.encode_strata())
+    """Runs both sides in one place: the ids that only one side has, and the bytes transferred."""
+    first, second = ReconcileSession(ours, seed), ReconcileSession(theirs, seed)
+    cells = first.cells_needed(second.encode_strata())
     while True:
-        found = one.resolve(other.encode_table(cells))
+        found = first.resolve(second.encode_table(cells))
         if found is not None:
-            return found.only_here, found.only_there, one.transferred_bytes
-        cells = one.cells
+            return found.only_here, found.only_there, first.transferred_bytes
+        cells = first.cells
         assert cells
 
 
@@ -32,11 +32,11 @@
     st.sets(st.integers(0, 2**64 - 1), max_size=80),
     st.integers(0, 2**32),
 )
-def test_both_sides_learn_just_what_differs(
+def test_reconciliation_finds_exactly_the_difference(
     common: set[int], ours: set[int], theirs: set[int], seed: int
 ) -> None:
-    one, other = common | ours, common | theirs
-    assert reconcile(one, other, seed)[:2] == (one - other, other - one)
+    first, second = common | ours, common | theirs
+    assert reconcile(first, second, seed)[:2] == (first - second, second - first)
 
 
 @pytest.mark.parametrize("differ", [0, 10, 1000])
@@ -49,17 +49,17 @@
     assert found[2] < 45_000 + 200 * differ < 8 * len(common) + 200 * differ
 
 
-def test_a_table_made_wrong_ends_and_is_told() -> None:
+def test_a_malicious_table_terminates_and_is_rejected() -> None:
     rng = random.Random(1)
     for _ in range(300):
-        made = Sketch(30, 3)
-        for at in range(30):
-            made.counts[at] = rng.choice((-1, 0, 1))
-            made.id_xors[at] = rng.choice((5, 9))
+        sketch = Sketch(30, 3)
+        for cell in range(30):
+            sketch.counts[cell] = rng.choice((-1, 0, 1))
+            sketch.id_xors[cell] = rng.choice((5, 9))
             probe = Sketch(30, 3)
-            probe.add(made.id_xors[at])
-            made.checksum_xors[at] = next(check for check in probe.checksum_xors if check)
-        assert not made.peel()[2]
+            probe.add(sketch.id_xors[cell])
+            sketch.checksum_xors[cell] = next(checksum for checksum in probe.checksum_xors if checksum)
+        assert not sketch.peel()[2]
     for data in (b"", b"x" * 13, Sketch(30, 1).encode()[:-1]):
         with pytest.raises(ValueError, match="sketch"):
             Sketch.decode(data)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store against a plain model, through crashes at every operation and a disk that fails."""
+"""The store against a model, with crashes at every operation and a failing disk."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from .faulty import Crash, Disk, Killed
 
 FUZZ = settings(max_examples=400, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
-TOLD = StoreSettings("x", segment_mb=0.002)
+SMALL_SEGMENTS = StoreSettings("x", segment_mb=0.002)
 STEPS = st.lists(
     st.one_of(
         st.tuples(st.just("append"), st.integers(0, 300)),
@@ -34,28 +34,31 @@
 
 
 class Model:
-    """What was appended, which may outlive a crash, and what was said to be durable, which must."""
+    """Model of a store: the appended records, which may survive a crash, and the durable ones, which
+    must."""
 
-    def __init__(self, disk: Disk, told: StoreSettings) -> None:
-        self.disk, self.told, self.now = disk, told, 1000.0
-        self.all: dict[int, bytes] = {}
-        self.durable = 0
+    def __init__(self, disk: Disk, settings: StoreSettings) -> None:
+        self.disk, self.settings, self.now = disk, settings, 1000.0
+        self.appended: dict[int, bytes] = {}
+        self.durable_seq = 0
         self.state: dict[int, bytes] = {}
         self.store: Store | None = None
 
     def open(self) -> Store:
         if self.store is None:
             self.state = {}
-            store = Store(self.disk, self.told, self.now, self.visit, self.restore)
-            last = store.recovery.last_seq
+            store = Store(self.disk, self.settings, self.now, self.visit, self.restore)
+            last_seq = store.recovery.last_seq
             assert not store.recovery.damaged, store.recovery
-            assert last >= self.durable
-            # nothing durable is missing, nothing else has taken its place, and there is no hole
-            assert self.state == {seq: self.all[seq] for seq in range(1, last + 1) if seq in self.all}
-            assert set(self.state) | {seq for seq in range(1, last + 1) if seq not in self.all} == set(
-                range(1, last + 1)
-            )
-            self.all, self.durable = dict(self.state), last
+            assert last_seq >= self.durable_seq
+            # No durable record is missing or replaced, and there is no gap.
+            assert self.state == {
+                seq: self.appended[seq] for seq in range(1, last_seq + 1) if seq in self.appended
+            }
+            assert set(self.state) | {
+                seq for seq in range(1, last_seq + 1) if seq not in self.appended
+            } == set(range(1, last_seq + 1))
+            self.appended, self.durable_seq = dict(self.state), last_seq
             self.store = store
         return self.store
 
@@ -65,10 +68,16 @@
 
     def restore(self, payload: bytes) -> None:
         parts = payload.split(b"|")
-        self.state = {int(p.split(b"=")[0]): bytes.fromhex(p.split(b"=")[1].decode()) for p in parts if p}
+        self.state = {
+            int(part.split(b"=")[0]): bytes.fromhex(part.split(b"=")[1].decode()) for part in parts if part
+        }
 
-    def dump(self, upto: int) -> bytes:
-        return b"|".join(b"%d=%s" % (s, v.hex().encode()) for s, v in self.all.items() if s <= upto)
+    def dump(self, last_seq: int) -> bytes:
+        return b"|".join(
+            b"%d=%s" % (seq, payload.hex().encode())
+            for seq, payload in self.appended.items()
+            if seq <= last_seq
+        )
 
     def play(self, step: str, value: int) -> None:
         store = self.open()
@@ -77,7 +86,7 @@
             payload = bytes(self.disk.rng.randrange(256) for _ in range(value))
             seq = store.append(self.now, 1, b"k%d" % value, payload)
             if seq is not None:
-                self.all[seq] = payload
+                self.appended[seq] = payload
         elif step == "turn":
             for _ in range(value):
                 store.advance(self.now)
@@ -87,10 +96,10 @@
             store.compact(store.commit.durable_seq)
         else:
             store.close(self.now)
-            self.durable = max(self.durable, store.commit.durable_seq)
+            self.durable_seq = max(self.durable_seq, store.commit.durable_seq)
             self.store = None
             return
-        self.durable = max(self.durable, store.commit.durable_seq)
+        self.durable_seq = max(self.durable_seq, store.commit.durable_seq)
 
 
 WRITES = [("append", 200), ("turn", 4)] * 16
@@ -111,23 +120,23 @@
     st.sampled_from(["group", "interval", "none"]),
     st.integers(0, 1000),
 )
-def test_what_is_called_durable_outlives_a_crash_at_any_operation(
-    steps: list[tuple[str, int]], fail: dict[int, str | int], policy: str, seed: int
+def test_durable_records_survive_a_crash_at_any_operation(
+    steps: list[tuple[str, int]], faults: dict[int, str | int], policy: str, seed: int
 ) -> None:
     disk = Disk(seed)
-    disk.fail = fail
+    disk.fail = faults
     model = Model(disk, StoreSettings("x", sync=policy, segment_mb=0.002, queue_mb=0.01))
     for step, value in [*steps, ("close", 0), ("append", 1), ("turn", 3)]:
         try:
             model.play(step, value)
         except (Crash, Killed) as ended:
             if model.store is not None:
-                model.durable = max(model.durable, model.store.commit.durable_seq)
+                model.durable_seq = max(model.durable_seq, model.store.commit.durable_seq)
             if isinstance(ended, Crash):
                 disk.crash()
             disk.unlock()
             model.store = None
-        except (OSError, StoreError):  # an open, a snapshot or a compaction that failed: tried again later
+        except (OSError, StoreError):  # a failed open, snapshot or compaction, which is retried later
             if model.store is None:
                 disk.unlock()
     disk.fail = {}
@@ -136,8 +145,8 @@
     model.open()
 
 
-def filled(folder: Path, count: int = 200, told: StoreSettings | None = None) -> Store:
-    store = Store(DiskDirectory(str(folder)), told or StoreSettings(str(folder), segment_mb=0.01), 0.0)
+def store_with_records(folder: Path, count: int = 200, settings: StoreSettings | None = None) -> Store:
+    store = Store(DiskDirectory(str(folder)), settings or StoreSettings(str(folder), segment_mb=0.01), 0.0)
     for n in range(count):
         store.append(1000.0 + n, 1, b"key%d" % (n % 10), b"payload of %d" % n)
     assert store.flush(0.0)
@@ -148,80 +157,84 @@
     return lambda record: seen.update({record.seq: record.payload})
 
 
-def test_a_bit_flipped_anywhere_is_reported_or_harmless_never_passed_over(tmp_path: Path) -> None:
-    """In a sealed segment and in the last one; each byte of a small folder."""
-    store = filled(tmp_path, 40, StoreSettings("x", segment_mb=0.001))
+def test_a_flipped_bit_is_reported_or_harmless(tmp_path: Path) -> None:
+    """Flips a bit in each byte of a small store, in sealed segments and in the last one."""
+    store = store_with_records(tmp_path, 40, StoreSettings("x", segment_mb=0.001))
     store.close(0.0)
-    whole = {
+    expected = {
         record.seq: record.payload for record in StoreReader(DiskDirectory(str(tmp_path))).records_from_seq(1)
     }
-    assert len(whole) == 40
+    assert len(expected) == 40
     for path in sorted(tmp_path.glob("segment-*.log")):
         data = path.read_bytes()
-        for at in range(len(data)):
-            path.write_bytes(data[:at] + bytes([data[at] ^ 0x10]) + data[at + 1 :])
+        for position in range(len(data)):
+            path.write_bytes(data[:position] + bytes([data[position] ^ 0x10]) + data[position + 1 :])
             seen: dict[int, bytes] = {}
             try:
                 reader = StoreReader(DiskDirectory(str(tmp_path)), collect(seen))
             except fmt.FormatError:
                 continue
-            told = reader.recovery
-            assert all(whole[seq] == payload for seq, payload in seen.items())
-            missing = whole.keys() - seen.keys()
-            assert not missing or told.damaged or told.tail_is_record_sized or told.truncated_bytes, (
+            recovery = reader.recovery
+            assert all(expected[seq] == payload for seq, payload in seen.items())
+            missing = expected.keys() - seen.keys()
+            assert (
+                not missing or recovery.damaged or recovery.tail_is_record_sized or recovery.truncated_bytes
+            ), (
                 path.name,
-                at,
+                position,
             )
-            counted = sum(f.lost_count() for _, f in told.damaged if f.before)
-            if not told.truncated_bytes and all(f.before for _, f in told.damaged):
-                assert counted >= len(missing)
-            assert not (told.closed_cleanly and missing and not told.damaged)
+            lost_count = sum(damage.lost_count() for _, damage in recovery.damaged if damage.before)
+            if not recovery.truncated_bytes and all(damage.before for _, damage in recovery.damaged):
+                assert lost_count >= len(missing)
+            assert not (recovery.closed_cleanly and missing and not recovery.damaged)
         path.write_bytes(data)
 
 
-def test_two_processes_on_one_folder(tmp_path: Path) -> None:
-    store = filled(tmp_path)
+def test_a_second_writer_is_refused(tmp_path: Path) -> None:
+    store = store_with_records(tmp_path)
     with pytest.raises(StoreError, match="another process"):
-        filled(tmp_path)
-    assert StoreReader(DiskDirectory(str(tmp_path))).recovery.records == 200  # reading is free
+        store_with_records(tmp_path)
+    assert StoreReader(DiskDirectory(str(tmp_path))).recovery.records == 200  # readers need no lock
     store.close(0.0)
-    filled(tmp_path, 1).close(0.0)
+    store_with_records(tmp_path, 1).close(0.0)
 
 
-def test_seeks_by_number_time_and_key_find_what_a_scan_finds(tmp_path: Path) -> None:
-    store = filled(tmp_path, 1000)
+def test_seeks_by_sequence_number_time_and_key_agree_with_a_scan(tmp_path: Path) -> None:
+    store = store_with_records(tmp_path, 1000)
     everything = list(store.records_from_seq(1))
     assert len(everything) == 1000 and len(store.segments) >= 3
     for seq in (1, 2, 63, 64, 65, 500, 999, 1000):
         assert list(store.records_from_seq(seq)) == everything[seq - 1 :]
-    for at in (0, 1000, 1001, 1500, 1999, 2000, 5000):
-        assert list(store.records_from_time(at)) == [r for r in everything if r.time_ms >= at]
-    assert list(store.records_with_key(b"key7")) == [r for r in everything if r.key == b"key7"]
+    for time_ms in (0, 1000, 1001, 1500, 1999, 2000, 5000):
+        assert list(store.records_from_time(time_ms)) == [
+            record for record in everything if record.time_ms >= time_ms
+        ]
+    assert list(store.records_with_key(b"key7")) == [record for record in everything if record.key == b"key7"]
     assert not list(store.records_with_key(b"nobody"))
     store.close(0.0)
-    assert [r.seq for r in StoreReader(DiskDirectory(str(tmp_path))).records_from_seq(990)] == list(
+    assert [record.seq for record in StoreReader(DiskDirectory(str(tmp_path))).records_from_seq(990)] == list(
         range(990, 1001)
     )
 
 
 def test_clock_steps_hide_no_record_from_a_seek_by_time(tmp_path: Path) -> None:
-    store = Store(DiskDirectory(str(tmp_path)), TOLD, 0.0)
+    store = Store(DiskDirectory(str(tmp_path)), SMALL_SEGMENTS, 0.0)
     times = [1000 + n if n % 130 < 60 else 5000 - n for n in range(400)]
-    for at in times:
-        store.append(float(at), 1, b"", b"x")
+    for time_ms in times:
+        store.append(float(time_ms), 1, b"", b"x")
     store.flush(0.0)
-    for at in (0, 1100, 4700, 4990, 6000):
-        assert len(list(store.records_from_time(at))) == sum(t >= at for t in times)
+    for time_ms in (0, 1100, 4700, 4990, 6000):
+        assert len(list(store.records_from_time(time_ms))) == sum(time >= time_ms for time in times)
     store.close(0.0)
 
 
-def test_a_folder_of_an_older_version_is_read_and_gone_on_with(tmp_path: Path) -> None:
+def test_a_store_of_an_older_version_is_read_and_continued(tmp_path: Path) -> None:
     data = fmt.SEGMENT_HEADER_V1.pack(fmt.SEGMENT_MAGIC, 1, 0, 0, 1)
     for n in range(1, 6):
         body = fmt.RECORD_BODY_V1.pack(n, 1000 + n, 1) + b"old%d" % n
         data += struct.pack("<II", len(body), zlib.crc32(body)) + body
     (tmp_path / fmt.segment_name(1)).write_bytes(data)
-    store = Store(DiskDirectory(str(tmp_path)), TOLD, 0.0)
+    store = Store(DiskDirectory(str(tmp_path)), SMALL_SEGMENTS, 0.0)
     assert store.recovery.records == 5
     store.append(2000.0, 1, b"k", b"new")
     store.close(0.0)
@@ -232,44 +245,44 @@
     ]
 
 
-def test_a_folder_of_a_later_version_is_refused_and_left_alone(tmp_path: Path) -> None:
-    filled(tmp_path, 3).close(0.0)
+def test_a_store_of_a_newer_version_is_refused_and_left_unchanged(tmp_path: Path) -> None:
+    store_with_records(tmp_path, 3).close(0.0)
     path = tmp_path / fmt.segment_name(1)
-    head = bytearray(path.read_bytes()[: fmt.SEGMENT_HEADER.size - 8])
-    head[8] = 9
+    header = bytearray(path.read_bytes()[: fmt.SEGMENT_HEADER.size - 8])
+    header[8] = 9
     import xxhash
 
-    path.write_bytes(bytes(head) + struct.pack("<Q", xxhash.xxh3_64_intdigest(bytes(head))) + b"rest")
+    path.write_bytes(bytes(header) + struct.pack("<Q", xxhash.xxh3_64_intdigest(bytes(header))) + b"rest")
     before = path.read_bytes()
     with pytest.raises(StoreError, match="version 9"):
-        Store(DiskDirectory(str(tmp_path)), TOLD, 0.0)
+        Store(DiskDirectory(str(tmp_path)), SMALL_SEGMENTS, 0.0)
     assert path.read_bytes() == before
 
 
-def test_a_full_disk_refuses_at_the_bound_and_goes_on_when_there_is_room() -> None:
+def test_a_full_disk_refuses_records_at_the_limit_and_recovers() -> None:
     disk = Disk(1)
     store = Store(disk, StoreSettings("x", queue_mb=0.02), 0.0)
     store.append(0.0, 1, b"", b"first")
     assert store.flush(0.0)
-    disk.failing_sync, taken = True, 0
+    disk.failing_sync, accepted = True, 0
     for n in range(1000):
-        taken += store.append(1.0, 1, b"", b"x" * 50) is not None
+        accepted += store.append(1.0, 1, b"", b"x" * 50) is not None
         store.advance(float(n))
     assert store.commit.failure and store.commit.durable_seq == 1
-    assert store.refused_count == 1000 - taken > 0 and store.commit.pending_bytes <= 0.02 * 2**20
+    assert store.refused_count == 1000 - accepted > 0 and store.commit.pending_bytes <= 0.02 * 2**20
     disk.failing_sync = False
-    assert store.flush(1e9) and store.commit.durable_seq == 1 + taken and not store.commit.failure
+    assert store.flush(1e9) and store.commit.durable_seq == 1 + accepted and not store.commit.failure
     disk.crash()
-    assert StoreReader(disk).recovery.records == 1 + taken
+    assert StoreReader(disk).recovery.records == 1 + accepted
 
 
-def test_after_a_failed_sync_all_that_is_not_durable_goes_to_a_fresh_segment() -> None:
+def test_after_a_failed_sync_pending_records_go_to_a_new_segment() -> None:
     disk = Disk(3)
     store = Store(disk, StoreSettings("x"), 0.0)
     for n in range(5):
         store.append(0.0, 1, b"", b"%d" % n)
-    store.advance(0.0)  # the segment
-    store.advance(0.0)  # the write
+    store.advance(0.0)  # creates the segment
+    store.advance(0.0)  # writes the group
     disk.fail = {disk.operations + 1: errno.EIO}
     assert not store.advance(0.0) and "EIO" in store.commit.failure and store.commit.durable_seq == 0
     assert store.flush(1e6) and store.active_segment == 2
@@ -279,10 +292,10 @@
     assert not reader.recovery.damaged
 
 
-def test_what_nobody_needs_goes_and_beyond_the_budget_the_loss_is_told() -> None:
+def test_compaction_removes_unneeded_segments_and_reports_lost_records() -> None:
     sealed = [SealedSegment(n, 10 * n + 1, 10 * n + 10, 100) for n in range(5)]
-    assert plan_compaction(sealed, [], 1000, 0, 0).segments == ()  # without a snapshot nothing may go
+    assert plan_compaction(sealed, [], 1000, 0, 0).segments == ()  # nothing is removable without a snapshot
     assert plan_compaction(sealed, [30], 25, 10_000, 0).segments == (0, 1)
-    told = plan_compaction(sealed, [50], 15, 250, 0)
-    assert told.segments == (0, 1, 2) and told.lost_seqs == (15, 30)
+    plan = plan_compaction(sealed, [50], 15, 250, 0)
+    assert plan.segments == (0, 1, 2) and plan.lost_seqs == (15, 30)
     assert plan_compaction(sealed, [10, 20, 50], 1, 10_000, 0).snapshots == (10,)
