--- a/harrieryoke/ledger/commands.py
+++ b/harrieryoke/ledger/commands.py
@@ -34,7 +34,7 @@
         rebuilt.load(reader.snapshot[1], 0.0)
     for record in reader.records_from_seq(reader.recovery.snapshot_seq + 1):
         rebuilt.replay(record.kind, record.seq, record.payload, 0.0)
-    rebuilt.damaged += [f"{name}: {fence}" for name, fence in reader.recovery.damaged]
+    rebuilt.damaged += [f"{name}: {damage}" for name, damage in reader.recovery.damaged]
     return rebuilt
 
 
