--- a/harrieryoke/ledger/decide/entry.py
+++ b/harrieryoke/ledger/decide/entry.py
@@ -101,9 +101,9 @@
 DECODER: msgspec.msgpack.Decoder[Entry] = msgspec.msgpack.Decoder(Entry)
 
 
-def digest_key(tenant: str, klass: str, key: str) -> int:
+def digest_key(tenant: str, class_name: str, key: str) -> int:
     """Digest of an idempotency key, which is scoped to its tenant and class."""
-    scoped_key = b"\0".join(text.encode() for text in (tenant, klass, key))
+    scoped_key = b"\0".join(text.encode() for text in (tenant, class_name, key))
     return int.from_bytes(hashlib.blake2b(scoped_key, digest_size=8).digest(), "little") or 1
 
 
--- a/harrieryoke/ledger/wire/codec.py
+++ b/harrieryoke/ledger/wire/codec.py
@@ -11,7 +11,7 @@
 __all__ = ["MAX_FRAME_BYTES", "PROTOCOL_VERSION", "batch_digest", "encode_entry", "entry_wire_id", "pb"]
 
 PROTOCOL_VERSION = 1
-MAX_FRAME_BYTES = 4 << 20  # bytes
+MAX_FRAME_BYTES = 4 << 20
 
 
 def encode_entry(entry: Entry) -> bytes:
