--- a/harrieryoke/budgets/decide/slices.py
+++ b/harrieryoke/budgets/decide/slices.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Struct
 
-from ...council.decide.hold import Fence, Lease
+from ...council.decide.lease import Fence, Lease
 from . import commands as c
 from .commands import Rejection
 from .messages import HolderReply, SliceDenied, SliceGranted, SliceRequest, SliceUsage, UsageAck, UsageReport
@@ -103,7 +103,7 @@
         }
         for slice_id, slice_ in self.slices.items():
             if not slice_.ended:
-                self.timers.schedule(slice_id, now + Lease(slice_.duration, self.clock_drift).over())
+                self.timers.schedule(slice_id, now + Lease(slice_.duration, self.clock_drift).expiry_bound())
 
     def apply(self, index: int, entry: c.LogEntry, now: float) -> Rejection | None:
         """Applies a committed entry and returns None, or why it was rejected. The index of a `GrantSlice`
@@ -156,7 +156,7 @@
         )
         self.slices[index] = granted
         self.slice_by_request[grant.invoker, grant.life, grant.request_number] = index
-        self.timers.schedule(index, now + Lease(grant.duration, self.clock_drift).over())
+        self.timers.schedule(index, now + Lease(grant.duration, self.clock_drift).expiry_bound())
         return None
 
     def settle_slice(self, update: c.SettleSlice) -> Rejection | None:
--- a/harrieryoke/council/decide/messages.py
+++ b/harrieryoke/council/decide/messages.py
@@ -1,7 +1,6 @@
-"""What members say to each other, what is in the log, and what is written to the disk.
+"""Messages between members, entries of the log, and records on the disk. All are values.
 
-All are values. Names after Raft's calls: `AskVote` is RequestVote, `Append` AppendEntries, `Piece`
-InstallSnapshot, `Now` TimeoutNow (Ongaro's dissertation, figure 3.1, sections 3.10 and 5.3, 9.6).
+Message names are those of Ongaro's dissertation (figure 3.1, sections 3.10, 5.3 and 9.6).
 """
 
 from __future__ import annotations
@@ -10,136 +9,154 @@
 
 from msgspec import Struct
 
-HEAD = 64  # bytes counted for an entry beside its data
+ENTRY_OVERHEAD_BYTES = 64  # counted per entry and replica beside the data
 
 
-class Seat(NamedTuple):
-    """A member with its disk: `disk` is drawn at random when the disk is first used, so that a member that
-    lost it is another seat, whose votes count in no configuration that had the old one."""
+class ReplicaId(NamedTuple):
+    """A member together with its disk. `disk_id` is drawn at random when the disk is first used: a member
+    that lost its disk is a different replica, whose votes count in no configuration that contains the old
+    one.
+    """
 
     name: str
-    disk: int
+    disk_id: int
 
 
-class Members(NamedTuple):
-    """A configuration. Learners get the log and count for nothing. No name is in it twice."""
+class Configuration(NamedTuple):
+    """A cluster configuration. Learners receive the log but do not count towards quorums. No name occurs
+    twice.
+    """
 
-    voters: frozenset[Seat] = frozenset()
-    learners: frozenset[Seat] = frozenset()
+    voters: frozenset[ReplicaId] = frozenset()
+    learners: frozenset[ReplicaId] = frozenset()
 
-    def all(self) -> frozenset[Seat]:
+    def replicas(self) -> frozenset[ReplicaId]:
         return self.voters | self.learners
 
-    def majority(self) -> int:
+    def quorum_size(self) -> int:
         return len(self.voters) // 2 + 1
 
-    def named(self, name: str) -> Seat | None:
-        return next((seat for seat in self.all() if seat.name == name), None)
+    def find(self, name: str) -> ReplicaId | None:
+        return next((replica for replica in self.replicas() if replica.name == name), None)
 
 
 class Entry(Struct, frozen=True):
-    """`members` makes it a change of the configuration, which counts from when it is in a log; with neither
-    that nor `data` it is a new leader's first."""
+    """An entry with `members` changes the configuration and takes effect as soon as it is in a log. An entry
+    with neither `members` nor `data` is the first of a new leader.
+    """
 
     index: int
     term: int
     data: bytes = b""
-    members: Members | None = None
+    members: Configuration | None = None
 
-    def size(self) -> int:
-        seats = 0 if self.members is None else len(self.members.voters) + len(self.members.learners)
-        return HEAD * (1 + seats) + len(self.data)
+    def size_bytes(self) -> int:
+        replicas = 0 if self.members is None else len(self.members.voters) + len(self.members.learners)
+        return ENTRY_OVERHEAD_BYTES * (1 + replicas) + len(self.data)
 
 
 class Snapshot(Struct, frozen=True):
-    """Stands for all entries up to `index`. Without data it is a founding: nothing was applied before."""
+    """Covers all entries up to `index`. Without data it bootstraps a council: nothing has been applied before
+    it.
+    """
 
     index: int
     term: int
-    members: Members
+    members: Configuration
     data: bytes = b""
 
 
-class Hard(Struct, frozen=True):
-    """Term and vote, which are written before anything is said in that term."""
+class HardState(Struct, frozen=True):
+    """Term and vote; written before anything is sent in that term."""
 
     term: int
-    vote: Seat | None
+    vote: ReplicaId | None
 
 
-Written = Hard | Entry | Snapshot
+PersistentRecord = HardState | Entry | Snapshot
 
 
-class AskVote(Struct, frozen=True):
+class RequestVote(Struct, frozen=True):
     term: int
-    last_index: int
-    last_term: int
-    pre: bool = False  # would you vote for me in that term?
-    force: bool = False  # the leader itself has asked me to stand
+    last_log_index: int
+    last_log_term: int
+    pre_vote: bool = False  # asks whether the vote would be granted, without changing the term
+    leadership_transfer: bool = False  # the current leader asked the candidate to start this election
 
 
-class Vote(Struct, frozen=True):
+class RequestVoteResponse(Struct, frozen=True):
     term: int
     granted: bool
-    pre: bool = False
+    pre_vote: bool = False
 
 
-class Append(Struct, frozen=True):
+class AppendEntries(Struct, frozen=True):
     term: int
-    prev: int
-    prev_term: int
+    prev_log_index: int
+    prev_log_term: int
     entries: tuple[Entry, ...]
-    commit: int
+    leader_commit: int
 
 
-class Ack(Struct, frozen=True):
-    """`ok`: entries up to `index` are durable here and are the leader's. Else what followed `at` did not fit;
-    up to `index` it may."""
+class AppendEntriesResponse(Struct, frozen=True):
+    """With `success`, entries up to `index` are durable here and match the leader's. Otherwise the entries
+    after `rejected_index` did not match, and the logs may agree up to `index`.
+    """
 
     term: int
-    ok: bool
+    success: bool
     index: int
-    at: int = 0
+    rejected_index: int = 0
 
 
-class Piece(Struct, frozen=True):
-    """Bytes of a snapshot from `offset` of `total` on. `snapshot.data` is empty in it."""
+class InstallSnapshot(Struct, frozen=True):
+    """A chunk of a snapshot: the bytes from `offset` on out of `total_bytes`. `snapshot.data` is empty."""
 
     term: int
     snapshot: Snapshot
     offset: int
-    total: int
+    total_bytes: int
     data: bytes
 
 
-class PieceAck(Struct, frozen=True):
+class InstallSnapshotResponse(Struct, frozen=True):
     term: int
-    index: int
-    want: int  # the offset of the next piece
+    snapshot_index: int
+    next_offset: int
 
 
-class Now(Struct, frozen=True):
+class TimeoutNow(Struct, frozen=True):
     term: int
 
 
-class Offer(Struct, frozen=True):
+class ForwardProposal(Struct, frozen=True):
     data: bytes
 
 
-class Knock(Struct, frozen=True):
-    """Of a seat that is in no configuration that it knows."""
+class JoinRequest(Struct, frozen=True):
+    """Sent by a replica that is in no configuration known to it."""
 
 
-Message = AskVote | Vote | Append | Ack | Piece | PieceAck | Now | Offer | Knock
+Message = (
+    RequestVote
+    | RequestVoteResponse
+    | AppendEntries
+    | AppendEntriesResponse
+    | InstallSnapshot
+    | InstallSnapshotResponse
+    | TimeoutNow
+    | ForwardProposal
+    | JoinRequest
+)
 
 
-class Send(Struct, frozen=True):
-    to: Seat | None  # None: to each member whose address is known
+class OutgoingMessage(Struct, frozen=True):
+    recipient: ReplicaId | None  # None: every member with a known address
     message: Message
 
 
-class Save(Struct, frozen=True):
-    """To be written in the order of `number`, without a hole."""
+class PendingWrite(Struct, frozen=True):
+    """A record to be written; `sequence` has no gaps, and records are written in its order."""
 
-    number: int
-    record: Written
+    sequence: int
+    record: PersistentRecord
--- a/harrieryoke/council/decide/rounds.py
+++ b/harrieryoke/council/decide/rounds.py
@@ -1,16 +1,18 @@
-"""Reconciliation in turns: which (member, period) is wanted, has its turn, or has ended, as all agree on it.
+"""Turns for reconciliation: the replicated record of which (member, period) requested, has or finished one.
 
-At a period's end all members want theirs at one moment, and the collector would have them all at once. So
-each says that it wants one; the holder of the duty gives turns, a few at a time (`conduct.py`).
+All members want to reconcile when a period ends, and would all reach the collector at once. So each member
+requests a turn, and the duty's holder grants a few at a time (`grants.py`).
 
-    wanted -> turn -> done
-      ^ |      |
-      | +<-----+ given up by the conductor: to the end of the line, or failed after the last try
-      +--------- gone: the member gave its turn back; it asks anew when it can
+    requested -> turn -> done
+        ^       | |
+        |       | +-> requested again at the end of the queue, or failed after the last try:
+        |       |     revoked by the duty's holder
+        +-------+ returned by the member, which requests a turn again when it can
 
-Wants, dones and turns given back are requests of any member; turns and giving up are acts of the holder. A
-turn is known by the index of the entry that gave it, which only grows: a member's messages carry it, and who
-keeps the highest that it saw turns down what comes late of a turn before, whichever holder gave it.
+Requests, completions and returns are unfenced commands of any member; grants and revocations are fenced
+commands of the duty's holder. A turn is identified by the index of the entry that granted it, which only
+grows: a member's messages carry it, and a receiver that keeps the highest index it has seen rejects late
+messages of an earlier turn, whichever holder granted it.
 """
 
 from __future__ import annotations
@@ -20,197 +22,224 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from .duties import MOST_NAME
+from .duties import MAX_NAME_CHARS
 
 DUTY = "reconcile"
-MOST_OPEN = 4096  # rounds that are wanted or have their turn; at the bound a want is void, and comes again
-MOST_EACH = 16  # of them of one member
-MOST_ENDED = 4096  # at the bound the oldest done goes, and of failed ones the oldest when none is done
-MOST_TURNS = 8  # at one time, whatever a conductor says
-MOST_TRIES = 16
-MOST_SHOWN = 64  # failed ones in the status
+MAX_OPEN_ROUNDS = 4096  # requested or running; beyond them a request is rejected, and is sent again
+MAX_OPEN_PER_MEMBER = 16
+# beyond them the oldest completed round is dropped, or the oldest failed one if none is completed
+MAX_ENDED_ROUNDS = 4096
+MAX_RUNNING_TURNS = 8  # at one time, whatever the holder's settings say
+MAX_TRIES = 16
+MAX_FAILED_SHOWN = 64  # in the status
 
 Number = Annotated[int, Meta(ge=0, le=2**62)]
-Name = Annotated[str, Meta(min_length=1, max_length=MOST_NAME)]
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_CHARS)]
 
 
 class Counts(Struct, frozen=True, array_like=True):
-    """What a turn came to. `not_here`: entries that only the collector has; -1 where it was not found out."""
+    """The result of a turn. `missing_here` counts entries that only the collector has; -1 if that was not
+    determined.
+    """
 
     entries: Number
     sent: Number
-    not_here: Annotated[int, Meta(ge=-1, le=2**62)]
-    moved: Number  # bytes
+    missing_here: Annotated[int, Meta(ge=-1, le=2**62)]
+    bytes_moved: Number
 
 
-class Want(Struct, frozen=True, array_like=True, tag="want"):
-    """`mark` is drawn by the member for each wish: what comes again after the round has ended is void."""
+class RequestTurn(Struct, frozen=True, array_like=True, tag="want"):
+    """`request_id` is drawn by the member for each request: a duplicate that arrives after the round has
+    ended is rejected.
+    """
 
     member: Name
     period: Number
-    mark: Number
+    request_id: Number
 
 
-class Done(Struct, frozen=True, array_like=True, tag="done"):
+class CompleteTurn(Struct, frozen=True, array_like=True, tag="done"):
     member: Name
     period: Number
     turn: Number
     counts: Counts
 
 
-class Back(Struct, frozen=True, array_like=True, tag="back"):
-    """The member can't now, and does not want it until it says so again."""
+class ReturnTurn(Struct, frozen=True, array_like=True, tag="back"):
+    """The member cannot use the turn now; it sends a new request when it can."""
 
     member: Name
     period: Number
     turn: Number
 
 
-class Turn(Struct, frozen=True, array_like=True, tag="turn"):
-    """Void while `most` have their turns: a conductor may not know of all that the one before it gave."""
+class GrantTurn(Struct, frozen=True, array_like=True, tag="turn"):
+    """Rejected while `max_running` turns are running: a new holder may not know of all grants of its
+    predecessor.
+    """
 
     member: Name
     period: Number
-    most: Number
+    max_running: Number
 
 
-class GiveUp(Struct, frozen=True, array_like=True, tag="give-up"):
-    """The turn was not done in its time. `last`: it is not tried again."""
+class RevokeTurn(Struct, frozen=True, array_like=True, tag="give-up"):
+    """The turn was not completed in time. With `final` the round is not tried again."""
 
     member: Name
     period: Number
     turn: Number
-    last: bool
+    final: bool
 
 
-Asked = Want | Done | Back
-Given = Turn | GiveUp
-READ_ASKED: msgspec.msgpack.Decoder[Asked] = msgspec.msgpack.Decoder(Asked)
-READ_GIVEN: msgspec.msgpack.Decoder[Given] = msgspec.msgpack.Decoder(Given)
+MemberRequest = RequestTurn | CompleteTurn | ReturnTurn
+HolderCommand = GrantTurn | RevokeTurn
+REQUEST_DECODER: msgspec.msgpack.Decoder[MemberRequest] = msgspec.msgpack.Decoder(MemberRequest)
+COMMAND_DECODER: msgspec.msgpack.Decoder[HolderCommand] = msgspec.msgpack.Decoder(HolderCommand)
 encode = msgspec.msgpack.encode
 
 
-class Round(Struct):
-    mark: int
-    place: int  # in the line: the index of the entry that put it there
-    tries: int = 0  # turns that were given up
-    turn: int = 0  # 0: it waits
+class OpenRound(Struct, rename={"request_id": "mark", "queue_position": "place"}):
+    request_id: int
+    queue_position: int  # index of the entry that queued it
+    tries: int = 0  # revoked turns
+    turn: int = 0  # 0: waiting
 
 
-class End(Struct):
-    """`counts` are None where it failed."""
+class EndedRound(Struct, rename={"request_id": "mark"}):
+    """`counts` is None if the round failed."""
 
-    mark: int
+    request_id: int
     tries: int
     counts: Counts | None
 
 
-class State(Struct):
-    open: dict[str, dict[int, Round]] = {}
-    ended: list[tuple[str, int, End]] = []
+class RoundsState(Struct):
+    open: dict[str, dict[int, OpenRound]] = {}
+    ended: list[tuple[str, int, EndedRound]] = []
 
 
-class Rounds:
-    """The machine of the duty `reconcile` (`acts.Machine`)."""
+class ReconciliationRounds:
+    """The state machine of the duty `reconcile` (`commands.StateMachine`)."""
 
     def __init__(self) -> None:
-        self.open: dict[str, dict[int, Round]] = {}  # by member and period
-        self.ended: dict[tuple[str, int], End] = {}  # the oldest first
-        self.wanted = 0  # rounds that are open
-        self.running: dict[tuple[str, int], int] = {}  # those that have their turn: which
+        self.open: dict[str, dict[int, OpenRound]] = {}  # by member and period
+        self.ended: dict[tuple[str, int], EndedRound] = {}  # oldest first
+        self.open_count = 0
+        self.running: dict[tuple[str, int], int] = {}  # turn by member and period
 
-    def ask(self, index: int, body: bytes) -> bool:
+    def apply_unfenced(self, index: int, body: bytes) -> bool:
         try:
-            asked = READ_ASKED.decode(body)
+            request = REQUEST_DECODER.decode(body)
         except msgspec.MsgspecError:
             return False
-        if isinstance(asked, Want):
-            return self.want(index, asked)
-        round = self.held(asked)
-        if round is None:
+        if isinstance(request, RequestTurn):
+            return self.request_turn(index, request)
+        open_round = self.round_with_turn(request)
+        if open_round is None:
             return False
-        self.close(asked.member, asked.period)
-        if isinstance(asked, Done):
-            self.end(asked.member, asked.period, End(round.mark, round.tries, asked.counts))
+        self.close_round(request.member, request.period)
+        if isinstance(request, CompleteTurn):
+            self.record_end(
+                request.member,
+                request.period,
+                EndedRound(open_round.request_id, open_round.tries, request.counts),
+            )
         return True
 
     def apply(self, index: int, token: int, body: bytes) -> bool:
         try:
-            given = READ_GIVEN.decode(body)
+            command = COMMAND_DECODER.decode(body)
         except msgspec.MsgspecError:
             return False
-        if isinstance(given, Turn):
-            return self.turn(index, given)
-        round = self.held(given)
-        if round is None:
+        if isinstance(command, GrantTurn):
+            return self.grant_turn(index, command)
+        open_round = self.round_with_turn(command)
+        if open_round is None:
             return False
-        del self.running[given.member, given.period]
-        round.tries, round.turn, round.place = round.tries + 1, 0, index
-        if given.last or round.tries >= MOST_TRIES:
-            self.close(given.member, given.period)
-            self.end(given.member, given.period, End(round.mark, round.tries, None))
+        del self.running[command.member, command.period]
+        open_round.tries, open_round.turn, open_round.queue_position = open_round.tries + 1, 0, index
+        if command.final or open_round.tries >= MAX_TRIES:
+            self.close_round(command.member, command.period)
+            self.record_end(
+                command.member, command.period, EndedRound(open_round.request_id, open_round.tries, None)
+            )
         return True
 
-    def want(self, index: int, want: Want) -> bool:
-        mine, ended = self.open.get(want.member, {}), self.ended.get((want.member, want.period))
-        if want.period in mine or (ended is not None and ended.mark == want.mark):
+    def request_turn(self, index: int, request: RequestTurn) -> bool:
+        member_rounds, ended = (
+            self.open.get(request.member, {}),
+            self.ended.get((request.member, request.period)),
+        )
+        if request.period in member_rounds or (ended is not None and ended.request_id == request.request_id):
             return False
-        if self.wanted >= MOST_OPEN or len(mine) >= MOST_EACH:
+        if self.open_count >= MAX_OPEN_ROUNDS or len(member_rounds) >= MAX_OPEN_PER_MEMBER:
             return False
-        self.open.setdefault(want.member, {})[want.period] = Round(want.mark, index)
-        self.wanted += 1
+        self.open.setdefault(request.member, {})[request.period] = OpenRound(request.request_id, index)
+        self.open_count += 1
         return True
 
-    def turn(self, index: int, given: Turn) -> bool:
-        mine = self.open.get(given.member, {})
-        round = mine.get(given.period)
-        if round is None or len(self.running) >= min(given.most, MOST_TURNS):
+    def grant_turn(self, index: int, command: GrantTurn) -> bool:
+        member_rounds = self.open.get(command.member, {})
+        open_round = member_rounds.get(command.period)
+        if open_round is None or len(self.running) >= min(command.max_running, MAX_RUNNING_TURNS):
             return False
-        if any(each.turn for each in mine.values()):
-            return False  # a member does one at a time
-        for each in mine.values():
-            each.place = index  # guards others against one that wants many: it goes behind them all
-        round.turn = self.running[given.member, given.period] = index
+        if any(other_round.turn for other_round in member_rounds.values()):
+            return False  # one running turn per member
+        for other_round in member_rounds.values():
+            # A member with many requests queues behind all others, so that it does not starve them.
+            other_round.queue_position = index
+        open_round.turn = self.running[command.member, command.period] = index
         return True
 
-    def held(self, of: Done | Back | GiveUp) -> Round | None:
-        """The round, if that turn is the one it has."""
-        round = self.open.get(of.member, {}).get(of.period)
-        return round if round is not None and of.turn and round.turn == of.turn else None
+    def round_with_turn(self, message: CompleteTurn | ReturnTurn | RevokeTurn) -> OpenRound | None:
+        """Returns the round if `message` names its current turn."""
+        open_round = self.open.get(message.member, {}).get(message.period)
+        return (
+            open_round
+            if open_round is not None and message.turn and open_round.turn == message.turn
+            else None
+        )
 
-    def close(self, member: str, period: int) -> None:
+    def close_round(self, member: str, period: int) -> None:
         del self.open[member][period]
         self.running.pop((member, period), None)
-        self.wanted -= 1
+        self.open_count -= 1
         if not self.open[member]:
             del self.open[member]
 
-    def end(self, member: str, period: int, end: End) -> None:
+    def record_end(self, member: str, period: int, ended_round: EndedRound) -> None:
         self.ended.pop((member, period), None)
-        if len(self.ended) >= MOST_ENDED:
-            done = (key for key, each in self.ended.items() if each.counts is not None)
-            del self.ended[next(done, next(iter(self.ended)))]
-        self.ended[member, period] = end
+        if len(self.ended) >= MAX_ENDED_ROUNDS:
+            completed = (key for key, entry in self.ended.items() if entry.counts is not None)
+            del self.ended[next(completed, next(iter(self.ended)))]
+        self.ended[member, period] = ended_round
 
     def dump(self) -> bytes:
-        return encode(State(self.open, [(*key, end) for key, end in self.ended.items()]))
+        return encode(
+            RoundsState(self.open, [(*key, ended_round) for key, ended_round in self.ended.items()])
+        )
 
     def load(self, data: bytes) -> None:
-        """Raises msgspec.ValidationError, a ValueError, for what is no dump."""
-        state: State = msgspec.msgpack.decode(data, type=State) if data else State()
+        """Raises msgspec.ValidationError, a ValueError, for data that is not a dump."""
+        state: RoundsState = msgspec.msgpack.decode(data, type=RoundsState) if data else RoundsState()
         self.open = state.open
-        self.ended = {(member, period): end for member, period, end in state.ended}
-        opened = [(m, p, round) for m, mine in self.open.items() for p, round in mine.items()]
-        self.wanted = len(opened)
-        self.running = {(m, p): round.turn for m, p, round in opened if round.turn}
+        self.ended = {(member, period): ended_round for member, period, ended_round in state.ended}
+        opened = [
+            (m, p, open_round)
+            for m, member_rounds in self.open.items()
+            for p, open_round in member_rounds.items()
+        ]
+        self.open_count = len(opened)
+        self.running = {(m, p): open_round.turn for m, p, open_round in opened if open_round.turn}
 
     def status(self) -> dict[str, Any]:
-        """For operators: how many wait and are done, and which run and have failed."""
-        failed = [key for key, end in self.ended.items() if end.counts is None]
+        """For operators: the number of waiting and completed rounds, and the running and failed ones."""
+        failed = [key for key, ended_round in self.ended.items() if ended_round.counts is None]
         return {
-            "waiting": self.wanted - len(self.running),
+            "waiting": self.open_count - len(self.running),
             "running": [{"member": m, "period": p, "turn": turn} for (m, p), turn in self.running.items()],
             "done": len(self.ended) - len(failed),
             "failed": len(failed),
-            "failed_last": [{"member": m, "period": p} for m, p in failed[-MOST_SHOWN:]],
+            "failed_last": [{"member": m, "period": p} for m, p in failed[-MAX_FAILED_SHOWN:]],
         }
--- a/tests/test_budgets_faults.py
+++ b/tests/test_budgets_faults.py
@@ -20,7 +20,7 @@
 from harrieryoke.budgets.decide.slices import BudgetState, Slice, SliceGranter
 from harrieryoke.budgets.decide.spender import HeldSlice, Project, Spender
 from harrieryoke.core.timing_wheel import TimingWheel
-from harrieryoke.council.decide.hold import Fence
+from harrieryoke.council.decide.lease import Fence
 
 from . import interleave
 from .budget_world import Implementations, TimedSimulation
