--- a/harrieryoke/council/disk.py
+++ b/harrieryoke/council/disk.py
@@ -34,7 +34,7 @@
 from ..log import Log
 from ..store.actor import HEAD, StoreKeeper
 from ..store.decide.segment import Record
-from ..store.files import Files, RealFiles
+from ..store.files import Directory, DiskDirectory
 from ..store.settings import StoreError, StoreSettings
 from ..store.store import Store
 from .decide.log import PersistentState, bootstrap_snapshot, replay_records
@@ -68,7 +68,7 @@
 }
 
 
-class CouncilFolder(Files, Protocol):
+class CouncilFolder(Directory, Protocol):
     """A folder whose content can be moved aside."""
 
     def move_aside(self) -> str:
@@ -76,7 +76,7 @@
         ...
 
 
-class RealCouncilFolder(RealFiles):
+class RealCouncilFolder(DiskDirectory):
     """Raises StoreError if the folder does not exist and cannot be created."""
 
     def __init__(self, folder: str) -> None:
@@ -87,7 +87,7 @@
             raise StoreError(f"store.folder: {error}") from None
 
     def sync_parent(self) -> None:
-        RealFiles(os.path.dirname(os.path.abspath(self.folder))).sync_folder()
+        DiskDirectory(os.path.dirname(os.path.abspath(self.folder))).sync_names()
 
     def move_aside(self) -> str:
         name = f"{self.folder}.lost-{int(wall_ms())}"
@@ -164,7 +164,11 @@
         """
         damaged = store.recovery.damaged
         durable_index = max(
-            [self.durable_through, store.recovery.snapshot, *(h.first - 1 for h in store.headers.values())]
+            [
+                self.durable_through,
+                store.recovery.snapshot_seq,
+                *(h.first_seq - 1 for h in store.headers.values()),
+            ]
         )
         if not damaged or any(not fence.before or fence.after < durable_index for _, fence in damaged):
             return None
@@ -176,16 +180,16 @@
         if r.damaged:
             name, fence = r.damaged[0]
             return f"{name}: bytes {fence.begin} to {fence.end} cannot be read"
-        if r.snapshots_bad:
-            return f"{r.snapshots_bad[0]} cannot be read"
-        if self.replica is None and r.last:
+        if r.bad_snapshots:
+            return f"{r.bad_snapshots[0]} cannot be read"
+        if self.replica is None and r.last_seq:
             return "the snapshot with the replica ID is missing"
         return self.gap
 
 
 def discard_keeper(keeper: StoreKeeper) -> None:
     """Closes a keeper that has not been started."""
-    keeper.store.files.unlock()
+    keeper.store.directory.unlock()
     keeper.pool.kill()
 
 
@@ -204,7 +208,7 @@
         elif torn_write is not None:
             log("store-cut", f"{torn_write[0]}: the last write was incomplete from byte {torn_write[1]} on")
             try:
-                files.cut(*torn_write)
+                files.truncate(*torn_write)
             except OSError as error:
                 reason = str(error)
         if not reason and torn_write is None:
--- a/harrieryoke/council/part.py
+++ b/harrieryoke/council/part.py
@@ -86,12 +86,12 @@
         self.links.update_members(settings.member_addresses())
         self.actor.blocking_send(settings)
 
-    def push_stop(self) -> None:
+    def request_stop(self) -> None:
         """Starts handing duties over while the last calls are still answered."""
         self.actor.leave(self.settings.leave_ms)
 
     def stop(self) -> None:
-        self.push_stop()
+        self.request_stop()
         self.turns.stop()
         self.actor.has_left.wait(self.settings.leave_ms / 1000 + STOP_SLACK_S)
         self.actor.finished = True
--- a/tests/test_council_disk.py
+++ b/tests/test_council_disk.py
@@ -28,7 +28,7 @@
 from harrieryoke.council.disk import Disk
 from harrieryoke.log import Log
 from harrieryoke.store import actor
-from harrieryoke.store.files import RealFiles
+from harrieryoke.store.files import DiskDirectory
 from harrieryoke.store.settings import StoreError, StoreSettings
 from harrieryoke.store.store import Store
 
@@ -40,7 +40,9 @@
 
 
 class SilentLog(Log):
-    def put(self, now: float, kind: str, text: str, fields: dict[str, object] | None = None) -> None: ...
+    def write_line(
+        self, now: float, kind: str, text: str, fields: dict[str, object] | None = None
+    ) -> None: ...
 
 
 class Folder(Faulty):
@@ -97,7 +99,7 @@
         self, folder: Folder | None, store_settings: StoreSettings = SETTINGS, name: str = "a"
     ) -> None:
         self.disk = Disk(store_settings, name, SilentLog(), folder)
-        self.disk.keeper.store.commit.retry_ms = 0.0
+        self.disk.keeper.store.commit.min_retry_ms = 0.0
         self.pool: Any = self.disk.keeper.pool
         self.written, self.last_sequence, self.failures = 0, 0, list[str]()
         self.disk.on_written, self.disk.on_failed = self.on_written, self.failures.append
@@ -432,7 +434,7 @@
     assert session.disk.recovered.log.last_index() == 300 and session.disk.recovered.voted_for == ME
     with pytest.raises(StoreError, match="another process"):
         real_disk(tmp_path / "a")
-    ledger = Store(RealFiles(str(tmp_path / "ledger")), SETTINGS, 0.0)
+    ledger = Store(DiskDirectory(str(tmp_path / "ledger")), SETTINGS, 0.0)
     ledger.append(0.0, 1, b"", b"x")
     ledger.close(0.0)
     with pytest.raises(StoreError, match="record 1 of kind 1"):
@@ -461,7 +463,7 @@
 
 
 def test_an_unreadable_snapshot_keeps_all_segments(tmp_path: Path) -> None:
-    store = Store(RealFiles(str(tmp_path)), SETTINGS, 0.0)
+    store = Store(DiskDirectory(str(tmp_path)), SETTINGS, 0.0)
     for _ in range(100):
         store.append(0.0, 1, b"", b"x" * 100)
     store.flush(0.0)
@@ -469,8 +471,8 @@
     store.take_snapshot(100, b"another")
     store.close(0.0)
     (tmp_path / "snapshot-00000000000000000100.snap").write_bytes(b"damaged")
-    again = Store(RealFiles(str(tmp_path)), SETTINGS, 0.0)
+    again = Store(DiskDirectory(str(tmp_path)), SETTINGS, 0.0)
     assert again.snapshot == (50, b"one state")
     again.compact(1000)
     again.close(0.0)
-    assert not Store(RealFiles(str(tmp_path)), SETTINGS, 0.0).recovery.damaged
+    assert not Store(DiskDirectory(str(tmp_path)), SETTINGS, 0.0).recovery.damaged
