--- a/harrieryoke/cli.py
+++ b/harrieryoke/cli.py
@@ -93,7 +93,7 @@
     told: Any = config.operator
     if told.council is None:
         raise ConfigError("council: the operator's file has no such table")
-    name = told.council.member(config.name)
+    name = told.council.member_name(config.name)
     if name not in told.council.voters:
         raise ConfigError(f"council.voters: {name} founds, and is none of them")
     seat = Disk.bootstrap(told.council.store_settings(), name, base)
--- a/harrieryoke/council/wire/codec.py
+++ b/harrieryoke/council/wire/codec.py
@@ -53,8 +53,8 @@
     return pb.Seat(name=replica.name, disk=replica.disk_id)
 
 
-def replicas_to_pb(seats: Iterable[ReplicaId]) -> list[pb.Seat]:
-    return [replica_to_pb(replica) for replica in sorted(seats)]
+def replicas_to_pb(replicas: Iterable[ReplicaId]) -> list[pb.Seat]:
+    return [replica_to_pb(replica) for replica in sorted(replicas)]
 
 
 def configuration_to_pb(configuration: Configuration) -> pb.Members:
--- a/tests/test_council_disk.py
+++ b/tests/test_council_disk.py
@@ -203,7 +203,7 @@
         self.reopen()
 
     @rule()
-    def process_killed(self) -> None:
+    def killed(self) -> None:
         self.session.cut()
         self.reopen()
 
@@ -221,7 +221,7 @@
 
     @precondition(lambda self: not self.folder.failing_sync)
     @rule()
-    def all_written(self) -> None:
+    def write_all(self) -> None:
         """All queued records must become durable."""
         self.folder.fail.clear()
         self.speed(False)
@@ -234,7 +234,7 @@
 
     @precondition(lambda self: not self.folder.down)
     @rule()
-    def stopped(self) -> None:
+    def closed(self) -> None:
         self.speed(False)
         self.session.disk.stop(0.01)
         self.session.cut()
@@ -249,7 +249,7 @@
     def teardown(self) -> None:
         if hasattr(self, "session"):
             self.folder.failing_sync = False
-            self.all_written()
+            self.write_all()
             self.power_cut()
 
 
@@ -336,7 +336,7 @@
 def test_records_after_a_newer_snapshot_wait_for_that_snapshot() -> None:
     folder = Folder(1)
     session = DiskSession(folder)
-    asked, gate, heard = session.disk.keeper.ask, Event(), list[tuple[int, int]]()
+    asked, gate, reported = session.disk.keeper.ask, Event(), list[tuple[int, int]]()
 
     def ask(what: Callable[[Store], None]) -> None:
         gate.wait()
@@ -348,11 +348,13 @@
     session.save(Snapshot(9, 2, Configuration(), b"news"), *entries(10, 1))
     session.settle()
     assert session.written == 4
-    session.disk.on_written = lambda number: heard.append((number, max(session.disk.keeper.store.snapshots)))
+    session.disk.on_written = lambda number: reported.append(
+        (number, max(session.disk.keeper.store.snapshots))
+    )
     gate.set()
     for _ in range(50):
         gevent.sleep(0)
-    assert heard == [(5, 5), (6, 5)]  # the store's sequence numbers are the same here
+    assert reported == [(5, 5), (6, 5)]  # the store's sequence numbers are the same here
 
 
 def after_cut(session: DiskSession, folder: Folder) -> Folder:
--- a/tests/test_council_faults.py
+++ b/tests/test_council_faults.py
@@ -163,7 +163,7 @@
     world.run(3000)
     a, b, c = (world.members[name] for name in "abc")
     world.block_links({("a", "c"), ("b", "c")}, 60_000)
-    world.run(1000)  # it no longer hears a leader
+    world.run(1000)  # it no longer receives from a leader
     request = RequestVote(50, 1 << 20, 50)
     c.disk_full_until = world.time + (600 if how == "full" else 0)
     world.run_on_member(c, c.incarnation, partial(world.receive, c, a.replica, request))
@@ -301,13 +301,13 @@
     world = World(2, 5, components=components)
     world.run(3000)
     leader = world.leader()
-    deaf = next(
+    isolated = next(
         member
         for member in world.members.values()
         if member is not leader and member.name in world.desired_voters
     )
     before = leader.raft.term
-    world.block_links({(name, deaf.name) for name in world.members}, 10_000)
+    world.block_links({(name, isolated.name) for name in world.members}, 10_000)
     world.run(13_000)
     return before, world.leader().raft.term
 
--- a/tests/test_council_ledger.py
+++ b/tests/test_council_ledger.py
@@ -34,10 +34,12 @@
 def turns(folder: Path, duties: str, at_once: int = 2) -> object:
     path = folder / "operator.toml"
     path.write_text(FILE.format(duties=duties, at_once=at_once))
-    told, limits, log = read_operator(str(path)), Limits(), Log("n")
-    told.check(SETTINGS, limits)
+    operator_file, limits, log = read_operator(str(path)), Limits(), Log("n")
+    operator_file.check(SETTINGS, limits)
     core = ModuleActor(SETTINGS, 7, limits, log)
-    made = told.parts(SETTINGS, core, CallMaker(SETTINGS, limits), limits, log, lambda *_: (404, None))
+    made = operator_file.parts(
+        SETTINGS, core, CallMaker(SETTINGS, limits), limits, log, lambda *_: (404, None)
+    )
     assert isinstance(made.ledger, LedgerPart) and made.ledger.link is not None
     return made.ledger.link.reconciler.turns
 
--- a/tests/test_council_link.py
+++ b/tests/test_council_link.py
@@ -147,7 +147,7 @@
     return [ForwardProposal(at.to_bytes(8) + bytes(size - 8)) for at in range(begin, end)]
 
 
-# --- who is heard ---
+# --- which peers are accepted ---
 
 
 def test_messages_between_members_arrive_in_order(fleet: Fleet) -> None:
@@ -311,7 +311,7 @@
     a, c = fleet.start("a", max_queued_messages=20, write_ms=100.0), fleet.start("c")
     listener = fleet.listen_as("b")
     a.links.send_to(["b"], JoinRequest())
-    deaf = fleet.welcome(listener, ReplicaId("b", 1))
+    stalled = fleet.welcome(listener, ReplicaId("b", 1))
     until(lambda: a.status("b")["connected"])
     connection = a.links.peers["b"].sock
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)  # otherwise it buffers them all
@@ -327,7 +327,7 @@
     a.links.send(c.replica, JoinRequest())
     until(lambda: c.received)
     until(lambda: a.log.of("council-lost") == ["council-lost b: write timed out"])  # in the middle of a frame
-    deaf.close()
+    stalled.close()
     listener.close()
     b = fleet.start("b")
     until(lambda: b.messages()[-1:] == offers(199, 200, 100_000))
--- a/tests/test_council_wire.py
+++ b/tests/test_council_wire.py
@@ -80,14 +80,14 @@
 def test_messages_round_trip_however_the_bytes_are_split(
     messages: list[m.Message | DutyHandover], cut: int
 ) -> None:
-    data, decoder, heard = (
+    data, decoder, received = (
         b"".join(encode(to_wire(message)) for message in messages),
         Decoder(pb.Frame, MAX_FRAME_BYTES),
         [],
     )
     for at in range(0, len(data), cut):
-        heard += [from_wire(frame) for frame in decoder.feed(data[at : at + cut])]
-    assert heard == messages
+        received += [from_wire(frame) for frame in decoder.feed(data[at : at + cut])]
+    assert received == messages
 
 
 @FUZZ
@@ -106,8 +106,8 @@
         elif at:
             del broken[at:]
     with suppress(WireError):
-        for heard in read(bytes(broken)):
-            assert read(encode(to_wire(heard))) == [heard]  # whatever is accepted is a valid message
+        for received in read(bytes(broken)):
+            assert read(encode(to_wire(received))) == [received]  # whatever is accepted is a valid message
 
 
 @FUZZ
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -40,64 +40,64 @@
         ):
             self.patch.setattr(r, name, value)
         self.rounds, self.index = r.ReconciliationRounds(), 0
-        self.line: list[list[int | str]] = []  # member, period, request ID, tries, turn: in queue order
+        self.queue: list[list[int | str]] = []  # member, period, request ID, tries, turn: in queue order
         # member, period, request ID, whether completed: oldest first
-        self.over: list[tuple[str, int, int, bool]] = []
+        self.ended: list[tuple[str, int, int, bool]] = []
 
     def teardown(self) -> None:
         self.patch.undo()
 
-    def found(self, member: str, period: int) -> list[Any] | None:
-        return next((each for each in self.line if each[:2] == [member, period]), None)
+    def find(self, member: str, period: int) -> list[Any] | None:
+        return next((each for each in self.queue if each[:2] == [member, period]), None)
 
-    def say(self, body: r.MemberRequest | r.HolderCommand) -> bool:
+    def apply(self, body: r.MemberRequest | r.HolderCommand) -> bool:
         self.index += 1
         if isinstance(body, r.GrantTurn | r.RevokeTurn):
             return self.rounds.apply(self.index, 1, r.encode(body))
         return self.rounds.apply_unfenced(self.index, r.encode(body))
 
     @rule(member=NAMES, period=PERIODS, mark=st.integers(1, 2))
-    def want(self, member: str, period: int, mark: int) -> None:
-        good = self.found(member, period) is None and len(self.line) < 5
-        good = good and sum(each[0] == member for each in self.line) < 2
-        good = good and not any(each[:3] == (member, period, mark) for each in self.over)
-        assert self.say(r.RequestTurn(member, period, mark)) == good
-        self.line += [[member, period, mark, 0, 0]] if good else []
+    def turn_request(self, member: str, period: int, mark: int) -> None:
+        accepted = self.find(member, period) is None and len(self.queue) < 5
+        accepted = accepted and sum(each[0] == member for each in self.queue) < 2
+        accepted = accepted and not any(each[:3] == (member, period, mark) for each in self.ended)
+        assert self.apply(r.RequestTurn(member, period, mark)) == accepted
+        self.queue += [[member, period, mark, 0, 0]] if accepted else []
 
     @rule(member=NAMES, period=PERIODS, most=st.integers(0, 3))
     def turn(self, member: str, period: int, most: int) -> None:
-        has, running = self.found(member, period), [each for each in self.line if each[4]]
-        good = has is not None and len(running) < most and member not in [each[0] for each in running]
-        assert self.say(r.GrantTurn(member, period, most)) == good
-        if has is not None and good:
-            has[4] = self.index
-            self.line.sort(key=lambda each: each[0] == member)  # behind the others, keeping their order
+        queued, running = self.find(member, period), [each for each in self.queue if each[4]]
+        accepted = queued is not None and len(running) < most and member not in [each[0] for each in running]
+        assert self.apply(r.GrantTurn(member, period, most)) == accepted
+        if queued is not None and accepted:
+            queued[4] = self.index
+            self.queue.sort(key=lambda each: each[0] == member)  # behind the others, keeping their order
 
     @rule(
         member=NAMES, period=PERIODS, how=st.sampled_from(["done", "back", "give", "last"]), old=st.booleans()
     )
-    def over_with(self, member: str, period: int, how: str, old: bool) -> None:
-        has = self.found(member, period)
-        turn = 0 if has is None else has[4] - old
-        good = has is not None and has[4] == turn != 0
+    def outcome(self, member: str, period: int, how: str, old: bool) -> None:
+        queued = self.find(member, period)
+        turn = 0 if queued is None else queued[4] - old
+        accepted = queued is not None and queued[4] == turn != 0
         if how == "done":
-            said = self.say(r.CompleteTurn(member, period, turn, COUNTS))
+            changed = self.apply(r.CompleteTurn(member, period, turn, COUNTS))
         elif how == "back":
-            said = self.say(r.ReturnTurn(member, period, turn))
+            changed = self.apply(r.ReturnTurn(member, period, turn))
         else:
-            said = self.say(r.RevokeTurn(member, period, turn, how == "last"))
-        assert said == good
-        if not good or has is None:
+            changed = self.apply(r.RevokeTurn(member, period, turn, how == "last"))
+        assert changed == accepted
+        if not accepted or queued is None:
             return
-        self.line.remove(has)
-        has[3], has[4] = has[3] + (how in ("give", "last")), 0
-        if how == "give" and has[3] < 3:
-            self.line.append(has)
+        self.queue.remove(queued)
+        queued[3], queued[4] = queued[3] + (how in ("give", "last")), 0
+        if how == "give" and queued[3] < 3:
+            self.queue.append(queued)
         elif how != "back":
-            self.over = [each for each in self.over if each[:2] != (member, period)]
-            if len(self.over) >= 4:
-                self.over.remove(next((each for each in self.over if each[3]), self.over[0]))
-            self.over.append((member, period, has[2], how == "done"))
+            self.ended = [each for each in self.ended if each[:2] != (member, period)]
+            if len(self.ended) >= 4:
+                self.ended.remove(next((each for each in self.ended if each[3]), self.ended[0]))
+            self.ended.append((member, period, queued[2], how == "done"))
 
     @rule()
     def restarted(self) -> None:
@@ -111,16 +111,16 @@
         assert not self.rounds.apply_unfenced(self.index, body) and not self.rounds.apply(self.index, 1, body)
 
     @invariant()
-    def same(self) -> None:
-        opened = [(m, p, x) for m, mine in self.rounds.open.items() for p, x in mine.items()]
-        opened.sort(
-            key=lambda each: (each[2].queue_position, [e[:2] for e in self.line].index([each[0], each[1]]))
+    def matches_model(self) -> None:
+        open_rounds = [(m, p, x) for m, mine in self.rounds.open.items() for p, x in mine.items()]
+        open_rounds.sort(
+            key=lambda each: (each[2].queue_position, [e[:2] for e in self.queue].index([each[0], each[1]]))
         )
-        assert [[m, p, x.request_id, x.tries, x.turn] for m, p, x in opened] == self.line
-        assert self.rounds.open_count == len(self.line)
-        assert self.rounds.running == {(e[0], e[1]): e[4] for e in self.line if e[4]}
+        assert [[m, p, x.request_id, x.tries, x.turn] for m, p, x in open_rounds] == self.queue
+        assert self.rounds.open_count == len(self.queue)
+        assert self.rounds.running == {(e[0], e[1]): e[4] for e in self.queue if e[4]}
         ended = [(m, p, end.request_id, end.counts == COUNTS) for (m, p), end in self.rounds.ended.items()]
-        assert ended == self.over
+        assert ended == self.ended
 
 
 RoundsAgainstModel.TestCase.settings = settings(
@@ -156,7 +156,7 @@
     def step(self) -> None:
         if not self.up:
             return
-        now, token = self.fleet.t, self.token()
+        now, token = self.fleet.time, self.token()
         for body in self.scheduler.tick(now, token):
             self.fleet.offer(self, d.FencedCommand(r.DUTY, token, body))
         for body in self.member_turns.tick(now):
@@ -167,12 +167,12 @@
         due = [at for at in (self.scheduler.wake_at, self.member_turns.wake_at) if at is not None]
         if due and not now < self.next_wake <= min(due):
             self.next_wake = min(due)
-            self.fleet.at(self.next_wake, self.step)
+            self.fleet.call_at(self.next_wake, self.step)
 
     def work(self, period: int, turn: int, messages: int) -> None:
         """A turn consists of a number of messages to the collector."""
         self.fleet.working.discard(self.name)
-        if not self.up or not self.member_turns.holds(self.fleet.t, period, turn):
+        if not self.up or not self.member_turns.holds(self.fleet.time, period, turn):
             return
         if not messages:
             self.member_turns.complete(period, turn, COUNTS)
@@ -180,15 +180,15 @@
         self.fleet.working.add(self.name)
         self.fleet.max_working = max(self.fleet.max_working, len(self.fleet.working))
         self.fleet.collect(self.name, turn)
-        later = self.fleet.t + self.fleet.rng.uniform(1, WORK / 3)
-        self.fleet.at(later, partial(self.work, period, turn, messages - 1))
+        later = self.fleet.time + self.fleet.rng.uniform(1, WORK / 3)
+        self.fleet.call_at(later, partial(self.work, period, turn, messages - 1))
 
 
 class Fleet:
     """`count` members and two that hold the duty, h0 first, on one log that accepts everything."""
 
     def __init__(self, count: int, seed: int, loss: float = 0.0) -> None:
-        self.rng, self.loss, self.t, self.serial = random.Random(seed), loss, 0.0, 0
+        self.rng, self.loss, self.time, self.event_count = random.Random(seed), loss, 0.0, 0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.log: list[bytes] = []
         self.working: set[str] = set()
@@ -202,24 +202,24 @@
             self.append(command)
         self.run(100.0)
 
-    def at(self, t: float, what: Callable[[], None]) -> None:
-        self.serial += 1
-        heapq.heappush(self.events, (t, self.serial, what))
+    def call_at(self, t: float, what: Callable[[], None]) -> None:
+        self.event_count += 1
+        heapq.heappush(self.events, (t, self.event_count, what))
 
     def run(self, ms: float, until: Callable[[], bool] = lambda: False) -> None:
-        end = self.t + ms
+        end = self.time + ms
         while self.events and self.events[0][0] <= end and not until():
-            self.t, _, what = heapq.heappop(self.events)
+            self.time, _, what = heapq.heappop(self.events)
             what()
 
     def offer(self, node: Node, command: d.Command) -> None:
         if not node.isolated and self.rng.random() >= self.loss:
-            self.at(self.t + self.rng.uniform(1, LAG), partial(self.append, command))
+            self.call_at(self.time + self.rng.uniform(1, LAG), partial(self.append, command))
 
     def append(self, command: d.Command) -> None:
         self.log.append(d.encode(command))
         for node in self.nodes:
-            self.at(self.t + self.rng.uniform(1, LAG), partial(self.catch_up, node, len(self.log)))
+            self.call_at(self.time + self.rng.uniform(1, LAG), partial(self.catch_up, node, len(self.log)))
 
     def catch_up(self, node: Node, upto: int) -> None:
         if not node.up or node.isolated or node.applied >= upto:
@@ -235,7 +235,7 @@
 
     def end_period(self) -> None:
         for node in self.members:
-            node.member_turns.request(self.t, PERIOD)
+            node.member_turns.request(self.time, PERIOD)
             node.step()
 
     def ended(self, member: str) -> bool | None:
@@ -260,10 +260,10 @@
 @pytest.mark.parametrize("count", [5, 40, 200])
 def test_few_run_at_a_time_and_all_complete_in_time(count: int) -> None:
     fleet = Fleet(count, count)
-    began = fleet.t
+    began = fleet.time
     fleet.end_period()
     fleet.run(fleet.bound(), fleet.all_done)
-    assert fleet.all_done() and fleet.t - began <= fleet.bound()
+    assert fleet.all_done() and fleet.time - began <= fleet.bound()
     assert fleet.max_working <= TURN_SETTINGS.at_once and (
         count < 40 or fleet.max_working == TURN_SETTINGS.at_once
     )
@@ -287,8 +287,8 @@
     assert new_holder.rounds.running
     old_holder.isolated = True  # it receives nothing and continues granting: its commands arrive late
     for at in range(20):
-        fleet.at(
-            fleet.t + 50 * at,
+        fleet.call_at(
+            fleet.time + 50 * at,
             partial(fleet.append, d.FencedCommand(r.DUTY, old_holder.token(), stale(fleet, at))),
         )
     fleet.append(d.EndSession("h0", 1, 1))
@@ -312,7 +312,7 @@
 def test_a_member_that_crashes_during_its_turn_blocks_nobody(back: bool) -> None:
     fleet = Fleet(40, 1)
     fleet.end_period()
-    began = fleet.t
+    began = fleet.time
     fleet.run(60_000.0, lambda: bool(fleet.working))
     dead = next(node for node in fleet.members if node.name in fleet.working)
     dead.up = False
@@ -320,7 +320,7 @@
     fleet.run(60_000.0, lambda: len(fleet.nodes[1].rounds.ended) >= 39)
     # the others have one turn less
     assert (
-        fleet.t - began
+        fleet.time - began
         <= TURN_SETTINGS.spread_ms + -(-39 // (TURN_SETTINGS.at_once - 1)) * (WORK + 4 * LAG) + 4 * LAG
     )
     if back:
@@ -332,7 +332,7 @@
     if back:
         assert again.started_turns == dead.started_turns  # under the same turn
     else:
-        assert fleet.t - began < 60_000.0
+        assert fleet.time - began < 60_000.0
         assert fleet.nodes[1].rounds.ended[dead.name, PERIOD].tries == TURN_SETTINGS.tries
     assert fleet.nodes[1].rounds.status()["failed"] == (not back)
 
@@ -344,8 +344,8 @@
     node = next(node for node in fleet.members if node.name in fleet.working)
     ((period, held),) = node.member_turns.held.items()
     node.isolated = True
-    assert node.member_turns.holds(fleet.t, period, held.turn)
-    assert not node.member_turns.holds(fleet.t + TURN_SETTINGS.turn_ms, period, held.turn)
+    assert node.member_turns.holds(fleet.time, period, held.turn)
+    assert not node.member_turns.holds(fleet.time + TURN_SETTINGS.turn_ms, period, held.turn)
     fleet.run(2 * TURN_SETTINGS.turn_ms)
     node.isolated = False
     fleet.catch_up(node, len(fleet.log))
@@ -377,7 +377,7 @@
     fleet = Fleet(5, 4)
     greedy = fleet.members[0]
     for period in range(100, 112):
-        greedy.member_turns.request(fleet.t, period)
+        greedy.member_turns.request(fleet.time, period)
     fleet.run(TURN_SETTINGS.spread_ms / 2)
     fleet.end_period()
     fleet.run(60_000.0, lambda: all(fleet.ended(node.name) for node in fleet.members))
