--- a/harrieryoke/__init__.py
+++ b/harrieryoke/__init__.py
@@ -1,6 +1,5 @@
 """harrieryoke: the decisions of a router before workers that keep only some of many programs loaded."""
 
-from .brain import Router
 from .interface import (
     Action,
     AnswerStarted,
@@ -36,6 +35,7 @@
     WorkersListed,
     WorkerStatus,
 )
+from .router import Router
 
 __all__ = [
     "Action",
--- a/harrieryoke/core/module.py
+++ b/harrieryoke/core/module.py
@@ -10,9 +10,9 @@
 import gevent
 
 from .. import interface as i
-from ..brain import Router
 from ..limits import Limits
 from ..log import Log
+from ..router import Router
 from .actor import Actor
 from .clock import WallClockWatch, now_ms
 from .metrics import Metrics
@@ -172,16 +172,16 @@
         if self.router.list_current != self.list_current:
             self.list_current = self.router.list_current
             self.log("list-current" if self.list_current else "list-unconfirmed", self.list_state())
-        if self.router.outs != self.hosts_out:
-            self.hosts_out = self.router.outs
-            out = sorted(self.host_name(number) for number, w in self.router.workers.items() if w.out)
+        if self.router.ejected_count != self.hosts_out:
+            self.hosts_out = self.router.ejected_count
+            out = sorted(self.host_name(number) for number, w in self.router.workers.items() if w.ejected)
             self.log("hosts-out", f"{len(out)} of {len(self.router.workers)}: {', '.join(out) or 'none'}")
 
     def list_state(self) -> str:
         """Say for the log how old the worker list is, and what that means for model hosts."""
         age = self.router.list_age
-        since = "" if age.confirmed is None else f"confirmed {self.clock() - age.confirmed:.0f} ms ago"
-        doubtful = ", ".join(sorted(map(self.host_name, age.doubtful)))
+        since = "" if age.confirmed_at is None else f"confirmed {self.clock() - age.confirmed_at:.0f} ms ago"
+        doubtful = ", ".join(sorted(map(self.host_name, age.unreadable)))
         return f"{since}; unreadable last entries: {doubtful or 'none'}"
 
     def host_name(self, worker: int) -> str:
@@ -219,7 +219,7 @@
     def avoided(self) -> int:
         """How many of the listed model hosts that take calls the module leaves out by its own choice."""
         router = self.router
-        return sum(w.up and not router.usable(w) for w in router.workers.values())
+        return sum(w.active and not router.is_usable(w) for w in router.workers.values())
 
     def decide(self, now: float, events: list[i.Event]) -> None:
         if not events:
@@ -400,7 +400,7 @@
             self.echo(TaskEnded(order, i.Outcome.FULL), now)
         else:
             if a.copies:
-                ordered, arrived = len(self.router.ordered), len(self.router.arrivals)
+                ordered, arrived = len(self.router.order_times), len(self.router.arrival_times)
                 counts = f"{ordered} orders and {arrived} requests in the window"
                 self.log("order", f"{a.function} at {self.host_name(a.worker)}: {counts}")
             self.begin(order, now)
--- a/harrieryoke/core/records.py
+++ b/harrieryoke/core/records.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from ..brain import Router
 from ..interface import CopyLookup, ListConfirmed, LoadReport, Outcome, Settings, WorkersListed
+from ..router import Router
 
 
 @dataclass(slots=True, eq=False)
--- a/harrieryoke/ledger/actor.py
+++ b/harrieryoke/ledger/actor.py
@@ -19,7 +19,7 @@
 from ..core.clock import now_ms, wall_ms
 from ..core.records import Asked, Call, Ended, Front, Retuned
 from ..log import Log
-from ..state import Bucket
+from ..state import TokenBucket
 from ..store.actor import StoreKeeper
 from ..store.decide.segment import Record
 from ..store.settings import StoreError, StoreSettings
@@ -106,7 +106,7 @@
         self.ledger = Ledger(book, export)
         if collector is not None:
             self.ledger.batch, self.ledger.batch_ms = collector.batch, collector.batch_ms
-        self.shares: dict[int, Bucket] = {}
+        self.shares: dict[int, TokenBucket] = {}
         self.counts: Counter[str] = Counter()
         # with another policy nothing is durable soon, by the operator's choice
         self.holds = store is not None and store.sync == "group" and told.hold_ms > 0
@@ -262,8 +262,8 @@
         if call.tenant is not None:
             known = self.settings.tenants[call.tenant]
             tenant, rate = known.name, known.allowance_per_s
-            share = self.shares.setdefault(call.tenant, Bucket())
-            over = rate > 0 and not share.take(now, rate / 1000, max(1.0, rate))
+            share = self.shares.setdefault(call.tenant, TokenBucket())
+            over = rate > 0 and not share.take_token(now, rate / 1000, max(1.0, rate))
         took = max(0, int(now - call.taken)) if call.taken else 0
         use = Use(
             int(wall_ms()),
--- a/harrieryoke/slow_start.py
+++ b/harrieryoke/slow_start.py
@@ -4,10 +4,10 @@
 from __future__ import annotations
 
 from .interface import Settings
-from .state import Bucket
+from .state import TokenBucket
 
 
-def warmth_at(age: float, settings: Settings) -> float:
+def warm_share_at(age: float, settings: Settings) -> float:
     """The part of its full capacity that a worker can bear at this age, from `cold_share` to 1."""
     grown = age / max(settings.cold_period, settings.tick)
     if grown >= 1:
@@ -15,9 +15,11 @@
     return settings.cold_share + (1 - settings.cold_share) * max(0.0, grown)
 
 
-def take_call(budget: Bucket, now: float, warmth: float, calls_each: float, settings: Settings) -> bool:
+def take_cold_token(
+    budget: TokenBucket, now: float, warmth: float, calls_each: float, settings: Settings
+) -> bool:
     """Take one call from a worker's budget, where it has one left. Against pushing over any slow start, at
     the cost of speed where it is quicker than told: half of the fatal multiple of what a warm worker gets
     from this front end, which is `calls_each` in a keep-alive; in fractions where many share it."""
     rate = warmth * settings.overload_multiple / 2 * calls_each / settings.keep_alive
-    return budget.take(now, rate, max(1.0, rate * settings.overload_time / 2))
+    return budget.take_token(now, rate, max(1.0, rate * settings.overload_time / 2))
--- a/harrieryoke/state_transfer.py
+++ b/harrieryoke/state_transfer.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from .brain import FORGET, Router
-from .state import Bucket, Copy, Function, Load, Worker, digest
+from .router import FORGET_KEEP_ALIVES, Router
+from .state import Copy, Function, TokenBucket, Worker, WorkerLoad, digest
 
 VERSION = 2
 WALL_CLOCK_VERSION = 1  # its times are Unix milliseconds, and it does not say when it was packed
@@ -32,20 +32,20 @@
 
     worker: int
     started: float
-    strain: float
-    limit: float
-    slow: float
-    out: bool
-    dead: bool
+    latency_ratio: float
+    attempt_limit: float
+    slowness_factor: float
+    ejected: bool
+    unreachable: bool
     backoff: float
-    held: float
-    told: float
-    heard: float
-    cut: float
-    budget: float
-    budget_at: float
-    doubts: dict[str, tuple[float, float]]
-    served: dict[str, float]
+    in_progress: float
+    reported_at: float
+    last_heard: float
+    last_disconnect: float
+    cold_budget: float
+    cold_budget_updated_at: float
+    suspected_classes: dict[str, tuple[float, float]]
+    last_served: dict[str, float]
     start_stamp: float | None = None  # the list's mark of its last start; version 1 has none
 
 
@@ -54,24 +54,24 @@
 
     worker: int
     count: Count
-    seen: float
-    others: float
+    last_seen: float
+    others_in_flight: float
 
 
 class FunctionState(msgspec.Struct, array_like=True):
     """One function; `age` is the time since its last use, in milliseconds of demand."""
 
     name: str
-    kind: str
+    class_name: str
     load_time: float
-    usual: float
+    mean_duration: float
     memory: float
-    lanes: Count
+    slots: Count
     age: float
-    width: float
-    alone: bool
+    copy_width: float
+    sole_user: bool
     copies: list[CopyState]
-    missed: list[tuple[int, float]]
+    missed_until: list[tuple[int, float]]
 
 
 class RouterState(msgspec.Struct):
@@ -93,17 +93,17 @@
 def pack(router: Router, now: float) -> bytes:
     """Serialise what the router has learned: version, checksum, values. The newest definition of a class
     counts. `now` is on the router's clock."""
-    names = [c.name for c in router.s.classes]
+    names = [c.name for c in router.settings.classes]
     state = RouterState(
         [worker_state(number, w, names) for number, w in router.workers.items()],
         [function_state(router, f, names) for f in router.functions.values()],
-        list(router.ordered),
-        list(router.arrivals),
-        router.calls,
+        list(router.order_times),
+        list(router.arrival_times),
+        router.recent_calls,
         router.last_arrival,
-        router.strain,
-        router.held,
-        router.stretch,
+        router.latency_ratio,
+        router.mean_in_progress,
+        router.load_time_factor,
         router.order_cap,
         now,
     )
@@ -116,20 +116,20 @@
     return WorkerState(
         number,
         w.started,
-        w.load.strain,
-        w.load.limit,
-        w.slow,
-        w.out,
-        w.dead,
+        w.load.latency_ratio,
+        w.load.attempt_limit,
+        w.slowness_factor,
+        w.ejected,
+        w.unreachable,
         w.backoff,
-        w.held,
-        w.told,
-        w.heard,
-        w.cut,
-        w.budget.left,
-        w.budget.at,
-        {names[n]: doubt for n, doubt in sorted(w.doubts.items())},
-        {names[n]: at for n, at in sorted(w.served.items())},
+        w.in_progress,
+        w.reported_at,
+        w.last_heard,
+        w.last_disconnect,
+        w.cold_budget.tokens,
+        w.cold_budget.updated_at,
+        {names[n]: doubt for n, doubt in sorted(w.suspected_classes.items())},
+        {names[n]: at for n, at in sorted(w.last_served.items())},
         w.entry.start_stamp,
     )
 
@@ -140,14 +140,14 @@
         f.name,
         names[f.class_index],
         f.load_time,
-        f.usual,
+        f.mean_duration,
         f.memory,
-        f.lanes,
-        router.now - router.stalled - f.used,
-        f.width,
-        f.alone,
-        [CopyState(number, c.count, c.seen, c.others) for number, c in f.copies.items()],
-        list(f.missed.items()),
+        f.slots,
+        router.now - router.total_idle_time - f.last_used,
+        f.copy_width,
+        f.sole_user,
+        [CopyState(number, c.count, c.last_seen, c.others_in_flight) for number, c in f.copies.items()],
+        list(f.missed_until.items()),
     )
 
 
@@ -171,19 +171,19 @@
     ahead = (wall if version == WALL_CLOCK_VERSION else state.at) - now
     if version == VERSION and -SAME_CLOCK_MS <= ahead <= 0:
         return state
-    return move_times(state, -ahead)
+    return shift_times(state, -ahead)
 
 
-def move_times(state: RouterState, by: float) -> RouterState:
+def shift_times(state: RouterState, by: float) -> RouterState:
     """Return the state with each time later by so many milliseconds. One that says never stays so."""
     return msgspec.structs.replace(
         state,
-        workers=[move_worker(w, by) for w in state.workers],
+        workers=[shift_worker_times(w, by) for w in state.workers],
         functions=[
             msgspec.structs.replace(
                 f,
-                copies=[msgspec.structs.replace(c, seen=c.seen + by) for c in f.copies],
-                missed=[(worker, until + by) for worker, until in f.missed],
+                copies=[msgspec.structs.replace(c, last_seen=c.last_seen + by) for c in f.copies],
+                missed_until=[(worker, until + by) for worker, until in f.missed_until],
             )
             for f in state.functions
         ],
@@ -194,17 +194,17 @@
     )
 
 
-def move_worker(w: WorkerState, by: float) -> WorkerState:
+def shift_worker_times(w: WorkerState, by: float) -> WorkerState:
     """Return the worker with each time later by so many milliseconds."""
     return msgspec.structs.replace(
         w,
         started=w.started + by,
-        told=w.told + by,
-        heard=w.heard + by,
-        cut=w.cut + by,
-        budget_at=w.budget_at + by,
-        doubts={name: (until + by, pause) for name, (until, pause) in w.doubts.items()},
-        served={name: at + by for name, at in w.served.items()},
+        reported_at=w.reported_at + by,
+        last_heard=w.last_heard + by,
+        last_disconnect=w.last_disconnect + by,
+        cold_budget_updated_at=w.cold_budget_updated_at + by,
+        suspected_classes={name: (until + by, pause) for name, (until, pause) in w.suspected_classes.items()},
+        last_served={name: at + by for name, at in w.last_served.items()},
     )
 
 
@@ -220,20 +220,20 @@
 
     Workers that are not in its list are skipped; one that started since stays as cold as its list says.
     """
-    kinds = router.s.active_classes()
+    kinds = router.settings.active_classes()
     fresh = {
         w.worker
         for w in state.workers
         if w.worker in router.workers and is_same_start(w, router.workers[w.worker])
     }
-    router.ordered.extend(sorted(state.ordered))
-    router.arrivals.extend(sorted(state.arrivals))
-    router.calls, router.last_arrival = state.calls, state.last_arrival
-    router.strain, router.held = state.strain, state.held
-    router.stretch, router.order_cap = state.stretch, state.order_cap
+    router.order_times.extend(sorted(state.ordered))
+    router.arrival_times.extend(sorted(state.arrivals))
+    router.recent_calls, router.last_arrival = state.calls, state.last_arrival
+    router.latency_ratio, router.mean_in_progress = state.strain, state.held
+    router.load_time_factor, router.order_cap = state.stretch, state.order_cap
     for each in state.functions:
-        if each.kind in kinds and each.name not in router.functions:
-            restore_function(router, each, kinds[each.kind], fresh)
+        if each.class_name in kinds and each.name not in router.functions:
+            restore_function(router, each, kinds[each.class_name], fresh)
     for w in state.workers:
         if w.worker in fresh:
             restore_worker(router, router.workers[w.worker], w, kinds)
@@ -242,28 +242,35 @@
 def restore_function(router: Router, state: FunctionState, kind: int, fresh: set[int]) -> None:
     """Add one function of class index `kind`, with its copies at the workers in `fresh`."""
     f = Function(
-        state.name, digest(state.name), kind, state.load_time, state.usual, state.memory, state.lanes
+        state.name, digest(state.name), kind, state.load_time, state.mean_duration, state.memory, state.slots
     )
-    f.used = router.now - router.stalled - max(0.0, state.age)
-    f.width, f.alone = state.width, state.alone
+    f.last_used = router.now - router.total_idle_time - max(0.0, state.age)
+    f.copy_width, f.sole_user = state.copy_width, state.sole_user
     router.functions[f.name] = f
-    router.later(FORGET * router.s.keep_alive, router.fade, f.name)
+    router.schedule(FORGET_KEEP_ALIVES * router.settings.keep_alive, router.forget_unused, f.name)
     for copy in state.copies:
         if copy.worker in fresh:
-            router.believe(f, copy.worker)
-            f.copies[copy.worker] = Copy(copy.count, min(copy.seen, router.now), copy.others)
-    f.missed = {wid: until for wid, until in state.missed if wid in fresh}
+            router.record_copy(f, copy.worker)
+            f.copies[copy.worker] = Copy(copy.count, min(copy.last_seen, router.now), copy.others_in_flight)
+    f.missed_until = {wid: until for wid, until in state.missed_until if wid in fresh}
 
 
 def restore_worker(router: Router, w: Worker, state: WorkerState, kinds: dict[str, int]) -> None:
     """Set what is known of one worker; `kinds` are the class indices by name."""
-    w.load, w.slow = Load(state.strain, state.limit), state.slow
-    w.held, w.told, w.heard, w.cut = state.held, state.told, state.heard, state.cut
-    w.doubts = {kinds[name]: doubt for name, doubt in state.doubts.items() if name in kinds}
-    w.served = {kinds[name]: at for name, at in state.served.items() if name in kinds}
-    if state.out and router.functions:
-        router.take_out(w, dead=False)
-        w.dead, w.lost, w.backoff = state.dead, state.dead, state.backoff
+    w.load, w.slowness_factor = WorkerLoad(state.latency_ratio, state.attempt_limit), state.slowness_factor
+    w.in_progress, w.reported_at, w.last_heard, w.last_disconnect = (
+        state.in_progress,
+        state.reported_at,
+        state.last_heard,
+        state.last_disconnect,
+    )
+    w.suspected_classes = {
+        kinds[name]: doubt for name, doubt in state.suspected_classes.items() if name in kinds
+    }
+    w.last_served = {kinds[name]: at for name, at in state.last_served.items() if name in kinds}
+    if state.ejected and router.functions:
+        router.eject(w, dead=False)
+        w.unreachable, w.may_have_restarted, w.backoff = state.unreachable, state.unreachable, state.backoff
     w.started = state.started
-    router.warm_at = max(router.warm_at, w.started + router.s.cold_period)
-    w.budget = Bucket(state.budget, state.budget_at)
+    router.all_warm_at = max(router.all_warm_at, w.started + router.settings.cold_period)
+    w.cold_budget = TokenBucket(state.cold_budget, state.cold_budget_updated_at)
--- a/harrieryoke/wirehost.py
+++ b/harrieryoke/wirehost.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from . import interface as i
-from .brain import Router
+from .router import Router
 from .settings import REPORT_NAMES, read_settings, report_names
 
 OUTCOMES = {
--- a/harrieryoke/work_lease.py
+++ b/harrieryoke/work_lease.py
@@ -13,25 +13,25 @@
 
 from .interface import ListConfirmed, Settings
 
-MOST_DOUBLINGS = 4  # of the pause between two probes of a worker that takes no new work
+MAX_DOUBLINGS = 4  # of the pause between two probes of a worker that takes no new work
 
 
 @dataclass(slots=True)
 class WorkLease:
     """What one worker's own answers tell."""
 
-    proven: float = -inf  # it took new work at this moment
+    proven_at: float = -inf  # it took new work at this moment
     denials: int = 0  # probes since then that found that it takes none, or had no answer
     probe_at: float = -inf  # no probe before this
-    probed: bool = False  # a probe is out
+    probe_pending: bool = False  # a probe is out
 
     def renew(self, at: float) -> None:
         """It took new work at that time, or was ready to."""
-        self.proven, self.denials = max(self.proven, at), 0
+        self.proven_at, self.denials = max(self.proven_at, at), 0
 
     def deny(self, now: float, pause: float) -> None:
         """It takes no new work, or does not say so; the pauses before the next probe grow from `pause`."""
-        self.probe_at = now + pause * 2 ** min(self.denials, MOST_DOUBLINGS)
+        self.probe_at = now + pause * 2 ** min(self.denials, MAX_DOUBLINGS)
         self.denials += 1
 
 
@@ -39,35 +39,37 @@
 class ListAge:
     """How old the worker list is. While nobody tells, it counts as current: the simulator's never ages."""
 
-    confirmed: float | None = None  # nothing that discovery told before is missing
-    doubtful: frozenset[int] = field(default_factory=frozenset)  # workers whose last entry could not be read
+    confirmed_at: float | None = None  # nothing that discovery told before is missing
+    unreadable: frozenset[int] = field(
+        default_factory=frozenset
+    )  # workers whose last entry could not be read
 
-    def take(self, event: ListConfirmed) -> None:
+    def confirm(self, event: ListConfirmed) -> None:
         """Discovery has confirmed the list, but for the entries that could not be read."""
-        self.confirmed = max(event.at, -inf if self.confirmed is None else self.confirmed)
-        self.doubtful = event.doubtful
+        self.confirmed_at = max(event.at, -inf if self.confirmed_at is None else self.confirmed_at)
+        self.unreadable = event.doubtful
 
-    def listed(self, worker: int) -> float:
+    def listed_until(self, worker: int) -> float:
         """Until when the list's word on the worker is known to have been discovery's last."""
-        if self.confirmed is None:
+        if self.confirmed_at is None:
             return inf
-        return -inf if worker in self.doubtful else self.confirmed
+        return -inf if worker in self.unreadable else self.confirmed_at
 
-    def known(self, worker: int, lease: WorkLease) -> float:
+    def known_until(self, worker: int, lease: WorkLease) -> float:
         """Until when the worker is known to have taken new work."""
-        return max(lease.proven, self.listed(worker))
+        return max(lease.proven_at, self.listed_until(worker))
 
-    def expires(self, worker: int, lease: WorkLease, settings: Settings) -> float:
+    def expires_at(self, worker: int, lease: WorkLease, settings: Settings) -> float:
         """When the last new work may begin to be written to the worker."""
-        return self.known(worker, lease) + settings.discovery_delay
+        return self.known_until(worker, lease) + settings.discovery_delay
 
     def is_current(self, now: float, settings: Settings) -> bool:
         """Whether no lease can have run out."""
-        return self.confirmed is None or (not self.doubtful and _lasts(self.confirmed, now, settings))
+        return self.confirmed_at is None or (not self.unreadable and _lasts(self.confirmed_at, now, settings))
 
     def allows(self, worker: int, lease: WorkLease, now: float, settings: Settings) -> bool:
         """Whether the worker may get new work that needs a connection first."""
-        return _lasts(self.known(worker, lease), now, settings)
+        return _lasts(self.known_until(worker, lease), now, settings)
 
     def refuses(self, worker: int, lease: WorkLease, now: float, settings: Settings) -> bool:
         """Whether the lease has run out and there is no other to be had for now."""
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from harrieryoke import interface as i
-from harrieryoke.brain import Router
+from harrieryoke.router import Router
 
 SAFE = i.RequestClass("look", 500, 2000, 1.0, 0.2, i.Effect.SAFE)
 KEYED = i.RequestClass("price", 500, 2000, 2.0, 0.2, i.Effect.KEYED, i.DeduplicationScope.CELL, 1500)
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -111,7 +111,7 @@
         )
     assert 1 <= len(rig.orders) - before <= 3  # the floor is 6, and half of it is for wishes
     assert not any(isinstance(a, i.OrderCopies) and a.function.startswith("never") for _, a in rig.log)
-    assert rig.router.wishes == []
+    assert rig.router.prewarm_requests == []
     # own needs go on: a call for a function without a copy still gets its order
     rig.ask(100, function="own")
     rig.settle(100, O.MISS, 1)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -15,7 +15,7 @@
 import pytest
 
 from harrieryoke import interface as i
-from harrieryoke.brain import Router
+from harrieryoke.router import Router
 
 from .rig import workers
 from .test_many import LANES, LOAD_MS, RULES, Mesh
@@ -43,7 +43,7 @@
         self.routers = [self.fresh(n) for n in range(front_ends)]
         self.traffic(2000)
         for n, router in enumerate(self.routers):  # as after many keep-alives of the same traffic
-            router.calls = 1 + self.rate(n) * RULES.keep_alive
+            router.recent_calls = 1 + self.rate(n) * RULES.keep_alive
         self.traffic(1000)
 
     def rate(self, n: int) -> float:
@@ -81,7 +81,7 @@
                 return
             self.next_round += ROUND
             for n, router in enumerate(self.routers):
-                if router.agenda and router.agenda[0][0] <= self.now:
+                if router.scheduled and router.scheduled[0][0] <= self.now:
                     self.give(n, i.TimerFired("agenda"))
 
     def ask(self, n: int, function: str) -> None:
@@ -92,9 +92,9 @@
     def answer_call(self, n: int, request: int, worker: int) -> None:
         r = self.routers[n].requests[request]
         if worker in self.refusing:
-            self.end_call(n, r.event, worker, r.attempts - 1, O.NO_CONNECTION, 1.0)
+            self.end_call(n, r.event, worker, r.attempt_count - 1, O.NO_CONNECTION, 1.0)
         elif worker in self.dumb:
-            self.end_call(n, r.event, worker, r.attempts - 1, O.TIMEOUT, r.event.deadline - self.now)
+            self.end_call(n, r.event, worker, r.attempt_count - 1, O.TIMEOUT, r.event.deadline - self.now)
         else:
             super().answer_call(n, request, worker)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,8 +7,8 @@
 import pytest
 
 from harrieryoke import interface as i
-from harrieryoke.brain import Router
 from harrieryoke.net.answers import read_report
+from harrieryoke.router import Router
 
 from .rig import SETTINGS, workers
 
@@ -113,8 +113,8 @@
             n, i.AttemptEnded(-1 - n, head, 0, O.OK, 60, True, i.CopyLookup.LOADED, concurrent_requests=6)
         )
         fleet.give(n, i.RequestArrived(-100 - n, 0, "hot", fleet.now + 2000, slots=1))
-        order = router.order_for(router.functions["hot"])
-        assert head == order[0] and int(router.functions["hot"].width) == 2
+        order = router.ordered_workers(router.functions["hot"])
+        assert head == order[0] and int(router.functions["hot"].copy_width) == 2
 
 
 def test_a_worker_that_leaves_one_class_unanswered_keeps_serving_the_others() -> None:
@@ -125,8 +125,8 @@
     worker = max(dict.fromkeys(used), key=used.count)
     fleet.silent |= {(worker, 0): True}
     fleet.run(4000, gap=60)
-    doubts = [0 in r.workers[worker].doubts for r in fleet.routers]
-    assert any(doubts) and all(r.usable(r.workers[worker]) for r in fleet.routers)
+    doubts = [0 in r.workers[worker].suspected_classes for r in fleet.routers]
+    assert any(doubts) and all(r.is_usable(r.workers[worker]) for r in fleet.routers)
     before = len(fleet.sends)
     fleet.run(1500, gap=60)
     assert any(w == worker for _, _, w in fleet.sends[before:])  # the other classes
@@ -157,7 +157,7 @@
         fleet.run(100, gap=100, functions=1, class_of=1)
         fleet.give(0, i.AttemptEnded(fleet.serial, worker, 0, outcome, 5.0, False))
         assert any(worker in f.copies for f in router.functions.values()) is stands
-        assert (router.warmth(router.workers[worker]) == 1.0) is stands
+        assert (router.warm_share(router.workers[worker]) == 1.0) is stands
 
 
 def test_a_front_end_that_sees_nothing_for_minutes_keeps_no_timer_running() -> None:
@@ -168,7 +168,7 @@
         fleet.now += 1000.0
         fleet.deliver()
         fleet.give(0, i.TimerFired("agenda"))
-    assert not router.agenda and not any(f.copies for f in router.functions.values())
+    assert not router.scheduled and not any(f.copies for f in router.functions.values())
 
 
 def test_a_calm_front_end_with_several_times_the_mean_traffic_sends_all_it_has() -> None:
@@ -196,22 +196,22 @@
                 request, fleet.sends[-1][2], 0, O.OK, 60, True, i.CopyLookup.LOADED, concurrent_requests=crowd
             )
             fleet.give(n, done)
-        orders += list(router.ordered)
+        orders += list(router.order_times)
         assert len(router.functions["hot"].copies) >= 2
     assert not orders
     fleet.kinds[-300] = 0
     fleet.give(0, i.RequestArrived(-300, 0, "hot", fleet.now + 2000, slots=1))
     function = fleet.routers[0].functions["hot"]
-    place = next(wid for wid in fleet.routers[0].order_for(function) if wid not in function.copies)
-    function.width = 1.0 + len(function.copies)
-    function.missed[place] = fleet.now + 1000.0
+    place = next(wid for wid in fleet.routers[0].ordered_workers(function) if wid not in function.copies)
+    function.copy_width = 1.0 + len(function.copies)
+    function.missed_until[place] = fleet.now + 1000.0
     fleet.give(
         0,
         i.AttemptEnded(
             -300, fleet.sends[-1][2], 0, O.OK, 60, True, i.CopyLookup.LOADED, concurrent_requests=12
         ),
     )
-    assert list(function.pending) == [place]
+    assert list(function.pending_orders) == [place]
 
 
 def test_a_worker_with_nothing_but_one_long_call_of_ours_keeps_it_if_it_answers_an_ask() -> None:
@@ -228,16 +228,18 @@
         fleet.give(0, i.RequestArrived(fleet.serial, 0, "f0-0", fleet.now + 20000, slots=4))
         key = next(k for k in router.attempts if k[0] == fleet.serial)
         fleet.now += 3000.0
-        router.now, router.out, router.heard = fleet.now, [], fleet.now
-        router.workers[other].heard = fleet.now
-        router.overdue(key)
-        assert router.workers[worker].out and not any(isinstance(a, i.CancelAttempt) for a in router.out)
+        router.now, router.actions, router.last_heard = fleet.now, [], fleet.now
+        router.workers[other].last_heard = fleet.now
+        router.on_attempt_overdue(key)
+        assert router.workers[worker].ejected and not any(
+            isinstance(a, i.CancelAttempt) for a in router.actions
+        )
         if answered:
-            router.back(router.workers[worker])
+            router.reinstate(router.workers[worker])
         fleet.now += 2 * SETTINGS.connect_timeout + 1
-        router.now, router.out = fleet.now, []
-        router.overdue(key)
-        assert any(isinstance(a, i.CancelAttempt) for a in router.out) is not answered
+        router.now, router.actions = fleet.now, []
+        router.on_attempt_overdue(key)
+        assert any(isinstance(a, i.CancelAttempt) for a in router.actions) is not answered
 
 
 def test_calls_leave_a_worker_that_tells_of_holding_more_than_the_others() -> None:
@@ -250,9 +252,9 @@
         for n, (worker, held) in enumerate(((1, 30.0), (2, 2.0))):
             router.handle(10.0 + n, [i.RequestArrived(n, 0, "f", 2010.0, slots=4)])
             key, (w, f, _) = next(iter(router.attempts.items()))
-            router.unbook(*key)
+            router.release_attempt(*key)
             w = router.workers[worker]
-            router.book(router.requests[n], f, w)
+            router.record_attempt(router.requests[n], f, w)
             done = i.AttemptEnded(
                 n, worker, 1, O.OK, 60, True, i.CopyLookup.LOADED, report=i.LoadReport(in_progress=held)
             )
@@ -276,9 +278,9 @@
     router.handle(fleet.now, [i.WorkersListed(i.ListScope.REMEMBERED, listed)])
     lost = [w for w in router.workers.values() if w.entry.zone == 0]
     for w in lost[:3]:
-        assert router.usable(lost[3])
-        router.now, router.out = fleet.now, []
-        router.take_out(w, dead=True)
+        assert router.is_usable(lost[3])
+        router.now, router.actions = fleet.now, []
+        router.eject(w, dead=True)
     return fleet, router
 
 
@@ -298,11 +300,11 @@
 @pytest.mark.parametrize("news", ["answer", "list", "own zone alone"])
 def test_a_dark_zone_is_used_again_after_any_news_of_it_and_where_it_is_the_only_one(news: str) -> None:
     fleet, router = dark_fleet(zones=1 if news == "own zone alone" else 2)
-    last = next(w for w in router.workers.values() if w.entry.zone == 0 and not w.out)
-    out = next(w for w in router.workers.values() if w.out)
-    assert router.usable(last) is (news == "own zone alone")
+    last = next(w for w in router.workers.values() if w.entry.zone == 0 and not w.ejected)
+    out = next(w for w in router.workers.values() if w.ejected)
+    assert router.is_usable(last) is (news == "own zone alone")
     if news == "answer":
         fleet.give(0, i.OrderEnded(out.entry.worker, "none", O.OK, 0, 2.0))
     elif news == "list":
         fleet.tell(i.WorkersListed(i.ListScope.CHANGES, (replace(out.entry, started=fleet.now + 1),)))
-    assert router.usable(last)
+    assert router.is_usable(last)
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -7,7 +7,7 @@
 import pytest
 
 from harrieryoke import interface as i
-from harrieryoke.brain import Router
+from harrieryoke.router import Router
 from harrieryoke.state import Function, digest
 
 from .rig import SETTINGS, workers
@@ -64,7 +64,7 @@
         if worker in self.dumb:
             return
         router = self.routers[n]
-        number = router.requests[request].attempts - 1
+        number = router.requests[request].attempt_count - 1
         stands = self.copies.get((worker, self.names[request]))
         if stands is None:
             done = i.AttemptEnded(request, worker, number, O.MISS, 1.0, False)
@@ -99,7 +99,7 @@
             self.now += 5.0
             self.deliver()
             for n, router in enumerate(self.routers):
-                if router.agenda and router.agenda[0][0] <= self.now:
+                if router.scheduled and router.scheduled[0][0] <= self.now:
                     self.give(n, i.TimerFired("agenda"))
 
     def play(self, ms: float, calls_a_second: float, functions: int) -> None:
@@ -172,6 +172,6 @@
     for router in mesh.routers:
         router.now = mesh.now
         functions = [Function(f"f{n}", digest(f"f{n}"), 0, LOAD_MS, 100) for n in range(3000)]
-        heads.append([router.order_for(f)[0] for f in functions])
+        heads.append([router.ordered_workers(f)[0] for f in functions])
     assert heads[0] == heads[1]
     assert heads[0].count(5) / 3000 == pytest.approx(share / (4 + share), abs=0.03)
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -26,4 +26,4 @@
 
 
 def test_the_decision_module_names_its_interface_first() -> None:
-    assert "`interface.py`" in SOURCES["harrieryoke/brain.py"].splitlines()[0]
+    assert "`interface.py`" in SOURCES["harrieryoke/router.py"].splitlines()[0]
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -409,7 +409,7 @@
     rig = Rig()
     ((_, head),) = sends(rig.ask(1))
     router = rig.router
-    stretch, copies = router.stretch, dict(router.functions["f"].copies)
+    stretch, copies = router.load_time_factor, dict(router.functions["f"].copies)
     quick = replace(RULES.classes[0], name="quick", latency_target=100)
     new = merge(RULES, replace(RULES, classes=(quick,), max_attempts=1, front_ends=4), 9)
     rig.give(i.SettingsChanged(new))
@@ -418,7 +418,11 @@
     rig.settings = new
     ((_, again),) = sends(rig.ask(2, 3))
     assert not sends(rig.settle(2, i.Outcome.RESET)) and 2 in rig.ended and again == head
-    assert router.shortest_aim == 100 and router.unseen == 0.75 and router.stretch == stretch
+    assert (
+        router.shortest_latency_target == 100
+        and router.others_share == 0.75
+        and router.load_time_factor == stretch
+    )
     assert router.functions["f"].copies.keys() >= copies.keys()
 
 
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -27,7 +27,7 @@
 def test_a_miss_brings_an_order_there_and_the_request_is_resent_there() -> None:
     rig = Rig()
     ((_, head),) = sends(rig.ask(1))
-    assert head == rig.router.order_for(rig.router.functions["f"])[0]
+    assert head == rig.router.ordered_workers(rig.router.functions["f"])[0]
     after = rig.settle(1, O.MISS, 1)
     assert loads(after) == [(head, "f")] and not sends(after)
     assert sends(rig.ask(2)) == []  # held: one order serves all that wait
@@ -37,14 +37,14 @@
 def test_the_hash_order_is_the_same_at_every_front_end_and_uses_no_seeded_hash() -> None:
     rig = Rig(count=8)
     rig.ask(1, function="alpha")
-    assert rig.router.order_for(rig.router.functions["alpha"]) == [3, 6, 8, 1, 4, 5, 2, 7]
+    assert rig.router.ordered_workers(rig.router.functions["alpha"]) == [3, 6, 8, 1, 4, 5, 2, 7]
 
 
 def test_full_lanes_bring_one_added_copy_along_the_order() -> None:
     rig = Rig()
     head = covered(rig)
     got = [order for n in range(10, 14) for order in loads(rig.ask(n))]
-    second = rig.router.order_for(rig.router.functions["f"])[1]
+    second = rig.router.ordered_workers(rig.router.functions["f"])[1]
     assert got == [(second, "f")] and second != head
 
 
@@ -165,7 +165,7 @@
 def test_a_silent_worker_is_left_and_its_safe_requests_move() -> None:
     rig = Rig()
     head = covered(rig)
-    second = rig.router.order_for(rig.router.functions["f"])[1]
+    second = rig.router.ordered_workers(rig.router.functions["f"])[1]
     rig.loaded(second)
     for n in range(10, 16):
         rig.ask(n, 0)
@@ -177,7 +177,7 @@
         for a in rig.wait(50):
             if isinstance(a, i.CancelAttempt):
                 rig.settle(a.request, O.CANCELLED)
-    assert rig.router.workers[head].out
+    assert rig.router.workers[head].ejected
     assert set(range(10, 16)) <= rig.ended
     assert all(w == second for _, w in sends(rig.ask(50)))
 
@@ -236,11 +236,11 @@
     """Seen in i01bee1: only answers taught, so a jam kept itself up."""
     rig = Rig(count=1)
     covered(rig)
-    before = rig.router.workers[1].load.limit
+    before = rig.router.workers[1].load.attempt_limit
     for n in range(20, 40):
         rig.ask(n, 0)
         rig.wait(2010)
-    assert rig.router.workers[1].load.limit < before / 2
+    assert rig.router.workers[1].load.attempt_limit < before / 2
 
 
 def test_a_low_limit_grows_again_with_quick_answers() -> None:
@@ -248,11 +248,11 @@
     rig = Rig(count=1)
     covered(rig)
     worker = rig.router.workers[1]
-    worker.load.limit = 1.0
+    worker.load.attempt_limit = 1.0
     for n in range(20, 60):
         rig.ask(n)
         rig.settle(n)
-    assert worker.load.limit > 1.0
+    assert worker.load.attempt_limit > 1.0
 
 
 def test_workers_that_have_gone_and_functions_long_unused_are_forgotten() -> None:
@@ -268,7 +268,7 @@
             rig.ask(1000 * n + k)
             rig.wait(500)
     router = rig.router
-    assert len(router.workers) <= 2 and len(router.functions) < 15 and router.outs <= 1
+    assert len(router.workers) <= 2 and len(router.functions) < 15 and router.ejected_count <= 1
     rig.give(i.WorkersListed(i.ListScope.WHOLE, workers(1)))
     rig.wait(20000)
     assert set(router.workers) == {1}
@@ -294,7 +294,7 @@
         rig.router.functions[f"g{n}"] = Weighed(f"g{n}", n, 0, 500, 100, copies=copies)
     rig.router.handle(rig.now, [])
     new = Weighed("new", 50, 0, 500, 100)
-    rig.router.make_room(new, 1)
+    rig.router.free_memory(new, 1)
     here = [g for g in rig.router.functions.values() if 1 in g.copies]
     assert len(here) == 9 and Weighed.read < 200  # nine and the new one fit
 
@@ -304,7 +304,7 @@
     rig = Rig(count=1)
     covered(rig)
     worker = rig.router.workers[1]
-    worker.load.limit = 14.0
+    worker.load.attempt_limit = 14.0
     for n in range(2, 12, 2):
         rig.wait(1000)
         rig.ask(n)
@@ -312,13 +312,13 @@
         assert sends(rig.settle(n, O.RESET)) == [(n, 1)] and sends(rig.settle(n + 1, O.RESET)) == [(n + 1, 1)]
         rig.settle(n)
         rig.settle(n + 1)
-    assert worker.load.limit >= 14.0 and not worker.out
+    assert worker.load.attempt_limit >= 14.0 and not worker.ejected
     rig.wait(300)
     rig.ask(20)
     rig.settle(20, O.RESET)
     rig.wait(300)
     rig.settle(20, O.RESET)
-    assert worker.out
+    assert worker.ejected
     rig.wait(10)
     rig.give(i.OrderEnded(1, "f", O.RESET, 0, 5))  # the ask is lost too: it is asked again, not left out
     assert [a for a in rig.wait(2000) if isinstance(a, i.OrderCopies) and a.copies == 0]
@@ -332,7 +332,7 @@
     rig.ask(2, 1, "g")
     rig.loaded(home, function="g")
     worker = rig.router.workers[home]
-    before = worker.load.limit
+    before = worker.load.attempt_limit
     for n in range(10, 14):
         rig.ask(n, lanes=8)
     hung = [n for n in range(10, 14) if rig.attempts[n][0][0] == home]
@@ -343,10 +343,10 @@
         for m in [m for m in range(2, 50) if m in rig.open_attempts() and m not in hung]:
             rig.settle(m)
     cancelled = {a.request for _, a in rig.log[seen:] if isinstance(a, i.CancelAttempt)}
-    assert len(hung) > 1 and cancelled >= set(hung) and worker.load.limit >= before
+    assert len(hung) > 1 and cancelled >= set(hung) and worker.load.attempt_limit >= before
     for n in hung:
         rig.settle(n, O.CANCELLED, 700)
-    assert worker.load.limit >= before
+    assert worker.load.attempt_limit >= before
     for n in range(60, 64):
         rig.wait(400)
         rig.ask(n, lanes=8)
@@ -361,7 +361,7 @@
     rig.settle(1, O.NO_CONNECTION, 5)
     rig.wait(1500)
     assert not any(isinstance(a, i.OrderCopies) for _, a in rig.log)
-    assert rig.router.usable(rig.router.workers[1])
+    assert rig.router.is_usable(rig.router.workers[1])
 
 
 def test_calls_that_their_client_takes_back_buy_no_orders() -> None:
@@ -389,10 +389,10 @@
     other = next(n for n in range(1, 5) if n != first)
     rig.give(i.WorkersListed(i.ListScope.CHANGES, (i.WorkerEntry(first, cell=first // 2, started=rig.now),)))
     for n in (first, other):
-        rig.router.believe(rig.router.functions["f"], n)
+        rig.router.record_copy(rig.router.functions["f"], n)
     slower = rig.router.workers[other]  # not the first choice
-    slower.slow, slower.heard = 8.0, rig.now
-    rig.router.workers[first].budget.left = 1.0
+    slower.slowness_factor, slower.last_heard = 8.0, rig.now
+    rig.router.workers[first].cold_budget.tokens = 1.0
     asked = [i.RequestArrived(n, 0, "f", rig.now + 2000, slots=4) for n in range(50, 55)]
     went = [worker for e in asked for _, worker in sends(rig.give(e))]
     assert len(went) == 5 and first in went and went.count(other) >= 2
@@ -403,12 +403,12 @@
     head = covered(rig)
     rig.ask(2)
     rig.settle(2, O.NO_CONNECTION, 5)
-    assert rig.router.workers[head].out
+    assert rig.router.workers[head].ejected
     for _ in range(3):
         asked = [a for a in rig.wait(SETTINGS.keep_alive) if isinstance(a, i.OrderCopies) and not a.copies]
         assert len(asked) == 1 and asked[0].worker == head
         rig.give(i.OrderEnded(head, "f", O.NOT_SENT, 0, 5))
-        assert rig.router.workers[head].out and rig.router.workers[head].heard < rig.now
+        assert rig.router.workers[head].ejected and rig.router.workers[head].last_heard < rig.now
 
 
 def test_what_could_not_be_sent_waits_for_its_worker_ever_longer_until_that_is_heard() -> None:
@@ -420,7 +420,7 @@
         assert not sends(rig.settle(2, O.NOT_SENT, 1)), "no pause"
         assert not sends(rig.wait(0.9 * first * 2**n))
         assert sends(rig.wait(first * 2**n)) == [(2, head)]
-    assert not rig.router.workers[head].out and head in rig.router.functions["f"].copies
+    assert not rig.router.workers[head].ejected and head in rig.router.functions["f"].copies
     rig.settle(2)
     rig.ask(3)
     rig.settle(3, O.NOT_SENT, 1)
@@ -451,6 +451,6 @@
         rig.wait(500)
     rig.give(i.WorkersListed(i.ListScope.CHANGES, workers(1)))  # a list tells of nobody's life
     open_ = rig.open_attempts()
-    assert open_ and all(w.heard < rig.now - silent_ms for w in rig.router.workers.values())
+    assert open_ and all(w.last_heard < rig.now - silent_ms for w in rig.router.workers.values())
     rig.settle(open_[-1])
     assert all(w.started == rig.now for w in rig.router.workers.values()) == cold
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,11 +19,11 @@
 from gevent import socket
 
 from harrieryoke import interface as i
-from harrieryoke.brain import Router
 from harrieryoke.core.clock import now_ms
 from harrieryoke.lab.world import ROOT, World, free_port
 from harrieryoke.net.frames import REQUEST
-from harrieryoke.state_transfer import StateTransferError, move_times, pack, restore, unpack
+from harrieryoke.router import Router
+from harrieryoke.state_transfer import StateTransferError, pack, restore, shift_times, unpack
 from harrieryoke.upgrade.bans import BanFile, BansError
 from harrieryoke.upgrade.link import short_socket_path
 
@@ -301,7 +301,7 @@
     said = fresh.give(i.RequestArrived(99, 0, "f", fresh.now + 2000, slots=4))
     assert next(a.worker for a in said if isinstance(a, i.StartAttempt)) in held
     assert not [a for a in said if isinstance(a, i.OrderCopies)]
-    assert list(fresh.router.ordered) == list(rig.router.ordered)
+    assert list(fresh.router.order_times) == list(rig.router.order_times)
 
 
 def test_a_host_that_started_since_is_as_cold_as_the_list_says() -> None:
@@ -311,7 +311,7 @@
     restarted = tuple(i.WorkerEntry(w.worker, started=rig.now + 5) for w in workers(3) if w.worker in held)
     fresh.handle(rig.now + 10, [i.WorkersListed(i.ListScope.REMEMBERED, restarted)])
     restore(fresh, unpack(pack(rig.router, rig.now), rig.now, WALL))
-    assert not fresh.functions["f"].copies and all(fresh.warmth(w) < 0.5 for w in fresh.workers.values())
+    assert not fresh.functions["f"].copies and all(fresh.warm_share(w) < 0.5 for w in fresh.workers.values())
 
 
 @pytest.mark.parametrize("version", [1, 2])
@@ -320,14 +320,16 @@
     rig = learned()
     here = unpack(pack(rig.router, rig.now), rig.now, WALL)
     if version == 1:
-        body = msgspec.json.encode(move_times(here, WALL - rig.now))
+        body = msgspec.json.encode(shift_times(here, WALL - rig.now))
         moved = unpack(b"1 %d\n" % zlib.crc32(body) + body, rig.now, WALL)
     else:
         moved = unpack(pack(rig.router, rig.now), rig.now + 1e9, WALL)
-        moved = move_times(moved, -1e9)
+        moved = shift_times(moved, -1e9)
     assert moved.arrivals == pytest.approx(here.arrivals, abs=0.01) and here.arrivals
     for there, worker in zip(moved.workers, here.workers, strict=True):
-        assert (there.heard, there.budget_at) == pytest.approx((worker.heard, worker.budget_at), abs=0.01)
+        assert (there.last_heard, there.cold_budget_updated_at) == pytest.approx(
+            (worker.last_heard, worker.cold_budget_updated_at), abs=0.01
+        )
     fresh = Rig(SETTINGS)
     fresh.now = rig.now
     restore(fresh.router, moved)
@@ -338,7 +340,7 @@
     rig, fresh = learned(), Router(SETTINGS, 1)
     stamped = tuple(replace(w, started=rig.now - 400, start_stamp=WALL) for w in workers(3))
     rig.give(i.WorkersListed(i.ListScope.CHANGES, stamped))
-    rig.router.believe(rig.router.functions["f"], 1)
+    rig.router.record_copy(rig.router.functions["f"], 1)
     later = tuple(replace(w, started=rig.now) for w in stamped)
     fresh.handle(rig.now, [i.WorkersListed(i.ListScope.REMEMBERED, later)])
     restore(fresh, unpack(pack(rig.router, rig.now), rig.now, WALL))
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -11,7 +11,7 @@
 
 from harrieryoke import interface as i
 from harrieryoke import wirehost
-from harrieryoke.brain import Router
+from harrieryoke.router import Router
 
 INFO = json.dumps(
     {
--- a/tests/test_work_lease.py
+++ b/tests/test_work_lease.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from harrieryoke import interface as i
-from harrieryoke.brain import Router
+from harrieryoke.router import Router
 from harrieryoke.work_lease import ListAge, WorkLease
 
 from .rig import SETTINGS, Rig, loads, sends, workers
@@ -66,7 +66,7 @@
         self.note_new_work(n, worker)
         if worker not in self.draining:
             return super().answer_call(n, request, worker)
-        number = self.routers[n].requests[request].attempts - 1
+        number = self.routers[n].requests[request].attempt_count - 1
         self.open.append((self.now + 1.0, n, i.AttemptEnded(request, worker, number, O.FULL, 1.0, False)))
 
     def answer_order(self, n: int, a: i.OrderCopies) -> None:
@@ -178,7 +178,7 @@
         rig.ask(2 + n)
         rig.wait(500)
         asked += [at for at, a in rig.log[seen:] if isinstance(a, i.Probe)]
-        if rig.router.workers[head].lease.probed:
+        if rig.router.workers[head].lease.probe_pending:
             rig.give(i.ProbeEnded(head, O.TIMEOUT, PROBING.connect_timeout))
     gaps = [later - earlier for earlier, later in pairwise(asked)]
     assert 4 <= len(asked) <= 16 and max(gaps) >= 2000 and min(gaps) >= PROBING.connect_timeout / 2
@@ -225,14 +225,14 @@
     rig.ask(3)
     rig.wait(1000)
     rig.settle(3, sign, 1000)
-    assert rig.router.warmth(worker) == 1
+    assert rig.router.warm_share(worker) == 1
     rig.wait(seen + TOLD_WITHIN - rig.now)
     if confirmed:
         rig.give(i.ListConfirmed(rig.now))
     rig.ask(4)
-    assert (rig.router.warmth(worker) < 1) is not confirmed
+    assert (rig.router.warm_share(worker) < 1) is not confirmed
     rig.router.now = seen + 1000 + PROBING.cold_period
-    assert rig.router.warmth(worker) == 1
+    assert rig.router.warm_share(worker) == 1
 
 
 @given(
@@ -248,11 +248,11 @@
     settings, lease, age = replace(SETTINGS, may_probe=may_probe), WorkLease(), ListAge()
     lease.renew(proven)
     if confirmed is not None:
-        age.take(i.ListConfirmed(confirmed, frozenset({1} if doubtful else ())))
+        age.confirm(i.ListConfirmed(confirmed, frozenset({1} if doubtful else ())))
     rests_on = [proven] + ([] if doubtful or confirmed is None else [confirmed])
     allowed = age.allows(1, lease, now, settings)
     assert not allowed or confirmed is None or now < max(rests_on) + settings.discovery_delay
-    assert age.expires(1, lease, settings) == (
+    assert age.expires_at(1, lease, settings) == (
         float("inf") if confirmed is None else max(rests_on) + settings.discovery_delay
     )
     assert not (allowed and age.refuses(1, lease, now, settings))
