--- a/harrieryoke/repeat_rules.py
+++ b/harrieryoke/repeat_rules.py
@@ -1,4 +1,4 @@
-"""What may lawfully be done with a request of which earlier attempts may have run."""
+"""Rules for a request of which earlier attempts may have executed: whether to repeat or refuse it."""
 
 from __future__ import annotations
 
@@ -8,35 +8,40 @@
 
 
 def may_repeat(
-    kind: RequestClass,
-    ran: Sequence[tuple[WorkerEntry, float]],
-    at: WorkerEntry,
+    request_class: RequestClass,
+    possible_runs: Sequence[tuple[WorkerEntry, float]],
+    worker: WorkerEntry,
     now: float,
     tick: float,
 ) -> bool:
-    """Whether a further attempt may go to the worker. `ran` has the workers where earlier ones may have run,
-    and when they were sent; a keyed class repeats within its window and group, counted a tick to the safe
-    side. Times are milliseconds."""
-    if kind.effect is Effect.SAFE or not ran:
+    """Whether another attempt may go to the worker.
+
+    `possible_runs` names the workers where earlier attempts may have executed, and when they were sent. A keyed
+    class is repeated within its window, less a tick, and its deduplication scope. Times are milliseconds.
+    """
+    if request_class.effect is Effect.SAFE or not possible_runs:
         return True
-    if kind.effect is not Effect.KEYED:
+    if request_class.effect is not Effect.KEYED:
         return False
     return all(
-        now - sent < kind.repeat_window - tick and _in_group(kind.deduplication_scope, past, at)
-        for past, sent in ran
+        now - sent_at < request_class.repeat_window - tick
+        and _in_same_scope(request_class.deduplication_scope, earlier_worker, worker)
+        for earlier_worker, sent_at in possible_runs
     )
 
 
-def _in_group(group: DeduplicationScope, past: WorkerEntry, at: WorkerEntry) -> bool:
-    """Whether both workers know of each other's keys."""
-    if group is DeduplicationScope.ZONE:
-        return past.zone == at.zone
-    if group is DeduplicationScope.CELL:
-        return past.cell == at.cell
+def _in_same_scope(scope: DeduplicationScope, earlier_worker: WorkerEntry, worker: WorkerEntry) -> bool:
+    """Whether both workers deduplicate by the same keys."""
+    if scope is DeduplicationScope.ZONE:
+        return earlier_worker.zone == worker.zone
+    if scope is DeduplicationScope.CELL:
+        return earlier_worker.cell == worker.cell
     return True
 
 
-def may_refuse(kind: RequestClass, ran: Sequence[tuple[WorkerEntry, float]]) -> bool:
-    """Whether a refusal, which promises that a repeat by the client is harmless, is lawful."""
-    keyed_everywhere = kind.effect is Effect.KEYED and kind.deduplication_scope is DeduplicationScope.ALL
-    return not ran or kind.effect is Effect.SAFE or keyed_everywhere
+def may_refuse(request_class: RequestClass, possible_runs: Sequence[tuple[WorkerEntry, float]]) -> bool:
+    """Whether the request may be refused, which tells the client that a repeat is safe."""
+    keyed_everywhere = (
+        request_class.effect is Effect.KEYED and request_class.deduplication_scope is DeduplicationScope.ALL
+    )
+    return not possible_runs or request_class.effect is Effect.SAFE or keyed_everywhere
--- a/harrieryoke/settings.py
+++ b/harrieryoke/settings.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from . import interface as i
+from .interface import Effect, RequestClass, Settings, Tenant
 
 EFFECTS = {"repeatable": "safe", "by_key": "keyed", "once": "unsafe"}
 
@@ -66,7 +66,7 @@
 CLASS_NEEDS = ("name", "goal-time", "hard-limit", "repeat")
 ABOVE_0 = ("goal-time", "hard-limit", "max-attempts", "siblings", "period", "stays-loaded")
 MOST = 1e12  # of any figure: thirty years in milliseconds
-TYPES: dict[type, dict[str, Any]] = {k: get_type_hints(k) for k in (i.Settings, i.RequestClass, i.Tenant)}
+TYPES: dict[type, dict[str, Any]] = {k: get_type_hints(k) for k in (Settings, RequestClass, Tenant)}
 # field of a load report -> where the settings' names have it
 REPORT_NAMES = {"concurrent": "in_progress", "load_share": "busy", "x0": "pinned_memory", "x1": "loads"}
 
@@ -79,58 +79,58 @@
         raise ValueError("must be above 0")
 
 
-def part(info: Any, names: Mapping[str, str], kind: type, where: str = "") -> dict[str, Any]:
+def part(info: Any, names: Mapping[str, str], target: type, where: str = "") -> dict[str, Any]:
     """The named values that are there, as the fields of `kind`; what is absent or null keeps the interface's
     default. Raises ValueError, which names the key below `where`."""
     if not isinstance(info, dict):
         raise ValueError(f"{where.rstrip('.')}: an object is expected")
-    read: dict[str, Any] = {}
-    for ours, theirs in names.items():
-        if info.get(theirs) is None:
+    fields: dict[str, Any] = {}
+    for field, key in names.items():
+        if info.get(key) is None:
             continue
         try:
-            value = read[ours] = msgspec.convert(info[theirs], TYPES[kind][ours], strict=False)
+            value = fields[field] = msgspec.convert(info[key], TYPES[target][field], strict=False)
             for figure in value if isinstance(value, tuple) else (value,):
-                check_figure(figure, theirs in ABOVE_0)
+                check_figure(figure, key in ABOVE_0)
         except (ValueError, OverflowError) as error:  # msgspec's are among them
-            raise ValueError(f"{where}{theirs}: {error}") from None
-    return read
+            raise ValueError(f"{where}{key}: {error}") from None
+    return fields
 
 
-def read_class(info: Any, where: str) -> i.RequestClass:
-    read = part(info, {k: v for k, v in CLASS.items() if k != "effect"}, i.RequestClass, where)
+def read_class(info: Any, where: str) -> RequestClass:
+    fields = part(info, {k: v for k, v in CLASS.items() if k != "effect"}, RequestClass, where)
     for key in CLASS_NEEDS:
         if info.get(key) is None:
             raise ValueError(f"{where}{key}: it is missing")
     if info["repeat"] not in list(EFFECTS):
         raise ValueError(f"{where}repeat: unknown word {info['repeat']!r}")
-    return i.RequestClass(**read, effect=i.Effect(EFFECTS[info["repeat"]]))
+    return RequestClass(**fields, effect=Effect(EFFECTS[info["repeat"]]))
 
 
 def read_list(info: Mapping[str, Any], key: str) -> list[Any]:
     """The list under that key; empty where there is none."""
-    told = info.get(key)
-    if not isinstance(told, list | None):
+    value = info.get(key)
+    if not isinstance(value, list | None):
         raise ValueError(f"{key}: a list is expected")
-    return told or []
+    return value or []
 
 
-def read_settings(info: Any) -> i.Settings:
+def read_settings(info: Any) -> Settings:
     """The settings object, decoded; keys it does not know are left alone. Raises ValueError, which names the
     key."""
-    top = {ours: theirs for ours, theirs in TOP.items() if ours not in ("classes", "tenants")}
-    flat: dict[str, Any] = {"may_order": False} | part(info, top, i.Settings)
+    top = {field: key for field, key in TOP.items() if field not in ("classes", "tenants")}
+    flat: dict[str, Any] = {"may_order": False} | part(info, top, Settings)
     for section, names in (("ceilings", CEILINGS), ("obligations", OBLIGATIONS), ("extra", EXTRA)):
-        flat |= part({} if info.get(section) is None else info[section], names, i.Settings, f"{section}.")
+        flat |= part({} if info.get(section) is None else info[section], names, Settings, f"{section}.")
     classes = [read_class(c, f"classes[{n}].") for n, c in enumerate(read_list(info, TOP["classes"]))]
     tenants = [
-        {"name": ""} | part(t, TENANT, i.Tenant, f"{TOP['tenants']}[{n}].")
-        for n, t in enumerate(read_list(info, TOP["tenants"]))
+        {"name": ""} | part(tenant, TENANT, Tenant, f"{TOP['tenants']}[{n}].")
+        for n, tenant in enumerate(read_list(info, TOP["tenants"]))
     ]
-    return i.Settings(
+    return Settings(
         **flat,
         classes=tuple(classes),
-        tenants=tuple(i.Tenant(**t) for t in tenants),
+        tenants=tuple(Tenant(**tenant) for tenant in tenants),
         list_on_request=info.get("discovery") == "on_request",
         worth_by_work=info.get("worth-by") == "work",
     )
--- a/harrieryoke/slow_start.py
+++ b/harrieryoke/slow_start.py
@@ -1,5 +1,8 @@
-"""What a worker gets that has started a short time ago: a part of what a warm one gets, spread over front
-ends that share nothing (docs/design.md, Cold model hosts). Times are milliseconds."""
+"""Slow start: a worker that started recently gets a share of the load of a warm one.
+
+The share is divided over front ends that do not communicate (docs/design.md, Cold model hosts). Times are
+milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -8,18 +11,21 @@
 
 
 def warm_share_at(age: float, settings: Settings) -> float:
-    """The part of its full capacity that a worker can bear at this age, from `cold_share` to 1."""
-    grown = age / max(settings.cold_period, settings.tick)
-    if grown >= 1:
+    """Share of its full capacity that a worker can bear at this age, from `cold_share` to 1."""
+    warmed_share = age / max(settings.cold_period, settings.tick)
+    if warmed_share >= 1:
         return 1.0
-    return settings.cold_share + (1 - settings.cold_share) * max(0.0, grown)
+    return settings.cold_share + (1 - settings.cold_share) * max(0.0, warmed_share)
 
 
 def take_cold_token(
-    budget: TokenBucket, now: float, warmth: float, calls_each: float, settings: Settings
+    bucket: TokenBucket, now: float, warm_share: float, calls_per_worker: float, settings: Settings
 ) -> bool:
-    """Take one call from a worker's budget, where it has one left. Against pushing over any slow start, at
-    the cost of speed where it is quicker than told: half of the fatal multiple of what a warm worker gets
-    from this front end, which is `calls_each` in a keep-alive; in fractions where many share it."""
-    rate = warmth * settings.overload_multiple / 2 * calls_each / settings.keep_alive
-    return budget.take_token(now, rate, max(1.0, rate * settings.overload_time / 2))
+    """Takes a request from the slow-start budget of a worker if one is left.
+
+    The rate is half of the overload multiple of what a warm worker gets from this front end, which is
+    `calls_per_worker` in a keep-alive period. That overloads no worker in slow start, at the cost of speed at a
+    worker that warms up faster than configured. Many front ends each get a fraction of a request.
+    """
+    rate_per_ms = warm_share * settings.overload_multiple / 2 * calls_per_worker / settings.keep_alive
+    return bucket.take_token(now, rate_per_ms, max(1.0, rate_per_ms * settings.overload_time / 2))
--- a/harrieryoke/state.py
+++ b/harrieryoke/state.py
@@ -1,4 +1,4 @@
-"""What the decision module remembers. Plain records: no decision and no tuned value lives here."""
+"""Records of the decision module, and the bookkeeping that keeps them consistent."""
 
 from __future__ import annotations
 
@@ -15,32 +15,33 @@
 from .interface import Action, RequestArrived, RequestClass, SetTimer, WorkerEntry, WorkerStatus
 from .work_lease import ListAge, WorkLease
 
-NEVER = -1e18
+NEVER = -1e18  # a time before all others
 
 
 def count_since(times: deque[float], since: float) -> int:
-    """How many of the rising times lie at or after `since`; older ones are forgotten."""
+    """Drops the times before `since` from an ascending queue and returns how many are left."""
     while times and times[0] < since:
         times.popleft()
     return len(times)
 
 
 def digest(text: str) -> int:
-    """A number that is the same at every front end and every start."""
+    """A 64-bit hash of the text that is the same in every process."""
     return int.from_bytes(blake2b(text.encode(), digest_size=8).digest())
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """What has accrued and when that was last counted."""
+    """A token bucket; `tokens` is the level at `updated_at`."""
 
     tokens: float = 0.0
     updated_at: float = NEVER
-    rate_per_s: float = 0.0  # a second, where it is fixed
+    rate_per_s: float = 0.0  # 0: the caller passes the rate
 
-    def take_token(self, now: float, rate: float, depth: float) -> bool:
-        """Fills at `rate` a millisecond up to `depth`; takes one where one is left."""
-        self.tokens, self.updated_at = min(depth, self.tokens + (now - self.updated_at) * rate), now
+    def take_token(self, now: float, rate_per_ms: float, capacity: float) -> bool:
+        """Refills up to `capacity` and takes a token if there is one."""
+        self.tokens = min(capacity, self.tokens + (now - self.updated_at) * rate_per_ms)
+        self.updated_at = now
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -49,25 +50,24 @@
 
 @dataclass(slots=True)
 class WorkerLoad:
-    """How a worker, or all of them, bears what we send."""
+    """Adaptive concurrency limit of a worker."""
 
-    latency_ratio: float  # answers' time against the aim
-    attempt_limit: float = 0.0  # own attempts at a time
+    latency_ratio: float  # mean duration of answers relative to the latency target
+    attempt_limit: float = 0.0  # own attempts in flight
 
 
 @dataclass(slots=True)
 class Copy:
-    """Believed copies of one function at one worker."""
+    """Known copies of one function at one worker."""
 
     count: int
-    last_seen: float  # last sign that it stands; its idle time began then at the earliest
-    others_in_flight: float = 0.0  # crowd told beyond our own
+    last_seen: float  # last known use or report; it cannot have been idle for longer
+    others_in_flight: float = 0.0  # mean number of requests of other front ends
 
 
 @dataclass(frozen=True, slots=True)
 class PossibleRestart:
-    """A connection broke off, or a copy that should stand was missed: between these times the worker may have
-    started anew, or not."""
+    """Interval in which a worker may have restarted: a connection broke, or a loaded copy was missing."""
 
     earliest: float = NEVER
     latest: float = NEVER
@@ -75,102 +75,98 @@
 
 @dataclass(slots=True)
 class Worker:
-    """What this front end believes of one worker."""
+    """What this front end knows of one worker."""
 
     entry: WorkerEntry
     started: float
     digest: int
     load: WorkerLoad
-    slowness_factor: float = 1.0  # answers' time against the usual of their function
-    cold_budget: TokenBucket = field(default_factory=TokenBucket)  # sends while it is cold
+    slowness_factor: float = 1.0  # mean duration of answers relative to that of their function
+    cold_budget: TokenBucket = field(default_factory=TokenBucket)  # limits attempts during slow start
     hold_off: HoldOff = field(default_factory=HoldOff)
     lease: WorkLease = field(default_factory=WorkLease)
     active: bool = True
-    unreachable: bool = False  # it refused a connection when last tried
-    ejected: bool = False  # taken out until an ask is answered
-    may_have_restarted: bool = (
-        False  # it refused a connection or left an ask unanswered: it may have started anew
-    )
+    unreachable: bool = False  # refused the last connection
+    ejected: bool = False  # out of use until a query is answered
+    may_have_restarted: bool = False  # refused a connection or left a query unanswered
     query_pending: bool = False
-    removal_scheduled: bool = False  # it has gone from the list and is about to be forgotten
-    backoff: float = 0.0
-    in_progress: float = 0.0  # requests in hand, as its last report told
-    reported_at: float = NEVER  # when that was
+    removal_scheduled: bool = False  # left the list; removed once nothing is in progress
+    backoff: float = 0.0  # between queries of an ejected worker
+    in_progress: float = 0.0  # requests in its last load report
+    reported_at: float = NEVER  # time of that report
     last_heard: float = NEVER
-    last_disconnect: float = NEVER  # a connection to it last broke off
-    possible_restart: PossibleRestart = field(default_factory=PossibleRestart)  # the last one
-    full_until: dict[int | None, float] = field(default_factory=dict)  # it turned the tenant's away
-    suspected_classes: dict[int, tuple[float, float]] = field(
+    last_disconnect: float = NEVER
+    possible_restart: PossibleRestart = field(default_factory=PossibleRestart)
+    full_until: dict[int | None, float] = field(default_factory=dict)  # by tenant
+    # class -> end and duration of the suspicion
+    suspected_classes: dict[int, tuple[float, float]] = field(default_factory=dict)
+    unanswered_classes: set[int] = field(default_factory=set)  # classes with an overdue attempt
+    last_served: dict[int, float] = field(default_factory=dict)  # class -> last successful answer
+    in_flight: dict[tuple[int, int], float] = field(
         default_factory=dict
-    )  # class -> until, and for how long
-    unanswered_classes: set[int] = field(default_factory=set)  # classes overdue, until one is answered
-    last_served: dict[int, float] = field(default_factory=dict)  # class -> its last good answer
-    in_flight: dict[tuple[int, int], float] = field(default_factory=dict)  # own attempts, oldest first
+    )  # own attempts -> sent, oldest first
 
-    def is_known_start(self, told: WorkerEntry) -> bool:
-        """Whether the list tells again of the start that it told of before."""
-        stamp = told.start_stamp
-        return told is not self.entry and stamp is not None and stamp == self.entry.start_stamp
+    def is_known_start(self, entry: WorkerEntry) -> bool:
+        """Whether a new list entry refers to the start that is already known."""
+        stamp = entry.start_stamp
+        return entry is not self.entry and stamp is not None and stamp == self.entry.start_stamp
 
 
 @dataclass(slots=True)
 class Function:
-    """What requests and answers told of one function."""
+    """What is known of one function from its requests and answers."""
 
     name: str
     digest: int
     class_index: int
     load_time: float
-    mean_duration: float  # mean time of an answer
+    mean_duration: float
     memory: float = 0.0
     slots: int = 1
-    last_used: float = NEVER  # on the clock that stands still while nothing arrives
-    copy_width: float = 1.0  # places of its order that hold copies, as far as answers tell
-    sole_user: bool = False  # a copy lapsed between our own calls: nobody else keeps it
-    dispatch_scheduled: bool = False  # its next look is on the agenda
+    last_used: float = NEVER  # in time of demand: without idle time
+    copy_width: float = 1.0  # number of workers that should have copies
+    sole_user: bool = False  # a copy expired between own requests: no other front end renews it
+    dispatch_scheduled: bool = False
     copies: dict[int, Copy] = field(default_factory=dict)
-    own_in_flight: dict[int, int] = field(default_factory=dict)  # own attempts in flight at each worker
-    pending_orders: dict[int, float] = field(default_factory=dict)  # orders out, and since when
-    load_failed_until: dict[int, float] = field(
-        default_factory=dict
-    )  # workers that could not load it, until when
-    missed_until: dict[int, float] = field(default_factory=dict)  # workers that missed it, until when
+    own_in_flight: dict[int, int] = field(default_factory=dict)  # by worker
+    pending_orders: dict[int, float] = field(default_factory=dict)  # worker -> time of the order
+    load_failed_until: dict[int, float] = field(default_factory=dict)  # by worker
+    missed_until: dict[int, float] = field(default_factory=dict)  # workers without a copy
     waiting: list[Request] = field(default_factory=list)
     placement_order: list[int] = field(default_factory=list)
-    placement_order_expires: float = NEVER  # when it is to be made anew: hosts warm up
+    placement_order_expires: float = NEVER  # the order changes while workers warm up
 
 
 @dataclass(slots=True)
 class Request:
-    """One request that is owed its final answer."""
+    """A request without a final answer."""
 
     event: RequestArrived
     request_class: RequestClass
     arrived_at: float
-    target_time: float  # an answer after this is late
-    worth: float  # what it earns in time; less where it is beyond its tenant's share
-    max_attempts: int  # attempts, in all
+    target_time: float  # later answers earn the late worth
+    worth: float  # of an answer by the target time; reduced over the tenant's share
+    max_attempts: int
     attempt_count: int = 0
     in_flight: dict[int, int] = field(default_factory=dict)  # attempt -> worker
-    possible_runs: list[tuple[WorkerEntry, float]] = field(
-        default_factory=list
-    )  # where it may have run, and sent when
+    # workers that may have executed it, and when it was sent there
+    possible_runs: list[tuple[WorkerEntry, float]] = field(default_factory=list)
     done: bool = False
 
 
 class RoutingState:
-    """All that one front end remembers; empty at its start."""
+    """State of one front end; empty at start."""
 
     def __init__(self) -> None:
         self.now = self.total_idle_time = self.last_arrival = self.last_heard = 0.0
-        self.all_silent_since = inf  # when the first attempt was sent that is overdue, where all are silent
-        self.ejections_by_zone: dict[int, int] = {}  # zone -> workers that went out since it was last heard
+        self.all_silent_since = inf  # first overdue attempt since the last answer of any worker
+        self.ejections_by_zone: dict[int, int] = {}  # zone -> ejections since its last answer
         self.list_age = ListAge()
-        self.list_current = True  # in this round no lease can have run out
-        self.mean_in_progress = 0.0  # mean of what reports told
-        self.peak_active_workers = 1  # the most workers that took calls at once, of those not forgotten
-        self.all_warm_at = NEVER  # when the last one that started is warm
-        self.recent_calls = 0.0  # own calls of about the last keep-alive
+        self.list_current = True  # no lease can have expired in this round
+        self.mean_in_progress = 0.0  # over load reports
+        self.peak_active_workers = 1  # since the last removal of a worker
+        self.all_warm_at = NEVER
+        self.recent_calls = 0.0  # own requests, about over the last keep-alive
         self.timer_at = NEVER
         self.ejected_count = self.orders_in_progress = self.task_serial = 0
         self.actions: list[Action] = []
@@ -178,102 +174,115 @@
         self.functions: dict[str, Function] = {}
         self.requests: dict[int, Request] = {}
         self.attempts: dict[tuple[int, int], tuple[Worker, Function, float]] = {}
-        self.scheduled: list[tuple[float, int, Callable[[Any], None], Any]] = []  # a heap
+        self.scheduled: list[tuple[float, int, Callable[[Any], None], Any]] = []  # heap
         self.functions_to_dispatch: dict[str, Function] = {}
         self.order_times: deque[float] = deque()
         self.arrival_times: deque[float] = deque()
         self.tenant_buckets: dict[int | None, TokenBucket] = {}
-        self.prewarm_requests: list[str] = []  # functions that advice wants warm, of this round
+        self.prewarm_requests: list[str] = []  # functions, in this round
 
     def emit(self, action: Action) -> None:
-        """One more action in the answer."""
+        """Adds an action to the result of this round."""
         self.actions.append(action)
 
-    def mark_gone(self, named: Iterable[int]) -> None:
-        """A whole list came: whoever it does not name is gone."""
-        listed = dict.fromkeys(named)
-        for wid, w in self.workers.items():
-            if wid not in listed:
-                w.entry, w.active = replace(w.entry, status=WorkerStatus.GONE), False
-
-    def reset_worker(self, w: Worker) -> None:
-        """It starts anew: strikes its classes, its copies, and the orders that it had a place in."""
-        w.unanswered_classes.clear()
-        w.last_served.clear()
-        for f in self.functions.values():
-            f.copies.pop(w.entry.worker, None)
-            f.placement_order = []
-
-    def remove_worker(self, wid: int) -> None:
-        """Forgets a worker altogether."""
-        w = self.workers.pop(wid)
-        zone, self.ejected_count = w.entry.zone, self.ejected_count - w.ejected
-        self.peak_active_workers = max(1, sum(w.active for w in self.workers.values()))
-        if all(w.entry.zone != zone for w in self.workers.values()):
+    def mark_gone(self, listed_ids: Iterable[int]) -> None:
+        """Marks the workers that a whole list does not name as gone."""
+        listed = dict.fromkeys(listed_ids)
+        for worker_id, worker in self.workers.items():
+            if worker_id not in listed:
+                worker.entry, worker.active = replace(worker.entry, status=WorkerStatus.GONE), False
+
+    def reset_worker(self, worker: Worker) -> None:
+        """Clears what a restart of the worker invalidates: served classes, copies and placement orders."""
+        worker.unanswered_classes.clear()
+        worker.last_served.clear()
+        for function in self.functions.values():
+            function.copies.pop(worker.entry.worker, None)
+            function.placement_order = []
+
+    def remove_worker(self, worker_id: int) -> None:
+        """Removes a worker and all that is known of it."""
+        worker = self.workers.pop(worker_id)
+        zone = worker.entry.zone
+        self.ejected_count -= worker.ejected
+        self.peak_active_workers = max(1, sum(worker.active for worker in self.workers.values()))
+        if all(worker.entry.zone != zone for worker in self.workers.values()):
             self.ejections_by_zone.pop(zone, None)
-        for f in self.functions.values():
-            f.placement_order = []
-            for kept in (f.copies, f.own_in_flight, f.load_failed_until, f.missed_until):
-                kept.pop(wid, None)
-
-    def record_arrival(self, taken: float | None, window: float) -> float:
-        """One more call, which came at `taken` or now: returns when. Those older than the window are
-        forgotten."""
-        came = self.now if taken is None else min(taken, self.now)
-        insort(self.arrival_times, came)
+        for function in self.functions.values():
+            function.placement_order = []
+            for by_worker in (
+                function.copies,
+                function.own_in_flight,
+                function.load_failed_until,
+                function.missed_until,
+            ):
+                by_worker.pop(worker_id, None)
+
+    def record_arrival(self, received_at: float | None, window: float) -> float:
+        """Counts a request that arrived at `received_at` or now and returns that time.
+
+        Drops arrivals before the window.
+        """
+        arrived_at = self.now if received_at is None else min(received_at, self.now)
+        insort(self.arrival_times, arrived_at)
         count_since(self.arrival_times, self.now - window)
-        return came
+        return arrived_at
 
-    def withdraw_arrival(self, arrived: float) -> None:
-        """A call that its client took back no longer counts."""
-        if arrived in self.arrival_times:
-            self.arrival_times.remove(arrived)
+    def withdraw_arrival(self, arrived_at: float) -> None:
+        """Stops counting a request that its client dropped."""
+        if arrived_at in self.arrival_times:
+            self.arrival_times.remove(arrived_at)
 
-    def record_order(self, f: Function, wid: int) -> None:
-        """Notes a new order everywhere it counts."""
-        f.pending_orders[wid] = self.now
+    def record_order(self, function: Function, worker_id: int) -> None:
+        """Counts a new order."""
+        function.pending_orders[worker_id] = self.now
         self.orders_in_progress += 1
         self.order_times.append(self.now)
 
-    def release_order(self, f: Function, wid: int, sent: bool) -> float | None:
-        """Takes an order that has ended out of all counts: when it was given, None where nobody knows of it.
-        One that was never sent counts for no ration."""
-        at = f.pending_orders.pop(wid, None)
-        self.orders_in_progress -= at is not None
-        if at is not None and not sent and at in self.order_times:
-            self.order_times.remove(at)
-        return at
-
-    def record_attempt(self, r: Request, f: Function, w: Worker) -> tuple[int, int]:
-        """Notes a new attempt everywhere it counts."""
-        key, wid = (r.event.request, r.attempt_count), w.entry.worker
-        w.in_flight[key], self.attempts[key], r.in_flight[r.attempt_count] = self.now, (w, f, self.now), wid
-        f.own_in_flight[wid] = f.own_in_flight.get(wid, 0) + 1
-        r.attempt_count += 1
+    def release_order(self, function: Function, worker_id: int, sent: bool) -> float | None:
+        """Stops counting an order that has ended; returns when it was given, None if it is unknown.
+
+        An order that was not sent does not count for the order limit either.
+        """
+        ordered_at = function.pending_orders.pop(worker_id, None)
+        self.orders_in_progress -= ordered_at is not None
+        if ordered_at is not None and not sent and ordered_at in self.order_times:
+            self.order_times.remove(ordered_at)
+        return ordered_at
+
+    def record_attempt(self, request: Request, function: Function, worker: Worker) -> tuple[int, int]:
+        """Counts a new attempt and returns its key."""
+        key, worker_id = (request.event.request, request.attempt_count), worker.entry.worker
+        worker.in_flight[key] = self.now
+        self.attempts[key] = (worker, function, self.now)
+        request.in_flight[request.attempt_count] = worker_id
+        function.own_in_flight[worker_id] = function.own_in_flight.get(worker_id, 0) + 1
+        request.attempt_count += 1
         return key
 
-    def release_attempt(self, request: int, attempt: int) -> tuple[Worker, Function, float] | None:
-        """Takes an attempt that has ended out of all counts."""
-        if known := self.attempts.pop((request, attempt), None):
-            known[0].in_flight.pop((request, attempt), None)
-            known[1].own_in_flight[known[0].entry.worker] -= 1
-            if r := self.requests.get(request):
-                r.in_flight.pop(attempt, None)
-        return known
-
-    def schedule(self, wait: float, what: Callable[[Any], None], subject: Any) -> None:
-        """Puts something on the agenda, in whole microseconds, so that no timer fires a little early."""
+    def release_attempt(self, request_id: int, attempt: int) -> tuple[Worker, Function, float] | None:
+        """Stops counting an attempt that has ended; returns where and when it was sent."""
+        if record := self.attempts.pop((request_id, attempt), None):
+            worker, function, _ = record
+            worker.in_flight.pop((request_id, attempt), None)
+            function.own_in_flight[worker.entry.worker] -= 1
+            if request := self.requests.get(request_id):
+                request.in_flight.pop(attempt, None)
+        return record
+
+    def schedule(self, delay: float, action: Callable[[Any], None], argument: Any) -> None:
+        """Schedules a call of `action`, in whole microseconds, so that no timer fires slightly early."""
         self.task_serial += 1
-        heappush(self.scheduled, (round(self.now + wait + 0.001, 3), self.task_serial, what, subject))
+        heappush(self.scheduled, (round(self.now + delay + 0.001, 3), self.task_serial, action, argument))
 
     def run_due_tasks(self) -> None:
-        """Does what is due."""
+        """Runs the tasks that are due."""
         while self.scheduled and self.scheduled[0][0] <= self.now:
-            _, _, what, subject = heappop(self.scheduled)
-            what(subject)
+            _, _, action, argument = heappop(self.scheduled)
+            action(argument)
 
     def set_timer(self) -> None:
-        """One timer for the next thing that is due, and none when nothing is."""
+        """Requests a timer for the next scheduled task unless one is set."""
         if self.scheduled and not self.now < self.timer_at <= self.scheduled[0][0]:
             self.timer_at = self.scheduled[0][0]
             self.actions.append(SetTimer("agenda", self.timer_at))
--- a/harrieryoke/state_transfer.py
+++ b/harrieryoke/state_transfer.py
@@ -93,10 +93,10 @@
 def pack(router: Router, now: float) -> bytes:
     """Serialise what the router has learned: version, checksum, values. The newest definition of a class
     counts. `now` is on the router's clock."""
-    names = [c.name for c in router.settings.classes]
+    names = [copy.name for copy in router.settings.classes]
     state = RouterState(
-        [worker_state(number, w, names) for number, w in router.workers.items()],
-        [function_state(router, f, names) for f in router.functions.values()],
+        [worker_state(number, worker, names) for number, worker in router.workers.items()],
+        [function_state(router, function, names) for function in router.functions.values()],
         list(router.order_times),
         list(router.arrival_times),
         router.recent_calls,
@@ -111,43 +111,46 @@
     return b"%d %d\n" % (VERSION, zlib.crc32(body)) + body
 
 
-def worker_state(number: int, w: Worker, names: list[str]) -> WorkerState:
+def worker_state(number: int, worker: Worker, names: list[str]) -> WorkerState:
     """Return what the router knows of one worker; `names` are the classes by index."""
     return WorkerState(
         number,
-        w.started,
-        w.load.latency_ratio,
-        w.load.attempt_limit,
-        w.slowness_factor,
-        w.ejected,
-        w.unreachable,
-        w.backoff,
-        w.in_progress,
-        w.reported_at,
-        w.last_heard,
-        w.last_disconnect,
-        w.cold_budget.tokens,
-        w.cold_budget.updated_at,
-        {names[n]: doubt for n, doubt in sorted(w.suspected_classes.items())},
-        {names[n]: at for n, at in sorted(w.last_served.items())},
-        w.entry.start_stamp,
+        worker.started,
+        worker.load.latency_ratio,
+        worker.load.attempt_limit,
+        worker.slowness_factor,
+        worker.ejected,
+        worker.unreachable,
+        worker.backoff,
+        worker.in_progress,
+        worker.reported_at,
+        worker.last_heard,
+        worker.last_disconnect,
+        worker.cold_budget.tokens,
+        worker.cold_budget.updated_at,
+        {names[index]: doubt for index, doubt in sorted(worker.suspected_classes.items())},
+        {names[index]: served_at for index, served_at in sorted(worker.last_served.items())},
+        worker.entry.start_stamp,
     )
 
 
-def function_state(router: Router, f: Function, names: list[str]) -> FunctionState:
+def function_state(router: Router, function: Function, names: list[str]) -> FunctionState:
     """Return what the router knows of one function; `names` are the classes by index."""
     return FunctionState(
-        f.name,
-        names[f.class_index],
-        f.load_time,
-        f.mean_duration,
-        f.memory,
-        f.slots,
-        router.now - router.total_idle_time - f.last_used,
-        f.copy_width,
-        f.sole_user,
-        [CopyState(number, c.count, c.last_seen, c.others_in_flight) for number, c in f.copies.items()],
-        list(f.missed_until.items()),
+        function.name,
+        names[function.class_index],
+        function.load_time,
+        function.mean_duration,
+        function.memory,
+        function.slots,
+        router.now - router.total_idle_time - function.last_used,
+        function.copy_width,
+        function.sole_user,
+        [
+            CopyState(number, copy.count, copy.last_seen, copy.others_in_flight)
+            for number, copy in function.copies.items()
+        ],
+        list(function.missed_until.items()),
     )
 
 
@@ -168,43 +171,48 @@
         state: RouterState = msgspec.json.decode(body, type=RouterState)
     except msgspec.MsgspecError as error:
         raise StateTransferError(str(error)) from None
-    ahead = (wall if version == WALL_CLOCK_VERSION else state.at) - now
-    if version == VERSION and -SAME_CLOCK_MS <= ahead <= 0:
+    clock_offset = (wall if version == WALL_CLOCK_VERSION else state.at) - now
+    if version == VERSION and -SAME_CLOCK_MS <= clock_offset <= 0:
         return state
-    return shift_times(state, -ahead)
+    return shift_times(state, -clock_offset)
 
 
-def shift_times(state: RouterState, by: float) -> RouterState:
+def shift_times(state: RouterState, offset: float) -> RouterState:
     """Return the state with each time later by so many milliseconds. One that says never stays so."""
     return msgspec.structs.replace(
         state,
-        workers=[shift_worker_times(w, by) for w in state.workers],
+        workers=[shift_worker_times(w, offset) for w in state.workers],
         functions=[
             msgspec.structs.replace(
-                f,
-                copies=[msgspec.structs.replace(c, last_seen=c.last_seen + by) for c in f.copies],
-                missed_until=[(worker, until + by) for worker, until in f.missed_until],
+                function,
+                copies=[
+                    msgspec.structs.replace(copy, last_seen=copy.last_seen + offset)
+                    for copy in function.copies
+                ],
+                missed_until=[(worker, until + offset) for worker, until in function.missed_until],
             )
-            for f in state.functions
+            for function in state.functions
         ],
-        ordered=[at + by for at in state.ordered],
-        arrivals=[at + by for at in state.arrivals],
-        last_arrival=state.last_arrival + by,
-        at=state.at + by,
+        ordered=[served_at + offset for served_at in state.ordered],
+        arrivals=[served_at + offset for served_at in state.arrivals],
+        last_arrival=state.last_arrival + offset,
+        at=state.at + offset,
     )
 
 
-def shift_worker_times(w: WorkerState, by: float) -> WorkerState:
+def shift_worker_times(worker: WorkerState, offset: float) -> WorkerState:
     """Return the worker with each time later by so many milliseconds."""
     return msgspec.structs.replace(
-        w,
-        started=w.started + by,
-        reported_at=w.reported_at + by,
-        last_heard=w.last_heard + by,
-        last_disconnect=w.last_disconnect + by,
-        cold_budget_updated_at=w.cold_budget_updated_at + by,
-        suspected_classes={name: (until + by, pause) for name, (until, pause) in w.suspected_classes.items()},
-        last_served={name: at + by for name, at in w.last_served.items()},
+        worker,
+        started=worker.started + offset,
+        reported_at=worker.reported_at + offset,
+        last_heard=worker.last_heard + offset,
+        last_disconnect=worker.last_disconnect + offset,
+        cold_budget_updated_at=worker.cold_budget_updated_at + offset,
+        suspected_classes={
+            name: (until + offset, pause) for name, (until, pause) in worker.suspected_classes.items()
+        },
+        last_served={name: served_at + offset for name, served_at in worker.last_served.items()},
     )
 
 
@@ -220,57 +228,78 @@
 
     Workers that are not in its list are skipped; one that started since stays as cold as its list says.
     """
-    kinds = router.settings.active_classes()
-    fresh = {
-        w.worker
-        for w in state.workers
-        if w.worker in router.workers and is_same_start(w, router.workers[w.worker])
+    class_indexes = router.settings.active_classes()
+    unchanged = {
+        worker.worker
+        for worker in state.workers
+        if worker.worker in router.workers and is_same_start(worker, router.workers[worker.worker])
     }
     router.order_times.extend(sorted(state.ordered))
     router.arrival_times.extend(sorted(state.arrivals))
     router.recent_calls, router.last_arrival = state.calls, state.last_arrival
     router.latency_ratio, router.mean_in_progress = state.strain, state.held
     router.load_time_factor, router.order_cap = state.stretch, state.order_cap
-    for each in state.functions:
-        if each.class_name in kinds and each.name not in router.functions:
-            restore_function(router, each, kinds[each.class_name], fresh)
-    for w in state.workers:
-        if w.worker in fresh:
-            restore_worker(router, router.workers[w.worker], w, kinds)
+    for function_state in state.functions:
+        if function_state.class_name in class_indexes and function_state.name not in router.functions:
+            restore_function(router, function_state, class_indexes[function_state.class_name], unchanged)
+    for worker in state.workers:
+        if worker.worker in unchanged:
+            restore_worker(router, router.workers[worker.worker], worker, class_indexes)
 
 
-def restore_function(router: Router, state: FunctionState, kind: int, fresh: set[int]) -> None:
+def restore_function(router: Router, state: FunctionState, class_index: int, unchanged: set[int]) -> None:
     """Add one function of class index `kind`, with its copies at the workers in `fresh`."""
-    f = Function(
-        state.name, digest(state.name), kind, state.load_time, state.mean_duration, state.memory, state.slots
+    function = Function(
+        state.name,
+        digest(state.name),
+        class_index,
+        state.load_time,
+        state.mean_duration,
+        state.memory,
+        state.slots,
     )
-    f.last_used = router.now - router.total_idle_time - max(0.0, state.age)
-    f.copy_width, f.sole_user = state.copy_width, state.sole_user
-    router.functions[f.name] = f
-    router.schedule(FORGET_KEEP_ALIVES * router.settings.keep_alive, router.forget_unused, f.name)
+    function.last_used = router.now - router.total_idle_time - max(0.0, state.age)
+    function.copy_width, function.sole_user = state.copy_width, state.sole_user
+    router.functions[function.name] = function
+    router.schedule(FORGET_KEEP_ALIVES * router.settings.keep_alive, router.forget_unused, function.name)
     for copy in state.copies:
-        if copy.worker in fresh:
-            router.record_copy(f, copy.worker)
-            f.copies[copy.worker] = Copy(copy.count, min(copy.last_seen, router.now), copy.others_in_flight)
-    f.missed_until = {wid: until for wid, until in state.missed_until if wid in fresh}
+        if copy.worker in unchanged:
+            router.record_copy(function, copy.worker)
+            function.copies[copy.worker] = Copy(
+                copy.count, min(copy.last_seen, router.now), copy.others_in_flight
+            )
+    function.missed_until = {
+        worker_id: until for worker_id, until in state.missed_until if worker_id in unchanged
+    }
 
 
-def restore_worker(router: Router, w: Worker, state: WorkerState, kinds: dict[str, int]) -> None:
+def restore_worker(router: Router, worker: Worker, state: WorkerState, class_indexes: dict[str, int]) -> None:
     """Set what is known of one worker; `kinds` are the class indices by name."""
-    w.load, w.slowness_factor = WorkerLoad(state.latency_ratio, state.attempt_limit), state.slowness_factor
-    w.in_progress, w.reported_at, w.last_heard, w.last_disconnect = (
+    worker.load, worker.slowness_factor = (
+        WorkerLoad(state.latency_ratio, state.attempt_limit),
+        state.slowness_factor,
+    )
+    worker.in_progress, worker.reported_at, worker.last_heard, worker.last_disconnect = (
         state.in_progress,
         state.reported_at,
         state.last_heard,
         state.last_disconnect,
     )
-    w.suspected_classes = {
-        kinds[name]: doubt for name, doubt in state.suspected_classes.items() if name in kinds
+    worker.suspected_classes = {
+        class_indexes[name]: doubt for name, doubt in state.suspected_classes.items() if name in class_indexes
+    }
+    worker.last_served = {
+        class_indexes[name]: served_at
+        for name, served_at in state.last_served.items()
+        if name in class_indexes
     }
-    w.last_served = {kinds[name]: at for name, at in state.last_served.items() if name in kinds}
     if state.ejected and router.functions:
-        router.eject(w, dead=False)
-        w.unreachable, w.may_have_restarted, w.backoff = state.unreachable, state.unreachable, state.backoff
-    w.started = state.started
-    router.all_warm_at = max(router.all_warm_at, w.started + router.settings.cold_period)
-    w.cold_budget = TokenBucket(state.cold_budget, state.cold_budget_updated_at)
+        router.eject(worker, unreachable=False)
+        worker.unreachable, worker.may_have_restarted, worker.backoff = (
+            state.unreachable,
+            state.unreachable,
+            state.backoff,
+        )
+    worker.started = state.started
+    router.all_warm_at = max(router.all_warm_at, worker.started + router.settings.cold_period)
+    worker.cold_budget = TokenBucket(state.cold_budget, state.cold_budget_updated_at)
--- a/harrieryoke/wirehost.py
+++ b/harrieryoke/wirehost.py
@@ -10,36 +10,65 @@
 
 import msgspec
 
-from . import interface as i
+from .interface import (
+    Action,
+    AnswerStarted,
+    AttemptEnded,
+    CancelAttempt,
+    CopyLookup,
+    DropCopies,
+    Event,
+    Fail,
+    FollowList,
+    ListScope,
+    LoadReport,
+    LogLine,
+    OrderCopies,
+    OrderEnded,
+    Outcome,
+    PeerMessage,
+    Probe,
+    ProbeEnded,
+    Refuse,
+    RequestArrived,
+    RequestDropped,
+    SetTimer,
+    Settings,
+    StartAttempt,
+    TimerFired,
+    WorkerEntry,
+    WorkersListed,
+    WorkerStatus,
+)
 from .router import Router
 from .settings import REPORT_NAMES, read_settings, report_names
 
 OUTCOMES = {
-    "Ok": i.Outcome.OK,
-    "Failed": i.Outcome.ERROR,
-    "QueueFull": i.Outcome.FULL,
-    "TimedOut": i.Outcome.TIMEOUT,
-    "ConnectError": i.Outcome.NO_CONNECTION,
-    "ResetByPeer": i.Outcome.RESET,
-    "Canceled": i.Outcome.CANCELLED,
-    "Ignored": i.Outcome.NOT_SENT,
-    "Miss": i.Outcome.MISS,
+    "Ok": Outcome.OK,
+    "Failed": Outcome.ERROR,
+    "QueueFull": Outcome.FULL,
+    "TimedOut": Outcome.TIMEOUT,
+    "ConnectError": Outcome.NO_CONNECTION,
+    "ResetByPeer": Outcome.RESET,
+    "Canceled": Outcome.CANCELLED,
+    "Ignored": Outcome.NOT_SENT,
+    "Miss": Outcome.MISS,
 }
 SCOPES = {
-    "Partial": i.ListScope.CHANGES,
-    "Complete": i.ListScope.WHOLE,
-    "Persisted": i.ListScope.REMEMBERED,
-    "Error": i.ListScope.FAILED,
+    "Partial": ListScope.CHANGES,
+    "Complete": ListScope.WHOLE,
+    "Persisted": ListScope.REMEMBERED,
+    "Error": ListScope.FAILED,
 }
-DRAINS = {"on": i.WorkerStatus.UP, "fading": i.WorkerStatus.DRAINING, "off": i.WorkerStatus.GONE}
-FOUND = {1: i.CopyLookup.LOADED, 2: i.CopyLookup.STARTED_LOAD, 3: i.CopyLookup.WAITED_FOR_LOAD}
+DRAINS = {"on": WorkerStatus.UP, "fading": WorkerStatus.DRAINING, "off": WorkerStatus.GONE}
+FOUND = {1: CopyLookup.LOADED, 2: CopyLookup.STARTED_LOAD, 3: CopyLookup.WAITED_FOR_LOAD}
 
 
 class WireError(Exception):
     """The input is not what the wire allows."""
 
 
-def read_info(text: str) -> tuple[i.Settings, tuple[str, ...]]:
+def read_info(text: str) -> tuple[Settings, tuple[str, ...]]:
     """The settings of an INIT line, and the names of the load report's values."""
     info = msgspec.json.decode(text)
     if not isinstance(info, dict):
@@ -52,111 +81,111 @@
     return None if text == "-" else float(text)
 
 
-def read_report(text: str, names: tuple[str, ...]) -> i.LoadReport | None:
+def read_report(text: str, names: tuple[str, ...]) -> LoadReport | None:
     """A load report, values in the order of the settings."""
     if text == "-":
         return None
     values = {
-        REPORT_NAMES[n]: number_or_none(v)
-        for n, v in zip(names, text.split(","), strict=False)
-        if n in REPORT_NAMES
+        REPORT_NAMES[name]: number_or_none(value)
+        for name, value in zip(names, text.split(","), strict=False)
+        if name in REPORT_NAMES
     }
-    return i.LoadReport(**values)
+    return LoadReport(**values)
 
 
-def read_entry(line: str) -> i.WorkerEntry:
+def read_entry(line: str) -> WorkerEntry:
     """One M line of a SHEET."""
     parts = line.split(" ")
     if parts[0] != "M":
         raise WireError(f"worker entry expected: {line!r}")
     _, worker, zone, kind, cell, mode, size, started = parts
-    at = number_or_none(started)
-    return i.WorkerEntry(
+    started_at = number_or_none(started)
+    return WorkerEntry(
         int(worker),
         int(zone),
         int(kind),
         int(cell),
         DRAINS[mode],
         1.0 if size == "-" else float(size),
-        at or None,
+        started_at or None,
     )
 
 
-def read_request(p: list[str], names: tuple[str, ...]) -> i.Event:
+def read_request(parts: list[str], names: tuple[str, ...]) -> Event:
     """REQUEST, without its tag and instance."""
-    request, kind, tenant, function, due, hint, memory, lanes, load_time, flags = p
+    request, class_index, tenant, function, deadline, hint, memory, slots, load_time, flags = parts
     bits = 0 if flags == "-" else int(flags)
     hinted = number_or_none(hint) if bits & 1 else None
-    return i.RequestArrived(
+    return RequestArrived(
         int(request),
-        int(kind),
+        int(class_index),
         function,
-        float(due),
+        float(deadline),
         None if tenant == "-" else int(tenant),
         hinted,
         number_or_none(memory) or 0.0,
-        int(number_or_none(lanes) or 1),
+        int(number_or_none(slots) or 1),
         number_or_none(load_time),
         bool(bits & 2),
     )
 
 
-def read_settled(p: list[str], names: tuple[str, ...]) -> i.Event:
+def read_settled(parts: list[str], names: tuple[str, ...]) -> Event:
     """SETTLED, without its tag and instance."""
-    request, complete, reason, took, info, worker, attempt, report = p
+    request, complete, reason, duration, info, worker, attempt, report = parts
     bits = 0 if info == "-" else int(info)
     outcome = OUTCOMES[reason]
-    return i.AttemptEnded(
+    return AttemptEnded(
         int(request),
         int(worker),
         int(attempt),
         outcome,
-        float(took),
+        float(duration),
         complete == "1",
-        FOUND.get(bits & 7) if outcome is i.Outcome.OK else None,
+        FOUND.get(bits & 7) if outcome is Outcome.OK else None,
         bits & 7 == 4,
         bits >> 3,
         read_report(report, names),
     )
 
 
-def read_sampled(p: list[str], names: tuple[str, ...]) -> i.Event:
+def read_sampled(parts: list[str], names: tuple[str, ...]) -> Event:
     """SAMPLED, without its tag and instance."""
-    worker, reason, took, report = p
-    return i.ProbeEnded(int(worker), OUTCOMES[reason], float(took), read_report(report, names))
+    worker, reason, duration, report = parts
+    return ProbeEnded(int(worker), OUTCOMES[reason], float(duration), read_report(report, names))
 
 
-def read_loaded(p: list[str], names: tuple[str, ...]) -> i.Event:
+def read_loaded(parts: list[str], names: tuple[str, ...]) -> Event:
     """LOADED, without its tag and instance."""
-    took, copies, reason, worker, function = p
-    return i.OrderEnded(int(worker), function, OUTCOMES[reason], int(copies), float(took))
+    duration, copies, reason, worker, function = parts
+    return OrderEnded(int(worker), function, OUTCOMES[reason], int(copies), float(duration))
 
 
-def read_accepted(p: list[str], names: tuple[str, ...]) -> i.Event:
+def read_accepted(parts: list[str], names: tuple[str, ...]) -> Event:
     """ACCEPTED, without its tag and instance."""
-    request, worker, attempt, _ = p
-    return i.AnswerStarted(int(request), int(worker), int(attempt))
+    request, worker, attempt, _ = parts
+    return AnswerStarted(int(request), int(worker), int(attempt))
 
 
-def read_dropped(p: list[str], names: tuple[str, ...]) -> i.Event:
+def read_dropped(parts: list[str], names: tuple[str, ...]) -> Event:
     """DROPPED, without its tag and instance."""
-    (request,) = p
-    return i.RequestDropped(int(request))
+    (request,) = parts
+    return RequestDropped(int(request))
 
 
-def read_wake(p: list[str], names: tuple[str, ...]) -> i.Event:
+def read_wake(parts: list[str], names: tuple[str, ...]) -> Event:
     """WAKE, without its tag and instance."""
-    (name,) = p
-    return i.TimerFired(name)
+    (name,) = parts
+    return TimerFired(name)
 
 
-def read_message(p: list[str], names: tuple[str, ...]) -> i.Event:
+def read_message(parts: list[str], names: tuple[str, ...]) -> Event:
     """MESSAGE, without its tag and instance."""
-    peer, raw = p
-    return i.PeerMessage(int(peer), b"" if raw == "-" else base64.b64decode(raw, validate=True))
+    peer, raw = parts
+    return PeerMessage(int(peer), b"" if raw == "-" else base64.b64decode(raw, validate=True))
 
 
-READERS: dict[str, Callable[[list[str], tuple[str, ...]], i.Event]] = {
+READERS: dict[str, Callable[[list[str], tuple[str, ...]], Event]] = {
     "REQUEST": read_request,
     "SETTLED": read_settled,
     "SAMPLED": read_sampled,
@@ -168,29 +197,31 @@
 }
 
 
-def write_action(who: int, action: i.Action) -> str:
+def write_action(instance: int, action: Action) -> str:
     """One action as a wire line."""
     match action:
-        case i.StartAttempt(request, worker, stop_at):
-            return f"SUBMIT_TO {who} {request} {worker} {'-' if stop_at is None else repr(float(stop_at))}"
-        case i.CancelAttempt(request, attempt):
-            return f"RETRACT {who} {request} {attempt}"
-        case i.Refuse(request, retry_after):
-            return f"NOT_NOW {who} {request} {'-' if retry_after is None else repr(float(retry_after))}"
-        case i.Fail(request):
-            return f"LOSE {who} {request}"
-        case i.OrderCopies(worker, function, copies):
-            return f"START_COPY {who} {worker} {function} {copies}"
-        case i.DropCopies(worker, function):
-            return f"FREE_UP {who} {worker} {function}"
-        case i.Probe(worker):
-            return f"SOUND_OUT {who} {worker}"
-        case i.SetTimer(name, at):
-            return f"AFTER {who} {name} {float(at)!r}"
-        case i.FollowList():
-            return f"LISTEN {who} 1"
-        case i.LogLine(text):
-            return f"REMARK {who} {text}"
+        case StartAttempt(request, worker, stop_at):
+            return (
+                f"SUBMIT_TO {instance} {request} {worker} {'-' if stop_at is None else repr(float(stop_at))}"
+            )
+        case CancelAttempt(request, attempt):
+            return f"RETRACT {instance} {request} {attempt}"
+        case Refuse(request, retry_after):
+            return f"NOT_NOW {instance} {request} {'-' if retry_after is None else repr(float(retry_after))}"
+        case Fail(request):
+            return f"LOSE {instance} {request}"
+        case OrderCopies(worker, function, copies):
+            return f"START_COPY {instance} {worker} {function} {copies}"
+        case DropCopies(worker, function):
+            return f"FREE_UP {instance} {worker} {function}"
+        case Probe(worker):
+            return f"SOUND_OUT {instance} {worker}"
+        case SetTimer(name, at):
+            return f"AFTER {instance} {name} {float(at)!r}"
+        case FollowList():
+            return f"LISTEN {instance} 1"
+        case LogLine(text):
+            return f"REMARK {instance} {text}"
 
 
 class Host:
@@ -198,18 +229,18 @@
 
     def __init__(self) -> None:
         self.routers: dict[int, tuple[Router, tuple[str, ...]]] = {}
-        self.sheets: dict[int, tuple[i.WorkerEntry, ...]] = {}
+        self.sheets: dict[int, tuple[WorkerEntry, ...]] = {}
 
     def batch(self, now: float, lines: Iterator[str]) -> list[str]:
         """Reads one batch up to its end and returns the lines of the reply."""
-        pending: dict[int, list[i.Event]] = {}
+        pending: dict[int, list[Event]] = {}
         for line in lines:
             if line == "EOF_BATCH":
                 return self.reply(now, pending)
             self.read_line(line, lines, pending)
         raise WireError("input ended inside a batch")
 
-    def read_line(self, line: str, lines: Iterator[str], pending: dict[int, list[i.Event]]) -> None:
+    def read_line(self, line: str, lines: Iterator[str], pending: dict[int, list[Event]]) -> None:
         """One message of a batch."""
         tag, _, rest = line.partition(" ")
         if tag == "SHEET":
@@ -217,38 +248,42 @@
             self.sheets[int(slot)] = tuple(read_entry(next(lines, "")) for _ in range(int(count)))
             return
         first, _, rest = rest.partition(" ")
-        who = int(first)
+        instance = int(first)
         if tag == "INIT":
             seed, _, info = rest.partition(" ")
             settings, names = read_info(info)
-            self.routers[who] = (Router(settings, int(seed)), names)
-            pending[who] = []
+            self.routers[instance] = (Router(settings, int(seed)), names)
+            pending[instance] = []
             return
-        if who not in self.routers:
-            raise WireError(f"{tag} for an instance that was not started: {who}")
+        if instance not in self.routers:
+            raise WireError(f"{tag} for an instance that was not started: {instance}")
         if tag == "TEARDOWN":
-            del self.routers[who]
-            pending.pop(who, None)
+            del self.routers[instance]
+            pending.pop(instance, None)
         elif tag == "FLEET":
             scope, _, slot = rest.split(" ")
-            kind = SCOPES[scope]
-            entries = () if kind is i.ListScope.FAILED else self.sheets[int(slot)]
-            pending.setdefault(who, []).append(i.WorkersListed(kind, entries))
+            list_scope = SCOPES[scope]
+            entries = () if list_scope is ListScope.FAILED else self.sheets[int(slot)]
+            pending.setdefault(instance, []).append(WorkersListed(list_scope, entries))
         elif tag in READERS:
-            pending.setdefault(who, []).append(READERS[tag](rest.split(" "), self.routers[who][1]))
+            pending.setdefault(instance, []).append(READERS[tag](rest.split(" "), self.routers[instance][1]))
         else:
             raise WireError(f"unknown message: {tag!r}")
 
-    def reply(self, now: float, pending: dict[int, list[i.Event]]) -> list[str]:
+    def reply(self, now: float, pending: dict[int, list[Event]]) -> list[str]:
         """Lets every instance with events decide."""
-        out: list[str] = []
-        for who, events in pending.items():
+        lines_out: list[str] = []
+        for instance, events in pending.items():
             try:
-                out.extend(write_action(who, a) for a in self.routers[who][0].handle(now, events))
+                lines_out.extend(
+                    write_action(instance, a) for a in self.routers[instance][0].handle(now, events)
+                )
             except Exception as error:  # a bug in the decisions is the day's end, told in plain words
-                out.append(f"INTERNAL_ERROR {who} {type(error).__name__}: {error}".replace("\n", " "))
-        out.append("DONE")
-        return out
+                lines_out.append(
+                    f"INTERNAL_ERROR {instance} {type(error).__name__}: {error}".replace("\n", " ")
+                )
+        lines_out.append("DONE")
+        return lines_out
 
 
 def serve(source: Iterable[str], sink: TextIO) -> None:
--- a/harrieryoke/work_lease.py
+++ b/harrieryoke/work_lease.py
@@ -1,9 +1,8 @@
-"""Until when a worker may get new work on the strength of what is known of it.
+"""Leases: until when a worker may get new work.
 
-A drain that discovery has to tell counts as told after `Settings.discovery_delay` at the latest, also while
-discovery is out of reach. So who is known to have taken new work at some moment may get more for that span;
-after it, discovery's confirmation or the worker's own answer has to renew the lease. Times are milliseconds
-of the module's clock.
+A drain takes effect at every front end within `Settings.discovery_delay`, even if discovery is unreachable. A
+worker that is known to have accepted new work at some time may therefore get more for that long; then
+discovery or an answer of the worker has to renew the lease. Times are milliseconds of the module's clock.
 """
 
 from __future__ import annotations
@@ -13,71 +12,73 @@
 
 from .interface import ListConfirmed, Settings
 
-MAX_DOUBLINGS = 4  # of the pause between two probes of a worker that takes no new work
+MAX_DOUBLINGS = 4  # of the pause between probes of a worker that accepts no new work
 
 
 @dataclass(slots=True)
 class WorkLease:
-    """What one worker's own answers tell."""
+    """Lease of one worker, renewed by its own answers."""
 
-    proven_at: float = -inf  # it took new work at this moment
-    denials: int = 0  # probes since then that found that it takes none, or had no answer
-    probe_at: float = -inf  # no probe before this
-    probe_pending: bool = False  # a probe is out
+    proven_at: float = -inf  # it accepted new work at this time
+    denials: int = 0  # probes since then that were denied or unanswered
+    probe_at: float = -inf  # earliest next probe
+    probe_pending: bool = False
 
     def renew(self, at: float) -> None:
-        """It took new work at that time, or was ready to."""
+        """Notes that the worker accepted new work, or was ready to, at `at`."""
         self.proven_at, self.denials = max(self.proven_at, at), 0
 
     def deny(self, now: float, pause: float) -> None:
-        """It takes no new work, or does not say so; the pauses before the next probe grow from `pause`."""
+        """Delays the next probe exponentially from `pause`: the worker denied new work or did not answer."""
         self.probe_at = now + pause * 2 ** min(self.denials, MAX_DOUBLINGS)
         self.denials += 1
 
 
 @dataclass(slots=True)
 class ListAge:
-    """How old the worker list is. While nobody tells, it counts as current: the simulator's never ages."""
+    """Age of the worker list. Without any confirmation it counts as current: the simulator sends none."""
 
-    confirmed_at: float | None = None  # nothing that discovery told before is missing
+    confirmed_at: float | None = None  # all earlier changes are in the list
     unreadable: frozenset[int] = field(
         default_factory=frozenset
-    )  # workers whose last entry could not be read
+    )  # workers whose latest entry could not be read
 
     def confirm(self, event: ListConfirmed) -> None:
-        """Discovery has confirmed the list, but for the entries that could not be read."""
+        """Applies a confirmation by discovery, which excludes entries that could not be read."""
         self.confirmed_at = max(event.at, -inf if self.confirmed_at is None else self.confirmed_at)
         self.unreadable = event.doubtful
 
     def listed_until(self, worker: int) -> float:
-        """Until when the list's word on the worker is known to have been discovery's last."""
+        """Time until which the worker's entry in the list is known to be current."""
         if self.confirmed_at is None:
             return inf
         return -inf if worker in self.unreadable else self.confirmed_at
 
     def known_until(self, worker: int, lease: WorkLease) -> float:
-        """Until when the worker is known to have taken new work."""
+        """Time until which the worker is known to have accepted new work."""
         return max(lease.proven_at, self.listed_until(worker))
 
     def expires_at(self, worker: int, lease: WorkLease, settings: Settings) -> float:
-        """When the last new work may begin to be written to the worker."""
+        """Latest time at which writing new work to the worker may start."""
         return self.known_until(worker, lease) + settings.discovery_delay
 
     def is_current(self, now: float, settings: Settings) -> bool:
-        """Whether no lease can have run out."""
-        return self.confirmed_at is None or (not self.unreadable and _lasts(self.confirmed_at, now, settings))
+        """Whether no lease can have expired."""
+        return self.confirmed_at is None or (
+            not self.unreadable and _is_valid(self.confirmed_at, now, settings)
+        )
 
     def allows(self, worker: int, lease: WorkLease, now: float, settings: Settings) -> bool:
-        """Whether the worker may get new work that needs a connection first."""
-        return _lasts(self.known_until(worker, lease), now, settings)
+        """Whether the worker may get new work, which may have to wait for a connection."""
+        return _is_valid(self.known_until(worker, lease), now, settings)
 
     def refuses(self, worker: int, lease: WorkLease, now: float, settings: Settings) -> bool:
-        """Whether the lease has run out and there is no other to be had for now."""
+        """Whether the lease has expired and no probe can renew it now."""
         if self.allows(worker, lease, now, settings):
             return False
         return not settings.may_probe or lease.probe_at > now
 
 
-def _lasts(known: float, now: float, settings: Settings) -> bool:
-    # what is sent now may wait for a connection before its first byte
-    return now + settings.connect_timeout < known + settings.discovery_delay
+def _is_valid(known_until: float, now: float, settings: Settings) -> bool:
+    # writing may start only after a connect timeout
+    return now + settings.connect_timeout < known_until + settings.discovery_delay
--- a/harrieryoke/worker_health.py
+++ b/harrieryoke/worker_health.py
@@ -1,12 +1,24 @@
-"""What one front end makes of each worker: whether it is listed, alive, cold, slow, and gets new work."""
+"""Health of workers as one front end sees it: listed, reachable, cold, slow, and allowed new work."""
 
 from __future__ import annotations
 
 from math import exp2, inf, sqrt
 from random import Random
 
-from . import interface as i
-from .interface import Effect, ListScope, Outcome, WorkerStatus
+from .interface import (
+    CancelAttempt,
+    Effect,
+    FollowList,
+    ListConfirmed,
+    ListScope,
+    OrderCopies,
+    Outcome,
+    Probe,
+    ProbeEnded,
+    Settings,
+    WorkersListed,
+    WorkerStatus,
+)
 from .load_limit import INITIAL_LIMIT, MIN_LIMIT, OVERLOADED_RATIO
 from .slow_start import take_cold_token, warm_share_at
 from .state import (
@@ -21,285 +33,310 @@
     digest,
 )
 
-UNREACHABLE_ZONE_EJECTIONS = (
-    3  # workers out and nothing heard of their zone between: one or two may have failed by themselves
-)
+# ejections in a zone since the last answer from it; one or two workers may fail independently
+UNREACHABLE_ZONE_EJECTIONS = 3
 
 
 class WorkerHealth(RoutingState):
-    """The part of the router that looks after workers. The router sets the values that follow from its
-    settings."""
+    """The part of the router that tracks workers. The router sets the attributes declared here."""
 
-    settings: i.Settings
+    settings: Settings
     rng: Random
-    others_share: float  # share of the calls that other front ends send
-    shortest_latency_target: float  # of all classes, in milliseconds
-    latency_ratio: float  # answers' time against the aim, of all workers together
-    load_time_factor: float  # loads' time against the told time
+    others_share: float  # share of all requests that other front ends send
+    shortest_latency_target: float  # of all classes
+    latency_ratio: float  # mean duration of answers relative to the latency target, over all workers
+    load_time_factor: float  # mean duration of loads relative to the load time of requests
 
-    def on_workers_listed(self, event: i.WorkersListed) -> None:
+    def on_workers_listed(self, event: WorkersListed) -> None:
+        """Applies a worker list or a change to it."""
         if event.scope is ListScope.FAILED:
-            return self.schedule(self.settings.list_ask_within / 4, self.emit, i.FollowList())
+            return self.schedule(self.settings.list_ask_within / 4, self.emit, FollowList())
         if event.scope is not ListScope.CHANGES:
-            self.mark_gone(e.worker for e in event.workers)
-        for e in event.workers:
-            started = NEVER if e.started is None else e.started
-            first = WorkerLoad(OVERLOADED_RATIO / 2, max(2.0, INITIAL_LIMIT / self.settings.front_ends))
-            w = self.workers.setdefault(e.worker, Worker(e, NEVER, digest(str(e.worker)), first))
-            if started > w.started and not w.is_known_start(e):
-                self.reinstate(w)
-                self.start_cold(w, started)
-                w.slowness_factor, w.load, w.backoff = 1.0, first, 0.0
-            w.entry, w.active = e, e.status is WorkerStatus.UP
-            self.ejections_by_zone[e.zone] = 0  # news of a zone: it is worth a call again
-        self.peak_active_workers = max(self.peak_active_workers, sum(w.active for w in self.workers.values()))
-        for w in self.workers.values():
-            if w.entry.status is WorkerStatus.GONE and not w.removal_scheduled:
-                w.removal_scheduled = True
-                self.schedule(self.settings.keep_alive, self.remove_when_idle, w)
-
-    def on_list_confirmed(self, event: i.ListConfirmed) -> None:
+            self.mark_gone(entry.worker for entry in event.workers)
+        for entry in event.workers:
+            started = NEVER if entry.started is None else entry.started
+            attempt_limit = max(2.0, INITIAL_LIMIT / self.settings.front_ends)
+            initial_load = WorkerLoad(OVERLOADED_RATIO / 2, attempt_limit)
+            new_worker = Worker(entry, NEVER, digest(str(entry.worker)), initial_load)
+            worker = self.workers.setdefault(entry.worker, new_worker)
+            if started > worker.started and not worker.is_known_start(entry):
+                self.reinstate(worker)
+                self.start_cold(worker, started)
+                worker.slowness_factor, worker.load, worker.backoff = 1.0, initial_load, 0.0
+            worker.entry, worker.active = entry, entry.status is WorkerStatus.UP
+            self.ejections_by_zone[entry.zone] = 0  # the zone may be reachable again
+        active_count = sum(worker.active for worker in self.workers.values())
+        self.peak_active_workers = max(self.peak_active_workers, active_count)
+        for worker in self.workers.values():
+            if worker.entry.status is WorkerStatus.GONE and not worker.removal_scheduled:
+                worker.removal_scheduled = True
+                self.schedule(self.settings.keep_alive, self.remove_when_idle, worker)
+
+    def on_list_confirmed(self, event: ListConfirmed) -> None:
+        """Notes until when the worker list is known to be complete."""
         self.list_age.confirm(event)
         self.list_current = self.list_age.is_current(self.now, self.settings)
 
-    def remove_when_idle(self, w: Worker) -> None:
-        """Forgets a worker that has gone, once nothing is out there: hosts come back under ever new ids."""
-        wid = w.entry.worker
-        w.removal_scheduled = w.entry.status is WorkerStatus.GONE
-        if w.removal_scheduled and (
-            w.in_flight or any(wid in f.pending_orders for f in self.functions.values())
+    def remove_when_idle(self, worker: Worker) -> None:
+        """Removes a worker that left the list, once nothing is in progress there: restarts bring new ids."""
+        worker_id = worker.entry.worker
+        worker.removal_scheduled = worker.entry.status is WorkerStatus.GONE
+        if worker.removal_scheduled and (
+            worker.in_flight
+            or any(worker_id in function.pending_orders for function in self.functions.values())
         ):
-            self.schedule(self.settings.keep_alive, self.remove_when_idle, w)
-        elif w.removal_scheduled:
-            self.remove_worker(wid)
-
-    def start_cold(self, w: Worker, started: float) -> None:
-        """It has started anew: its copies are gone; its budget begins spread over the front ends."""
-        w.started, w.cold_budget, w.suspected_classes = started, TokenBucket(self.rng.random(), self.now), {}
-        self.all_warm_at = max(self.all_warm_at, w.started + self.settings.cold_period)
-        self.reset_worker(w)
-
-    def is_usable(self, w: Worker) -> bool:
-        """Listed, not out, not in the dark. If most are out for silence, our own sight is in doubt."""
-        if not w.active or self.refuses_work(w):
+            self.schedule(self.settings.keep_alive, self.remove_when_idle, worker)
+        elif worker.removal_scheduled:
+            self.remove_worker(worker_id)
+
+    def start_cold(self, worker: Worker, started: float) -> None:
+        """Treats the worker as started at `started`: without copies, and with a slow-start budget.
+
+        The budget starts at a random level, which spreads the first requests of many front ends.
+        """
+        worker.started, worker.suspected_classes = started, {}
+        worker.cold_budget = TokenBucket(self.rng.random(), self.now)
+        self.all_warm_at = max(self.all_warm_at, worker.started + self.settings.cold_period)
+        self.reset_worker(worker)
+
+    def is_usable(self, worker: Worker) -> bool:
+        """Whether the worker takes work: active, not ejected, and in a reachable zone.
+
+        If most workers are ejected, the cause may be this front end's network: those that only did not answer
+        are used then.
+        """
+        if not worker.active or self.refuses_work(worker):
             return False
-        return (
-            not self.zone_unreachable(w)
-            if not w.ejected
-            else not w.unreachable and 2 * self.ejected_count > len(self.workers)
-        )
-
-    def zone_unreachable(self, w: Worker) -> bool:
-        """Guards against learning of a lost zone by a call for each of its workers, where another answers."""
-        return (
-            self.ejections_by_zone.get(w.entry.zone, 0)
-            >= UNREACHABLE_ZONE_EJECTIONS
-            > min(self.ejections_by_zone.values())
-        )
-
-    def is_suspected(self, w: Worker, f: Function) -> bool:
-        return f.class_index in w.suspected_classes and w.suspected_classes[f.class_index][0] > self.now
-
-    def accepts_new_work(self, wid: int, f: Function) -> bool:
-        return self.is_usable(w := self.workers[wid]) and not (
-            self.is_suspected(w, f) or w.hold_off.is_active(self.now)
-        )
-
-    def warm_share(self, w: Worker) -> float:
-        return warm_share_at(self.now - self.latest_start(w), self.settings)
-
-    def latest_start(self, w: Worker) -> float:
-        """Its last start as told, or one that it may have had and that counts as told by now."""
-        if self.list_current or w.possible_restart.latest <= self.list_age.listed_until(w.entry.worker):
-            return w.started
-        told = self.now >= w.possible_restart.earliest + self.settings.discovery_delay
-        return max(w.started, w.possible_restart.latest) if told else w.started
+        if not worker.ejected:
+            return not self.zone_unreachable(worker)
+        return not worker.unreachable and 2 * self.ejected_count > len(self.workers)
+
+    def zone_unreachable(self, worker: Worker) -> bool:
+        """Whether the worker's zone seems lost while another answers; saves an attempt at each worker there."""
+        ejections = self.ejections_by_zone.get(worker.entry.zone, 0)
+        return ejections >= UNREACHABLE_ZONE_EJECTIONS > min(self.ejections_by_zone.values())
+
+    def is_suspected(self, worker: Worker, function: Function) -> bool:
+        """Whether requests of the function's class recently failed or were overdue at the worker."""
+        class_index = function.class_index
+        return class_index in worker.suspected_classes and worker.suspected_classes[class_index][0] > self.now
+
+    def accepts_new_work(self, worker_id: int, function: Function) -> bool:
+        """Whether the worker is usable, not suspected for the class and not held off."""
+        if not self.is_usable(worker := self.workers[worker_id]):
+            return False
+        return not (self.is_suspected(worker, function) or worker.hold_off.is_active(self.now))
+
+    def warm_share(self, worker: Worker) -> float:
+        """Share of its full capacity that the worker can bear at its age."""
+        return warm_share_at(self.now - self.latest_start(worker), self.settings)
+
+    def latest_start(self, worker: Worker) -> float:
+        """The last listed start, or a later possible restart that discovery should have listed by now."""
+        restart = worker.possible_restart
+        if self.list_current or restart.latest <= self.list_age.listed_until(worker.entry.worker):
+            return worker.started
+        is_published = self.now >= restart.earliest + self.settings.discovery_delay
+        return max(worker.started, restart.latest) if is_published else worker.started
+
+    def has_room(self, worker: Worker, request: Request) -> bool:
+        """Whether another attempt stays within the worker's limit, and it is neither held off nor full."""
+        is_full = worker.full_until.get(request.event.tenant, NEVER) > self.now
+        blocked = worker.hold_off.is_active(self.now) or is_full
+        return len(worker.in_flight) < worker.load.attempt_limit and not blocked
+
+    def take_cold_budget(self, worker: Worker) -> bool:
+        """Whether the worker is warm, or its slow-start budget allows a request, which is then counted."""
+        warm_share = self.warm_share(worker)
+        if warm_share >= 1:
+            return True
+        calls_per_worker = self.recent_calls / self.peak_active_workers
+        return take_cold_token(worker.cold_budget, self.now, warm_share, calls_per_worker, self.settings)
 
-    def has_room(self, w: Worker, r: Request) -> bool:
-        shut = w.hold_off.is_active(self.now) or w.full_until.get(r.event.tenant, NEVER) > self.now
-        return len(w.in_flight) < w.load.attempt_limit and not shut
+    def estimated_latency_ratio(self, worker: Worker) -> float:
+        """The worker's latency ratio; without recent answers it approaches the mean of all workers."""
+        weight = exp2(-8 * (self.now - worker.last_heard) / self.settings.keep_alive)
+        return self.latency_ratio + (worker.load.latency_ratio - self.latency_ratio) * weight
 
-    def take_cold_budget(self, w: Worker) -> bool:
-        warmth = self.warm_share(w)
-        return warmth >= 1 or take_cold_token(
-            w.cold_budget, self.now, warmth, self.recent_calls / self.peak_active_workers, self.settings
-        )
+    def estimated_in_progress(self, worker: Worker) -> float:
+        """The worker's last reported load; without recent reports it approaches the mean of all workers."""
+        weight = exp2(-2 * (self.now - worker.reported_at) / self.settings.keep_alive)
+        return self.mean_in_progress + (worker.in_progress - self.mean_in_progress) * weight
 
-    def estimated_latency_ratio(
-        self, w: Worker
-    ) -> float:  # what is long unheard of is taken to be as the others
-        own = exp2(-8 * (self.now - w.last_heard) / self.settings.keep_alive)
-        return self.latency_ratio + (w.load.latency_ratio - self.latency_ratio) * own
-
-    def estimated_in_progress(
-        self, w: Worker
-    ) -> float:  # as last reported; what is long untold is as the others
-        return self.mean_in_progress + (w.in_progress - self.mean_in_progress) * exp2(
-            -2 * (self.now - w.reported_at) / self.settings.keep_alive
-        )
-
-    def is_overloaded(self, w: Worker) -> bool:
-        """Answers take long there, or it holds clearly more than others do: copies elsewhere serve better."""
+    def is_overloaded(self, worker: Worker) -> bool:
+        """Whether the worker answers slowly or has clearly more in progress than the mean."""
         return (
-            self.estimated_latency_ratio(w) >= OVERLOADED_RATIO
-            or self.estimated_in_progress(w) > 1.5 * self.mean_in_progress + 1
+            self.estimated_latency_ratio(worker) >= OVERLOADED_RATIO
+            or self.estimated_in_progress(worker) > 1.5 * self.mean_in_progress + 1
         )
 
-    def expected_duration(self, w: Worker) -> float:
-        return max(self.estimated_latency_ratio(w), OVERLOADED_RATIO / 4) * self.shortest_latency_target
-
-    def slowness(self, w: Worker, usual: float) -> float:
-        """Answers' time against the usual; fades while nothing is heard, grows with unanswered silence."""
-        faded = 1 + (w.slowness_factor - 1) * exp2(
-            -4 * max(0.0, self.now - w.last_heard) / self.settings.keep_alive
-        )
-        silence = self.now - max(w.last_heard, next(iter(w.in_flight.values()))) if w.in_flight else 0.0
-        return max(faded / sqrt(self.warm_share(w)), silence / usual)
-
-    def eject(self, w: Worker, dead: bool) -> None:
-        """Out until an ask is answered, each time for longer; a dead one will have started anew: cold."""
-        first, self.ejected_count, w.may_have_restarted = (
-            not w.backoff,
-            self.ejected_count + (not w.ejected),
-            dead or w.ejected,
-        )
-        self.ejections_by_zone[w.entry.zone] += not w.ejected
-        w.backoff = min(max(2 * w.backoff, self.settings.connect_timeout), self.settings.keep_alive)
-        w.ejected, w.query_pending, w.unreachable, least = (
-            True,
-            False,
-            dead,
-            max(1.0, MIN_LIMIT / self.settings.front_ends),
-        )
-        w.load.attempt_limit = (
-            least if dead else max(least, w.load.attempt_limit / 2)
-        )  # silence proves no overload
-        if dead:
-            self.start_cold(w, self.now)
-        pause = (
-            0.0 if first and not dead and self.settings.may_order else w.backoff * (0.5 + self.rng.random())
-        )
-        self.schedule(pause, self.query_ejected if self.settings.may_order else self.reinstate, w)
-
-    def on_connection_reset(self, w: Worker) -> None:
-        """A connection broke off: no proof of a restart, nor of load. Out only if nothing came since the
-        last break. Guards against storms of resets, which took workers out one after the other."""
-        again = (
-            self.now - w.last_disconnect > self.settings.connect_timeout
-        )  # what was open on the connection ends together
-        if again and w.last_heard < w.last_disconnect and not w.ejected:
-            self.eject(w, dead=False)
-        w.last_disconnect = self.now if again else w.last_disconnect
-        w.possible_restart = PossibleRestart(w.last_heard, self.now)
-
-    def query_ejected(self, w: Worker) -> None:
-        if w.ejected and not w.query_pending and not w.removal_scheduled:
-            w.query_pending, ask = w.active, i.OrderCopies(w.entry.worker, next(iter(self.functions)), 0)
-            self.emit(ask) if w.active else self.schedule(w.backoff, self.query_ejected, w)
+    def expected_duration(self, worker: Worker) -> float:
+        """Expected duration of an attempt at the worker."""
+        return max(self.estimated_latency_ratio(worker), OVERLOADED_RATIO / 4) * self.shortest_latency_target
+
+    def slowness(self, worker: Worker, expected: float) -> float:
+        """Relative duration of answers; decays without answers, grows while attempts are unanswered."""
+        age = max(0.0, self.now - worker.last_heard)
+        decayed = 1 + (worker.slowness_factor - 1) * exp2(-4 * age / self.settings.keep_alive)
+        silence = 0.0
+        if worker.in_flight:
+            silence = self.now - max(worker.last_heard, next(iter(worker.in_flight.values())))
+        return max(decayed / sqrt(self.warm_share(worker)), silence / expected)
+
+    def eject(self, worker: Worker, unreachable: bool) -> None:
+        """Takes the worker out of use until a query is answered, with exponential backoff between queries.
+
+        One that refused a connection counts as restarted, and so as cold.
+        """
+        first_ejection = not worker.backoff
+        self.ejected_count += not worker.ejected
+        worker.may_have_restarted = unreachable or worker.ejected
+        self.ejections_by_zone[worker.entry.zone] += not worker.ejected
+        worker.backoff = min(max(2 * worker.backoff, self.settings.connect_timeout), self.settings.keep_alive)
+        worker.ejected, worker.query_pending, worker.unreachable = True, False, unreachable
+        min_limit = max(1.0, MIN_LIMIT / self.settings.front_ends)
+        # halved only: an unanswered attempt does not prove overload
+        halved_limit = max(min_limit, worker.load.attempt_limit / 2)
+        worker.load.attempt_limit = min_limit if unreachable else halved_limit
+        if unreachable:
+            self.start_cold(worker, self.now)
+        queries_at_once = first_ejection and not unreachable and self.settings.may_order
+        delay = 0.0 if queries_at_once else worker.backoff * (0.5 + self.rng.random())
+        self.schedule(delay, self.query_ejected if self.settings.may_order else self.reinstate, worker)
+
+    def on_connection_reset(self, worker: Worker) -> None:
+        """Notes a broken connection, which proves neither a restart nor overload.
+
+        Ejects the worker only if it has not answered since the previous disconnect: otherwise a storm of
+        resets would eject one worker after the other.
+        """
+        # attempts that share a connection end together and count once
+        is_new_break = self.now - worker.last_disconnect > self.settings.connect_timeout
+        if is_new_break and worker.last_heard < worker.last_disconnect and not worker.ejected:
+            self.eject(worker, unreachable=False)
+        worker.last_disconnect = self.now if is_new_break else worker.last_disconnect
+        worker.possible_restart = PossibleRestart(worker.last_heard, self.now)
+
+    def query_ejected(self, worker: Worker) -> None:
+        """Queries an ejected worker by an order of 0 copies, once it is active."""
+        if worker.ejected and not worker.query_pending and not worker.removal_scheduled:
+            query = OrderCopies(worker.entry.worker, next(iter(self.functions)), 0)
+            worker.query_pending = worker.active
+            self.emit(query) if worker.active else self.schedule(worker.backoff, self.query_ejected, worker)
 
     def on_attempt_overdue(self, key: tuple[int, int]) -> None:
-        """Overdue: its class is doubted there until one is answered, a worker quiet since is asked."""
+        """Suspects the attempt's class at its worker; ejects the worker if it has not answered since."""
         if key not in self.attempts:
             return
-        w, f, sent = self.attempts[key]
-        if self.last_heard < sent:  # all are quiet: that proves nothing
-            self.all_silent_since = min(self.all_silent_since, sent)
-            return self.schedule(self.overdue_timeout(w, f) / 2, self.on_attempt_overdue, key)
-        self.suspect(w, f)
-        if w.last_served:
-            w.unanswered_classes.add(f.class_index)
-        if w.last_heard <= sent and not w.ejected:
-            self.eject(w, dead=False)  # what is out there stays until the ask, too, has no answer
+        worker, function, sent_at = self.attempts[key]
+        if self.last_heard < sent_at:  # no worker answered since: the fault may be local
+            self.all_silent_since = min(self.all_silent_since, sent_at)
+            return self.schedule(self.overdue_timeout(worker, function) / 2, self.on_attempt_overdue, key)
+        self.suspect(worker, function)
+        if worker.last_served:
+            worker.unanswered_classes.add(function.class_index)
+        if worker.last_heard <= sent_at and not worker.ejected:
+            self.eject(worker, unreachable=False)  # the attempt stays until the query fails too
             return self.schedule(self.settings.connect_timeout, self.on_attempt_overdue, key)
-        r = self.requests.get(key[0])
-        if (
-            r
-            and r.request_class.effect is Effect.SAFE
-            and r.attempt_count < r.max_attempts
-            and (w.ejected or self.is_class_hung(w, f, sent))
-        ):
+        request = self.requests.get(key[0])
+        if not request or request.request_class.effect is not Effect.SAFE:
+            return
+        may_retry = request.attempt_count < request.max_attempts
+        if may_retry and (worker.ejected or self.is_class_hung(worker, function, sent_at)):
             self.cancel_attempt(*key)
 
-    def is_class_hung(self, w: Worker, f: Function, sent: float) -> bool:
-        """It has served another class since, and none of this one: no lack of room, the class hangs."""
-        return w.last_served.get(f.class_index, NEVER) <= sent < max(w.last_served.values(), default=NEVER)
+    def is_class_hung(self, worker: Worker, function: Function, sent_at: float) -> bool:
+        """Whether the worker has since answered another class but not this one, which rules out overload."""
+        class_served = worker.last_served.get(function.class_index, NEVER)
+        return class_served <= sent_at < max(worker.last_served.values(), default=NEVER)
 
-    def is_on_trial(self, w: Worker, f: Function) -> bool:
-        """After silence one attempt of the class at a time, until an answer clears it."""
-        return f.class_index in w.unanswered_classes and any(
-            sent >= w.started and self.attempts[key][1].class_index == f.class_index
-            for key, sent in w.in_flight.items())  # fmt: skip
+    def is_on_trial(self, worker: Worker, function: Function) -> bool:
+        """Whether an unanswered class has an attempt in flight; it gets one at a time until an answer."""
+        return function.class_index in worker.unanswered_classes and any(
+            sent_at >= worker.started and self.attempts[key][1].class_index == function.class_index
+            for key, sent_at in worker.in_flight.items()
+        )
 
-    def suspect(self, w: Worker, f: Function) -> None:
-        until, pause = w.suspected_classes.get(f.class_index, (NEVER, self.settings.keep_alive / 8))
+    def suspect(self, worker: Worker, function: Function) -> None:
+        """Avoids the worker for the function's class, each time for twice as long."""
+        initial = (NEVER, self.settings.keep_alive / 8)
+        until, duration = worker.suspected_classes.get(function.class_index, initial)
         if until <= self.now:
-            pause = min(2 * pause, 2 * self.settings.keep_alive)
-            w.suspected_classes[f.class_index] = (self.now + pause * (0.5 + self.rng.random()), pause)
-
-    def overdue_timeout(self, w: Worker, f: Function) -> float:
-        load = (
-            0.0 if w.entry.worker in f.copies else 2 * f.load_time * self.load_time_factor
-        )  # it may wait for one
-        return max(4 * f.mean_duration, 2 * self.expected_duration(w)) + load
-
-    def reinstate(self, w: Worker) -> None:
-        if self.now - self.all_silent_since > self.settings.keep_alive:  # all may have started anew meanwhile
-            for v in self.workers.values():
-                self.start_cold(v, self.now)
+            duration = min(2 * duration, 2 * self.settings.keep_alive)
+            until = self.now + duration * (0.5 + self.rng.random())
+            worker.suspected_classes[function.class_index] = (until, duration)
+
+    def overdue_timeout(self, worker: Worker, function: Function) -> float:
+        """Time after which an unanswered attempt is overdue; without a known copy it may wait for a load."""
+        is_loaded = worker.entry.worker in function.copies
+        load_time = 0.0 if is_loaded else 2 * function.load_time * self.load_time_factor
+        return max(4 * function.mean_duration, 2 * self.expected_duration(worker)) + load_time
+
+    def reinstate(self, worker: Worker) -> None:
+        """Notes an answer of the worker and ends its ejection."""
+        if self.now - self.all_silent_since > self.settings.keep_alive:  # all may have restarted
+            for other in self.workers.values():
+                self.start_cold(other, self.now)
         self.all_silent_since = inf
-        w.last_heard = self.last_heard = self.now
-        w.hold_off.end()
-        self.ejections_by_zone[w.entry.zone] = 0
-        if w.ejected and w.may_have_restarted:  # it may have started at any moment until this answer
-            self.start_cold(w, self.now)
-        if w.ejected:
-            w.ejected, w.slowness_factor, w.unreachable, self.ejected_count = (
-                False,
-                1.0,
-                False,
-                self.ejected_count - 1,
-            )
+        worker.last_heard = self.last_heard = self.now
+        worker.hold_off.end()
+        self.ejections_by_zone[worker.entry.zone] = 0
+        if worker.ejected and worker.may_have_restarted:  # at any time until this answer
+            self.start_cold(worker, self.now)
+        if worker.ejected:
+            worker.ejected, worker.unreachable = False, False
+            worker.slowness_factor = 1.0
+            self.ejected_count -= 1
 
     # --- leases ---
 
-    def refuses_work(self, w: Worker) -> bool:
-        """Its lease has run out, and it said, or kept silent about it, that it takes no new work."""
-        return not self.list_current and self.list_age.refuses(
-            w.entry.worker, w.lease, self.now, self.settings
-        )
+    def refuses_work(self, worker: Worker) -> bool:
+        """Whether the worker's lease has expired and no probe can renew it now."""
+        if self.list_current:
+            return False
+        return self.list_age.refuses(worker.entry.worker, worker.lease, self.now, self.settings)
+
+    def lease_end(self, worker: Worker) -> float:
+        """Latest time at which writing new work to the worker may start."""
+        return self.list_age.expires_at(worker.entry.worker, worker.lease, self.settings)
 
-    def lease_end(self, w: Worker) -> float:
-        """When the last new work may begin to be written to it."""
-        return self.list_age.expires_at(w.entry.worker, w.lease, self.settings)
+    def ensure_lease(self, worker: Worker) -> bool:
+        """Whether the worker may get new work; if its lease has expired, it is probed.
 
-    def ensure_lease(self, w: Worker) -> bool:
-        """Whether new work may go there. Where its own answer has to tell, it is probed: on demand, so that
-        a fleet whose lists grow old in the same moment asks each worker no sooner than it needs it."""
-        if self.list_current or self.list_age.allows(w.entry.worker, w.lease, self.now, self.settings):
+        Probes are sent on demand, so that front ends whose lists age at the same time do not probe all
+        workers at once.
+        """
+        if self.list_current:
+            return True
+        if self.list_age.allows(worker.entry.worker, worker.lease, self.now, self.settings):
             return True
-        if self.settings.may_probe and not w.lease.probe_pending and w.lease.probe_at <= self.now:
-            w.lease.probe_pending = True
-            self.emit(i.Probe(w.entry.worker))
+        if self.settings.may_probe and not worker.lease.probe_pending and worker.lease.probe_at <= self.now:
+            worker.lease.probe_pending = True
+            self.emit(Probe(worker.entry.worker))
         return False
 
-    def on_probe_ended(self, e: i.ProbeEnded) -> None:
-        if not (w := self.workers.get(e.worker)):
+    def on_probe_ended(self, event: ProbeEnded) -> None:
+        """Renews or denies the worker's lease by the outcome of a probe."""
+        if not (worker := self.workers.get(event.worker)):
             return
-        w.lease.probe_pending = False
-        if e.outcome is Outcome.NOT_SENT:
-            w.hold_off.extend(self.now, self.settings.connect_timeout)
-        elif e.outcome is Outcome.OK:
-            w.lease.renew(self.now - e.duration)
+        worker.lease.probe_pending = False
+        if event.outcome is Outcome.NOT_SENT:
+            worker.hold_off.extend(self.now, self.settings.connect_timeout)
+        elif event.outcome is Outcome.OK:
+            worker.lease.renew(self.now - event.duration)
         else:
-            w.lease.deny(self.now, self.settings.connect_timeout * (0.5 + self.rng.random()))
-        if e.outcome in (Outcome.OK, Outcome.ERROR):
-            self.reinstate(w)
-        elif e.outcome is Outcome.NO_CONNECTION and not w.ejected:
-            self.eject(w, dead=True)
-        elif e.outcome is Outcome.RESET:
-            self.on_connection_reset(w)
-        self.functions_to_dispatch |= {f.name: f for f in self.functions.values() if f.waiting}
-
-    def cancel_attempt(self, rid: int, attempt: int) -> None:
+            worker.lease.deny(self.now, self.settings.connect_timeout * (0.5 + self.rng.random()))
+        if event.outcome in (Outcome.OK, Outcome.ERROR):
+            self.reinstate(worker)
+        elif event.outcome is Outcome.NO_CONNECTION and not worker.ejected:
+            self.eject(worker, unreachable=True)
+        elif event.outcome is Outcome.RESET:
+            self.on_connection_reset(worker)
+        self.functions_to_dispatch |= {
+            function.name: function for function in self.functions.values() if function.waiting
+        }
+
+    def cancel_attempt(self, request_id: int, attempt: int) -> None:
+        """Cancels an attempt where the settings allow it."""
         if self.settings.may_cancel:
-            self.emit(i.CancelAttempt(rid, attempt))
+            self.emit(CancelAttempt(request_id, attempt))
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -14,13 +14,24 @@
 
 import pytest
 
-from harrieryoke import interface as i
+from harrieryoke.interface import (
+    AttemptEnded,
+    ListScope,
+    OrderCopies,
+    OrderEnded,
+    Outcome,
+    RequestArrived,
+    TimerFired,
+    WorkerEntry,
+    WorkersListed,
+    WorkerStatus,
+)
 from harrieryoke.router import Router
 
 from .rig import workers
 from .test_many import LANES, LOAD_MS, RULES, Mesh
 
-O = i.Outcome  # noqa: E741
+O = Outcome  # noqa: E741
 HOSTS, ZONES, FUNCTIONS = 6, 3, 61
 CALLS_A_SECOND = 240.0
 USUAL = CALLS_A_SECOND / HOSTS * RULES.overload_time / 1000  # calls that a warm host gets in a window
@@ -53,7 +64,7 @@
     def fresh(self, n: int) -> Router:
         """A front end that has just started and has read the list."""
         router = Router(replace(RULES, front_ends=len(self.weights)), self.draw.randrange(1 << 30))
-        router.handle(self.now, [i.WorkersListed(i.ListScope.REMEMBERED, tuple(self.entries.values()))])
+        router.handle(self.now, [WorkersListed(ListScope.REMEMBERED, tuple(self.entries.values()))])
         return router
 
     def restart_front_ends(self, share: float) -> None:
@@ -82,12 +93,12 @@
             self.next_round += ROUND
             for n, router in enumerate(self.routers):
                 if router.scheduled and router.scheduled[0][0] <= self.now:
-                    self.give(n, i.TimerFired("agenda"))
+                    self.give(n, TimerFired("agenda"))
 
     def ask(self, n: int, function: str) -> None:
         self.serial += 1
         due = self.now + 2000
-        self.give(n, i.RequestArrived(self.serial, 0, function, due, None, None, 400, LANES, LOAD_MS))
+        self.give(n, RequestArrived(self.serial, 0, function, due, None, None, 400, LANES, LOAD_MS))
 
     def answer_call(self, n: int, request: int, worker: int) -> None:
         r = self.routers[n].requests[request]
@@ -99,17 +110,17 @@
             super().answer_call(n, request, worker)
 
     def end_call(
-        self, n: int, e: i.RequestArrived, worker: int, attempt: int, outcome: i.Outcome, after: float
+        self, n: int, e: RequestArrived, worker: int, attempt: int, outcome: Outcome, after: float
     ) -> None:
-        done = i.AttemptEnded(e.request, worker, attempt, outcome, after, outcome is O.TIMEOUT)
+        done = AttemptEnded(e.request, worker, attempt, outcome, after, outcome is O.TIMEOUT)
         self.open.append((self.now + after, n, done))
 
-    def answer_order(self, n: int, a: i.OrderCopies) -> None:
+    def answer_order(self, n: int, a: OrderCopies) -> None:
         if a.worker not in self.refusing | self.dumb:
             return super().answer_order(n, a)
         outcome = O.NO_CONNECTION if a.worker in self.refusing else O.TIMEOUT
         after = 1.0 if a.worker in self.refusing else RULES.connect_timeout
-        ended = i.OrderEnded(a.worker, a.function, outcome, 0, after)
+        ended = OrderEnded(a.worker, a.function, outcome, 0, after)
         self.open.append((self.now + after, n, ended))  # type: ignore[arg-type]
 
     def lose(self, hosts: list[int], refuse: bool) -> None:
@@ -117,13 +128,13 @@
         (self.refusing if refuse else self.dumb).update(hosts)
         self.break_off(hosts, O.RESET if refuse else None)
 
-    def break_off(self, hosts: list[int], outcome: i.Outcome | None) -> None:
+    def break_off(self, hosts: list[int], outcome: Outcome | None) -> None:
         kept = []
         for at, n, e in self.open:
             if e.worker not in hosts:
                 kept.append((at, n, e))
             elif outcome:
-                if isinstance(e, i.AttemptEnded):
+                if isinstance(e, AttemptEnded):
                     ended = replace(e, outcome=outcome, finished=False)
                 else:
                     ended = replace(e, outcome=outcome, copies=0)
@@ -142,13 +153,13 @@
 
     def tell_starts(self, hosts: list[int]) -> None:
         for n in hosts:
-            entry = i.WorkerEntry(n, zone=n % ZONES, cell=n // 2, started=self.starts[n])
+            entry = WorkerEntry(n, zone=n % ZONES, cell=n // 2, started=self.starts[n])
             self.entries[n] = entry
-        self.tell(i.WorkersListed(i.ListScope.CHANGES, tuple(self.entries[n] for n in hosts)))
+        self.tell(WorkersListed(ListScope.CHANGES, tuple(self.entries[n] for n in hosts)))
 
     def drain(self, hosts: list[int]) -> None:
-        left = tuple(replace(self.entries.pop(n), status=i.WorkerStatus.DRAINING) for n in hosts)
-        self.tell(i.WorkersListed(i.ListScope.CHANGES, left))
+        left = tuple(replace(self.entries.pop(n), status=WorkerStatus.DRAINING) for n in hosts)
+        self.tell(WorkersListed(ListScope.CHANGES, left))
         self.closed.update(hosts)
 
     def cold_sends(self, host: int) -> list[float]:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -280,7 +280,7 @@
     for w in lost[:3]:
         assert router.is_usable(lost[3])
         router.now, router.actions = fleet.now, []
-        router.eject(w, dead=True)
+        router.eject(w, unreachable=True)
     return fleet, router
 
 
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -6,14 +6,29 @@
 
 import pytest
 
-from harrieryoke import interface as i
+from harrieryoke.interface import (
+    Action,
+    AttemptEnded,
+    CopyLookup,
+    Event,
+    ListScope,
+    OrderCopies,
+    OrderEnded,
+    Outcome,
+    RequestArrived,
+    StartAttempt,
+    TimerFired,
+    WorkerEntry,
+    WorkersListed,
+    WorkerStatus,
+)
 from harrieryoke.router import Router
 from harrieryoke.state import Function, digest
 
 from .rig import SETTINGS, workers
 from .test_fleet import ANSWER_MS, Fleet
 
-O = i.Outcome  # noqa: E741
+O = Outcome  # noqa: E741
 LOAD_MS = 400.0
 LANES = 4
 RULES = replace(
@@ -40,24 +55,24 @@
         self.loads = 0
         super().__init__(front_ends, count)
         self.routers = [Router(replace(RULES, front_ends=front_ends), seed) for seed in range(front_ends)]
-        self.tell(i.WorkersListed(i.ListScope.REMEMBERED, workers(count)))
+        self.tell(WorkersListed(ListScope.REMEMBERED, workers(count)))
 
-    def give(self, n: int, *events: i.Event) -> None:
+    def give(self, n: int, *events: Event) -> None:
         for e in events:
-            if isinstance(e, i.RequestArrived):
+            if isinstance(e, RequestArrived):
                 self.names[e.request] = e.function
                 self.taken[n].append(self.now)
         for a in self.routers[n].handle(self.now, list(events)):
-            if isinstance(a, i.StartAttempt):
+            if isinstance(a, StartAttempt):
                 assert a.worker not in self.closed, "sent to a host that drains"
                 self.sends.append((self.now, n, a.worker))
                 self.answer_call(n, a.request, a.worker)
-            elif isinstance(a, i.OrderCopies):
+            elif isinstance(a, OrderCopies):
                 self.answer_order(n, a)
             else:
                 self.answer(n, a)
 
-    def answer(self, n: int, action: i.Action) -> None:
+    def answer(self, n: int, action: Action) -> None:
         """Anything else; these hosts are not probed."""
 
     def answer_call(self, n: int, request: int, worker: int) -> None:
@@ -67,15 +82,15 @@
         number = router.requests[request].attempt_count - 1
         stands = self.copies.get((worker, self.names[request]))
         if stands is None:
-            done = i.AttemptEnded(request, worker, number, O.MISS, 1.0, False)
+            done = AttemptEnded(request, worker, number, O.MISS, 1.0, False)
             self.open.append((self.now + 1.0, n, done))
         else:
             end = max(stands, self.now) + ANSWER_MS
-            found = i.CopyLookup.LOADED if stands <= self.now else i.CopyLookup.WAITED_FOR_LOAD
-            done = i.AttemptEnded(request, worker, number, O.OK, end - self.now, True, found)
+            found = CopyLookup.LOADED if stands <= self.now else CopyLookup.WAITED_FOR_LOAD
+            done = AttemptEnded(request, worker, number, O.OK, end - self.now, True, found)
             self.open.append((end, n, done))
 
-    def answer_order(self, n: int, a: i.OrderCopies) -> None:
+    def answer_order(self, n: int, a: OrderCopies) -> None:
         assert a.worker not in self.closed or not a.copies, "ordered at a host that drains"
         if a.copies:
             self.orders.append((self.now, n, a.worker))
@@ -89,7 +104,7 @@
             self.loads += 1
             self.copies[a.worker, a.function] = self.now + LOAD_MS
         stands = self.copies.get((a.worker, a.function), self.now)
-        done = i.OrderEnded(a.worker, a.function, O.OK, int(bool(a.copies)), max(2.0, stands - self.now))
+        done = OrderEnded(a.worker, a.function, O.OK, int(bool(a.copies)), max(2.0, stands - self.now))
         self.open.append((max(stands, self.now + 2.0), n, done))  # type: ignore[arg-type]
 
     def step(self, ms: float) -> None:
@@ -100,7 +115,7 @@
             self.deliver()
             for n, router in enumerate(self.routers):
                 if router.scheduled and router.scheduled[0][0] <= self.now:
-                    self.give(n, i.TimerFired("agenda"))
+                    self.give(n, TimerFired("agenda"))
 
     def play(self, ms: float, calls_a_second: float, functions: int) -> None:
         until = self.now + ms
@@ -108,7 +123,7 @@
             self.step(1000 / calls_a_second)
             self.serial += 1
             n, name = self.serial * 7 % len(self.routers), f"f{self.serial * 5 % functions}"
-            ask = i.RequestArrived(self.serial, 0, name, self.now + 2000, None, None, 400, LANES, LOAD_MS)
+            ask = RequestArrived(self.serial, 0, name, self.now + 2000, None, None, 400, LANES, LOAD_MS)
             self.give(n, ask)
 
 
@@ -139,7 +154,7 @@
     mesh = Mesh(front_ends, 6)
     mesh.play(3000, 100, 12)
     leaving = mesh.sends[-1][2]
-    mesh.tell(i.WorkersListed(i.ListScope.CHANGES, (i.WorkerEntry(leaving, status=i.WorkerStatus.DRAINING),)))
+    mesh.tell(WorkersListed(ListScope.CHANGES, (WorkerEntry(leaving, status=WorkerStatus.DRAINING),)))
     mesh.closed.add(leaving)  # `give` holds each send and order against it
     before = len(mesh.sends)
     mesh.play(2000, 100, 12)
@@ -152,9 +167,9 @@
     new ones held one or none."""
     mesh = Mesh(front_ends, 10)
     mesh.play(4000, 100, 61)
-    left = tuple(i.WorkerEntry(n, status=i.WorkerStatus.DRAINING) for n in range(1, 7))
-    new = tuple(i.WorkerEntry(n, started=mesh.now) for n in range(11, 17))
-    mesh.tell(i.WorkersListed(i.ListScope.CHANGES, left + new))
+    left = tuple(WorkerEntry(n, status=WorkerStatus.DRAINING) for n in range(1, 7))
+    new = tuple(WorkerEntry(n, started=mesh.now) for n in range(11, 17))
+    mesh.tell(WorkersListed(ListScope.CHANGES, left + new))
     mesh.closed.update(range(1, 7))
     started = mesh.now
     mesh.play(RULES.cold_period, 100, 61)
@@ -166,8 +181,8 @@
 def test_a_worker_leads_the_order_of_as_many_functions_as_its_warmth_bears(share: float) -> None:
     mesh = Mesh(2, 5)
     grown = (share - RULES.cold_share) / (1 - RULES.cold_share)
-    entry = i.WorkerEntry(5, started=mesh.now - grown * RULES.cold_period)
-    mesh.tell(i.WorkersListed(i.ListScope.CHANGES, (entry,)))
+    entry = WorkerEntry(5, started=mesh.now - grown * RULES.cold_period)
+    mesh.tell(WorkersListed(ListScope.CHANGES, (entry,)))
     heads = []
     for router in mesh.routers:
         router.now = mesh.now
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -6,12 +6,31 @@
 
 import pytest
 
-from harrieryoke import interface as i
+from harrieryoke.interface import (
+    AttemptEnded,
+    CancelAttempt,
+    Fail,
+    ListScope,
+    OrderCopies,
+    OrderEnded,
+    Outcome,
+    PeerMessage,
+    ProbeEnded,
+    Refuse,
+    RequestArrived,
+    RequestDropped,
+    StartAttempt,
+    Tenant,
+    TimerFired,
+    WorkerEntry,
+    WorkersListed,
+    WorkerStatus,
+)
 from harrieryoke.state import Copy, Function
 
 from .rig import PROOF, SETTINGS, Rig, loads, sends, workers
 
-O = i.Outcome  # noqa: E741
+O = Outcome  # noqa: E741
 
 
 def covered(rig: Rig, function: str = "f") -> int:
@@ -107,20 +126,20 @@
 def test_late_duplicate_and_unknown_events_are_harmless() -> None:
     rig = Rig()
     head = covered(rig)
-    rig.give(i.AttemptEnded(1, head, 1, O.OK, 5, True), i.RequestDropped(1), i.RequestDropped(99))
-    rig.give(i.AttemptEnded(77, 3, 0, O.OK, 5, True), i.OrderEnded(99, "f", O.OK, 1, 5))
-    rig.give(i.ProbeEnded(99, O.OK, 1))
-    rig.give(i.OrderEnded(head, "never heard of", O.OK, 1, 5), i.TimerFired("unknown"), i.PeerMessage(1, b""))
+    rig.give(AttemptEnded(1, head, 1, O.OK, 5, True), RequestDropped(1), RequestDropped(99))
+    rig.give(AttemptEnded(77, 3, 0, O.OK, 5, True), OrderEnded(99, "f", O.OK, 1, 5))
+    rig.give(ProbeEnded(99, O.OK, 1))
+    rig.give(OrderEnded(head, "never heard of", O.OK, 1, 5), TimerFired("unknown"), PeerMessage(1, b""))
     assert sends(rig.ask(2)) == [(2, head)]
 
 
 def test_no_workers_or_only_draining_ones_refuses_in_time() -> None:
-    for changes in ({}, {"status": i.WorkerStatus.DRAINING}):
+    for changes in ({}, {"status": WorkerStatus.DRAINING}):
         rig = Rig(count=0)
         if changes:
-            rig.give(i.WorkersListed(i.ListScope.WHOLE, workers(3, **changes)))
+            rig.give(WorkersListed(ListScope.WHOLE, workers(3, **changes)))
         rig.ask(1, 2)
-        assert i.Refuse(1) in rig.wait(2100)
+        assert Refuse(1) in rig.wait(2100)
 
 
 def test_what_waits_for_nothing_is_refused_at_half_its_time_with_advice() -> None:
@@ -129,7 +148,7 @@
     rig.ask(1)
     rig.wait(850)
     assert 1 not in rig.ended
-    assert i.Refuse(1, 500.0) in rig.wait(100)
+    assert Refuse(1, 500.0) in rig.wait(100)
 
 
 def test_what_waits_for_a_load_under_way_goes_on_waiting() -> None:
@@ -144,7 +163,7 @@
 def test_a_draining_worker_gets_nothing_and_what_is_held_moves_on() -> None:
     rig = Rig()
     head = covered(rig)
-    rig.give(i.WorkersListed(i.ListScope.CHANGES, (i.WorkerEntry(head, status=i.WorkerStatus.DRAINING),)))
+    rig.give(WorkersListed(ListScope.CHANGES, (WorkerEntry(head, status=WorkerStatus.DRAINING),)))
     rig.wait(9000)
     ((other, _),) = loads(rig.ask(2))
     assert other != head and sends(rig.loaded(other)) == [(2, other)]
@@ -153,7 +172,7 @@
 def test_a_new_start_time_voids_the_copies_and_makes_the_worker_cold() -> None:
     rig = Rig(count=1)
     covered(rig)
-    rig.give(i.WorkersListed(i.ListScope.CHANGES, (i.WorkerEntry(1, started=rig.now),)))
+    rig.give(WorkersListed(ListScope.CHANGES, (WorkerEntry(1, started=rig.now),)))
     assert not rig.router.functions["f"].copies
     rig.wait(1100)  # the attempt before the restart leaves the window
     sent = [s for n in range(20, 40) for s in sends(rig.ask(n))]
@@ -175,7 +194,7 @@
             if rig.attempts[rid][-1][0] == second and (rid, len(rig.attempts[rid]) - 1) not in rig.outcomes:
                 rig.settle(rid)
         for a in rig.wait(50):
-            if isinstance(a, i.CancelAttempt):
+            if isinstance(a, CancelAttempt):
                 rig.settle(a.request, O.CANCELLED)
     assert rig.router.workers[head].ejected
     assert set(range(10, 16)) <= rig.ended
@@ -198,20 +217,20 @@
     rig = Rig(replace(SETTINGS, order_limit_window=10000, order_limit_floor=1, order_limit_share=0.0))
     rig.ask(1, 2)
     with pytest.raises(AssertionError, match="two attempts"):
-        rig.check(i.StartAttempt(1, 2))
+        rig.check(StartAttempt(1, 2))
     rig.outcomes[1, 0] = O.RESET
     with pytest.raises(AssertionError, match="effect twice"):
-        rig.check(i.StartAttempt(1, 2))
+        rig.check(StartAttempt(1, 2))
     with pytest.raises(AssertionError, match="may have run"):
-        rig.check(i.Refuse(1))
+        rig.check(Refuse(1))
     with pytest.raises(AssertionError, match="two final"):
-        rig.check(i.Fail(1))
+        rig.check(Fail(1))
     rig.closed[3] = rig.now
     with pytest.raises(AssertionError, match="draining"):
-        rig.check(i.OrderCopies(3, "f", 1))
-    rig.check(i.OrderCopies(2, "f", 1))
+        rig.check(OrderCopies(3, "f", 1))
+    rig.check(OrderCopies(2, "f", 1))
     with pytest.raises(AssertionError, match="rationed"):
-        rig.check(i.OrderCopies(2, "f", 1))
+        rig.check(OrderCopies(2, "f", 1))
 
 
 @pytest.mark.parametrize(("field", "value"), [("classes", ()), ("front_ends", 0), ("tick", 0)])
@@ -222,9 +241,9 @@
 
 def test_full_for_one_tenant_does_not_close_the_worker_to_others() -> None:
     """Seen in i3bd580: workers turned one tenant's calls away and served the other's all the while."""
-    rig = Rig(replace(SETTINGS, tenants=(i.Tenant("a"), i.Tenant("b"))), count=1)
+    rig = Rig(replace(SETTINGS, tenants=(Tenant("a"), Tenant("b"))), count=1)
     covered(rig)
-    ask = i.RequestArrived(2, 0, "f", rig.now + 2000, 0, slots=4)
+    ask = RequestArrived(2, 0, "f", rig.now + 2000, 0, slots=4)
     assert sends(rig.give(ask)) == [(2, 1)]
     assert sends(rig.settle(2, O.FULL, 2)) == []
     assert sends(rig.give(replace(ask, request=3))) == []
@@ -261,15 +280,15 @@
     for n in range(2, 30):
         rig.ask(n, function=f"once-{n}")
         rig.settle(n, O.RESET)
-        rig.give(i.WorkersListed(i.ListScope.CHANGES, workers(n)[-1:]))
-        gone = workers(n - 1, status=i.WorkerStatus.GONE)[-1:]
-        rig.give(i.WorkersListed(i.ListScope.CHANGES, gone))
+        rig.give(WorkersListed(ListScope.CHANGES, workers(n)[-1:]))
+        gone = workers(n - 1, status=WorkerStatus.GONE)[-1:]
+        rig.give(WorkersListed(ListScope.CHANGES, gone))
         for k in range(18):  # others go on: a stall of everything would not read as disuse
             rig.ask(1000 * n + k)
             rig.wait(500)
     router = rig.router
     assert len(router.workers) <= 2 and len(router.functions) < 15 and router.ejected_count <= 1
-    rig.give(i.WorkersListed(i.ListScope.WHOLE, workers(1)))
+    rig.give(WorkersListed(ListScope.WHOLE, workers(1)))
     rig.wait(20000)
     assert set(router.workers) == {1}
 
@@ -320,8 +339,8 @@
     rig.settle(20, O.RESET)
     assert worker.ejected
     rig.wait(10)
-    rig.give(i.OrderEnded(1, "f", O.RESET, 0, 5))  # the ask is lost too: it is asked again, not left out
-    assert [a for a in rig.wait(2000) if isinstance(a, i.OrderCopies) and a.copies == 0]
+    rig.give(OrderEnded(1, "f", O.RESET, 0, 5))  # the ask is lost too: it is asked again, not left out
+    assert [a for a in rig.wait(2000) if isinstance(a, OrderCopies) and a.copies == 0]
 
 
 def test_one_class_that_hangs_at_a_worker_moves_on_and_does_not_cut_its_limit() -> None:
@@ -342,7 +361,7 @@
         rig.wait(25)
         for m in [m for m in range(2, 50) if m in rig.open_attempts() and m not in hung]:
             rig.settle(m)
-    cancelled = {a.request for _, a in rig.log[seen:] if isinstance(a, i.CancelAttempt)}
+    cancelled = {a.request for _, a in rig.log[seen:] if isinstance(a, CancelAttempt)}
     assert len(hung) > 1 and cancelled >= set(hung) and worker.load.attempt_limit >= before
     for n in hung:
         rig.settle(n, O.CANCELLED, 700)
@@ -360,7 +379,7 @@
     rig.ask(1)
     rig.settle(1, O.NO_CONNECTION, 5)
     rig.wait(1500)
-    assert not any(isinstance(a, i.OrderCopies) for _, a in rig.log)
+    assert not any(isinstance(a, OrderCopies) for _, a in rig.log)
     assert rig.router.is_usable(rig.router.workers[1])
 
 
@@ -372,7 +391,7 @@
     )
     for n in range(200):
         rig.ask(1000 + n, function="taken-back")
-        rig.give(i.RequestDropped(1000 + n))
+        rig.give(RequestDropped(1000 + n))
     for n in range(60):  # the rig holds each order against the ration of the calls that stayed
         rig.ask(n, function=f"f{n}")
         if n in rig.attempts and n not in rig.ended:
@@ -387,13 +406,13 @@
     rig = Rig()
     first = covered(rig)
     other = next(n for n in range(1, 5) if n != first)
-    rig.give(i.WorkersListed(i.ListScope.CHANGES, (i.WorkerEntry(first, cell=first // 2, started=rig.now),)))
+    rig.give(WorkersListed(ListScope.CHANGES, (WorkerEntry(first, cell=first // 2, started=rig.now),)))
     for n in (first, other):
         rig.router.record_copy(rig.router.functions["f"], n)
     slower = rig.router.workers[other]  # not the first choice
     slower.slowness_factor, slower.last_heard = 8.0, rig.now
     rig.router.workers[first].cold_budget.tokens = 1.0
-    asked = [i.RequestArrived(n, 0, "f", rig.now + 2000, slots=4) for n in range(50, 55)]
+    asked = [RequestArrived(n, 0, "f", rig.now + 2000, slots=4) for n in range(50, 55)]
     went = [worker for e in asked for _, worker in sends(rig.give(e))]
     assert len(went) == 5 and first in went and went.count(other) >= 2
 
@@ -405,9 +424,9 @@
     rig.settle(2, O.NO_CONNECTION, 5)
     assert rig.router.workers[head].ejected
     for _ in range(3):
-        asked = [a for a in rig.wait(SETTINGS.keep_alive) if isinstance(a, i.OrderCopies) and not a.copies]
+        asked = [a for a in rig.wait(SETTINGS.keep_alive) if isinstance(a, OrderCopies) and not a.copies]
         assert len(asked) == 1 and asked[0].worker == head
-        rig.give(i.OrderEnded(head, "f", O.NOT_SENT, 0, 5))
+        rig.give(OrderEnded(head, "f", O.NOT_SENT, 0, 5))
         assert rig.router.workers[head].ejected and rig.router.workers[head].last_heard < rig.now
 
 
@@ -449,7 +468,7 @@
     for n in range(10, 10 + last):
         rig.ask(n)
         rig.wait(500)
-    rig.give(i.WorkersListed(i.ListScope.CHANGES, workers(1)))  # a list tells of nobody's life
+    rig.give(WorkersListed(ListScope.CHANGES, workers(1)))  # a list tells of nobody's life
     open_ = rig.open_attempts()
     assert open_ and all(w.last_heard < rig.now - silent_ms for w in rig.router.workers.values())
     rig.settle(open_[-1])
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from harrieryoke import interface as i
 from harrieryoke.checks import ConfigError
 from harrieryoke.config import Config, read_config
+from harrieryoke.interface import Effect
 from harrieryoke.limits import Limits
 from harrieryoke.reload import merge
 
@@ -126,7 +126,7 @@
     for c, r in zip(told["class"], got.classes, strict=True):
         wanted = (c["name"], c["aim_ms"], c["deadline_ms"], c["worth"], c["late_worth"], c["effect"])
         assert (r.name, r.latency_target, r.deadline, r.worth, r.late_worth, r.effect.value) == wanted
-        if r.effect is i.Effect.KEYED:
+        if r.effect is Effect.KEYED:
             assert (r.deduplication_scope.value, r.repeat_window) == (c["group"], c["window_ms"])
     assert [t.name for t in got.tenants] == [t["name"] for t in told["tenant"]]
     assert list(got.zones) == told["net"]["zones"]
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from harrieryoke import interface as i
 from harrieryoke import wirehost
+from harrieryoke.interface import Action, AttemptEnded, CopyLookup, LoadReport
 from harrieryoke.router import Router
 
 INFO = json.dumps(
@@ -59,16 +59,16 @@
 
 def test_reports_and_notes_are_read_by_name() -> None:
     e = wirehost.READERS["SETTLED"]("5 1 Ok 18.5 25 11 0 7,-,1".split(" "), ("concurrent", "x0", "unheard"))
-    assert isinstance(e, i.AttemptEnded)
+    assert isinstance(e, AttemptEnded)
     assert (
-        e.copy_lookup is i.CopyLookup.LOADED
+        e.copy_lookup is CopyLookup.LOADED
         and e.concurrent_requests == 3
-        and e.report == i.LoadReport(in_progress=7.0)
+        and e.report == LoadReport(in_progress=7.0)
     )
 
 
 def test_an_exception_in_a_router_is_told_on_the_wire(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(*_: object) -> list[i.Action]:
+    def broken(*_: object) -> list[Action]:
         raise RuntimeError("out of\nluck")
 
     monkeypatch.setattr(Router, "handle", broken)
--- a/tests/test_work_lease.py
+++ b/tests/test_work_lease.py
@@ -10,14 +10,30 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from harrieryoke import interface as i
+from harrieryoke.interface import (
+    Action,
+    AttemptEnded,
+    Event,
+    ListConfirmed,
+    ListScope,
+    OrderCopies,
+    OrderEnded,
+    Outcome,
+    Probe,
+    ProbeEnded,
+    Settings,
+    StartAttempt,
+    WorkerEntry,
+    WorkersListed,
+    WorkerStatus,
+)
 from harrieryoke.router import Router
 from harrieryoke.work_lease import ListAge, WorkLease
 
 from .rig import SETTINGS, Rig, loads, sends, workers
 from .test_many import RULES, Mesh
 
-O = i.Outcome  # noqa: E741
+O = Outcome  # noqa: E741
 PROBING = replace(RULES, may_probe=True)
 TOLD_WITHIN = PROBING.discovery_delay
 HEARTBEAT = 1000.0
@@ -27,35 +43,35 @@
 class OutageMesh(Mesh):
     """Discovery confirms the list each second while it is in reach. Hosts that drain turn new work away."""
 
-    def __init__(self, front_ends: int, settings: i.Settings = PROBING, heartbeats: bool = True) -> None:
+    def __init__(self, front_ends: int, settings: Settings = PROBING, heartbeats: bool = True) -> None:
         self.in_reach, self.heartbeat_at = heartbeats, 0.0
         self.draining: dict[int, float] = {}  # host -> since when
         self.probes: list[tuple[float, int, int]] = []  # when, front end, worker
-        self.ends: dict[int, i.Outcome] = {}  # call -> how its last attempt ended
+        self.ends: dict[int, Outcome] = {}  # call -> how its last attempt ended
         self.late: list[tuple[float, int, int]] = []  # sends and orders after a drain counts as told
         super().__init__(front_ends, HOSTS)
         self.routers = [Router(replace(settings, front_ends=front_ends), seed) for seed in range(front_ends)]
-        self.tell(i.WorkersListed(i.ListScope.REMEMBERED, workers(HOSTS)))
+        self.tell(WorkersListed(ListScope.REMEMBERED, workers(HOSTS)))
 
     def deliver(self) -> None:
         if self.in_reach and self.now >= self.heartbeat_at:
             self.heartbeat_at = self.now + HEARTBEAT
-            self.tell(i.ListConfirmed(self.now))
+            self.tell(ListConfirmed(self.now))
         super().deliver()
 
-    def give(self, n: int, *events: i.Event) -> None:
-        self.ends |= {e.request: e.outcome for e in events if isinstance(e, i.AttemptEnded)}
+    def give(self, n: int, *events: Event) -> None:
+        self.ends |= {e.request: e.outcome for e in events if isinstance(e, AttemptEnded)}
         super().give(n, *events)
 
-    def answer(self, n: int, action: i.Action) -> None:
-        if not isinstance(action, i.Probe):
+    def answer(self, n: int, action: Action) -> None:
+        if not isinstance(action, Probe):
             return
         self.probes.append((self.now, n, action.worker))
         if action.worker not in self.dumb:
             outcome, after = O.ERROR if action.worker in self.draining else O.OK, 2.0
         else:
             outcome, after = O.TIMEOUT, PROBING.connect_timeout
-        ended = i.ProbeEnded(action.worker, outcome, after)
+        ended = ProbeEnded(action.worker, outcome, after)
         self.open.append((self.now + after, n, ended))  # type: ignore[arg-type]
 
     def note_new_work(self, n: int, worker: int) -> None:
@@ -67,15 +83,15 @@
         if worker not in self.draining:
             return super().answer_call(n, request, worker)
         number = self.routers[n].requests[request].attempt_count - 1
-        self.open.append((self.now + 1.0, n, i.AttemptEnded(request, worker, number, O.FULL, 1.0, False)))
+        self.open.append((self.now + 1.0, n, AttemptEnded(request, worker, number, O.FULL, 1.0, False)))
 
-    def answer_order(self, n: int, a: i.OrderCopies) -> None:
+    def answer_order(self, n: int, a: OrderCopies) -> None:
         stands = (a.worker, a.function) in self.copies
         if a.copies:
             self.note_new_work(n, a.worker)
         if a.worker not in self.draining or not a.copies or stands:
             return super().answer_order(n, a)
-        full = i.OrderEnded(a.worker, a.function, O.FULL, 0, 1.0)
+        full = OrderEnded(a.worker, a.function, O.FULL, 0, 1.0)
         self.open.append((self.now + 1.0, n, full))  # type: ignore[arg-type]
 
     def served(self, since: int) -> float:
@@ -114,7 +130,7 @@
     lose_discovery(mesh, (3,))
     mesh.play(3000, 100, 12)
     mesh.in_reach, mesh.closed = True, {3}
-    mesh.tell(i.WorkersListed(i.ListScope.CHANGES, (i.WorkerEntry(3, status=i.WorkerStatus.DRAINING),)))
+    mesh.tell(WorkersListed(ListScope.CHANGES, (WorkerEntry(3, status=WorkerStatus.DRAINING),)))
     mesh.play(100, 100, 12)
     asked, before = len(mesh.probes), mesh.serial
     mesh.play(10_000, 100, 12)
@@ -130,10 +146,10 @@
     assert with_age.probes == without.probes == []
 
 
-def quiet_outage(settings: i.Settings = PROBING, count: int = 4) -> tuple[Rig, int]:
+def quiet_outage(settings: Settings = PROBING, count: int = 4) -> tuple[Rig, int]:
     """One front end with a loaded function, and an outage without a call; the host of the copy."""
     rig = Rig(settings, count)
-    rig.give(i.ListConfirmed(rig.now))
+    rig.give(ListConfirmed(rig.now))
     rig.ask(1)
     head = rig.attempts[1][0][0]
     rig.settle(1, O.MISS, 1)
@@ -143,15 +159,15 @@
     return rig, head
 
 
-def probed(actions: list[i.Action]) -> list[int]:
-    return [a.worker for a in actions if isinstance(a, i.Probe)]
+def probed(actions: list[Action]) -> list[int]:
+    return [a.worker for a in actions if isinstance(a, Probe)]
 
 
 def test_a_call_after_a_quiet_time_waits_for_its_hosts_own_word() -> None:
     rig, head = quiet_outage()
     asked = rig.ask(2)
     assert sends(asked) == [] and probed(asked) == [head] and probed(rig.ask(3)) == []
-    assert sends(rig.give(i.ProbeEnded(head, O.OK, 2.0))) == [(2, head), (3, head)]
+    assert sends(rig.give(ProbeEnded(head, O.OK, 2.0))) == [(2, head), (3, head)]
     rig.settle(2)
     rig.settle(3)
     rig.wait(TOLD_WITHIN - 500)
@@ -160,13 +176,13 @@
 
 
 @pytest.mark.parametrize("outcome", [O.ERROR, O.TIMEOUT, O.RESET, O.NO_CONNECTION])
-def test_where_the_word_does_not_come_another_host_is_asked(outcome: i.Outcome) -> None:
+def test_where_the_word_does_not_come_another_host_is_asked(outcome: Outcome) -> None:
     rig, head = quiet_outage()
     rig.ask(2)
-    after = rig.give(i.ProbeEnded(head, outcome, 2.0))
+    after = rig.give(ProbeEnded(head, outcome, 2.0))
     (other,) = probed(after)
     assert other != head and not sends(after) and not loads(after)
-    after = rig.give(i.ProbeEnded(other, O.OK, 2.0))
+    after = rig.give(ProbeEnded(other, O.OK, 2.0))
     assert [w for _, w in sends(after)] + [w for w, _ in loads(after)] == [other]
 
 
@@ -177,9 +193,9 @@
         seen = len(rig.log)
         rig.ask(2 + n)
         rig.wait(500)
-        asked += [at for at, a in rig.log[seen:] if isinstance(a, i.Probe)]
+        asked += [at for at, a in rig.log[seen:] if isinstance(a, Probe)]
         if rig.router.workers[head].lease.probe_pending:
-            rig.give(i.ProbeEnded(head, O.TIMEOUT, PROBING.connect_timeout))
+            rig.give(ProbeEnded(head, O.TIMEOUT, PROBING.connect_timeout))
     gaps = [later - earlier for earlier, later in pairwise(asked)]
     assert 4 <= len(asked) <= 16 and max(gaps) >= 2000 and min(gaps) >= PROBING.connect_timeout / 2
 
@@ -193,9 +209,9 @@
 def test_what_is_sent_names_the_end_of_the_lease() -> None:
     rig = Rig(PROBING)
     confirmed = rig.now - 3000
-    rig.give(i.ListConfirmed(confirmed))
+    rig.give(ListConfirmed(confirmed))
     actions = rig.ask(1) + rig.settle(1, O.MISS, 1)
-    bounds = [a.start_by for a in actions if isinstance(a, i.StartAttempt | i.OrderCopies)]
+    bounds = [a.start_by for a in actions if isinstance(a, StartAttempt | OrderCopies)]
     assert bounds == [confirmed + TOLD_WITHIN] * 2
 
 
@@ -203,23 +219,23 @@
     rig = Rig(PROBING)
     ((_, head),) = sends(rig.ask(1))
     rig.settle(1)
-    rig.give(i.ListConfirmed(rig.now, frozenset({head})))
+    rig.give(ListConfirmed(rig.now, frozenset({head})))
     rig.wait(TOLD_WITHIN)
-    rig.give(i.ListConfirmed(rig.now, frozenset({head})))
+    rig.give(ListConfirmed(rig.now, frozenset({head})))
     assert probed(rig.ask(2)) == [head]
-    rig.give(i.ListConfirmed(rig.now))
+    rig.give(ListConfirmed(rig.now))
     assert (2, head) in [(r, w) for _, a in rig.log for r, w in sends([a])] or sends(rig.ask(3))
 
 
 @pytest.mark.parametrize("sign", [O.RESET, O.MISS])
 @pytest.mark.parametrize("confirmed", [False, True])
 def test_a_host_that_may_have_restarted_counts_as_cold_once_that_counts_as_told(
-    confirmed: bool, sign: i.Outcome
+    confirmed: bool, sign: Outcome
 ) -> None:
     rig, head = quiet_outage()
     worker = rig.router.workers[head]
     rig.ask(2)
-    rig.give(i.ProbeEnded(head, O.OK, 2.0))
+    rig.give(ProbeEnded(head, O.OK, 2.0))
     seen = rig.now
     rig.settle(2)
     rig.ask(3)
@@ -228,7 +244,7 @@
     assert rig.router.warm_share(worker) == 1
     rig.wait(seen + TOLD_WITHIN - rig.now)
     if confirmed:
-        rig.give(i.ListConfirmed(rig.now))
+        rig.give(ListConfirmed(rig.now))
     rig.ask(4)
     assert (rig.router.warm_share(worker) < 1) is not confirmed
     rig.router.now = seen + 1000 + PROBING.cold_period
@@ -248,7 +264,7 @@
     settings, lease, age = replace(SETTINGS, may_probe=may_probe), WorkLease(), ListAge()
     lease.renew(proven)
     if confirmed is not None:
-        age.confirm(i.ListConfirmed(confirmed, frozenset({1} if doubtful else ())))
+        age.confirm(ListConfirmed(confirmed, frozenset({1} if doubtful else ())))
     rests_on = [proven] + ([] if doubtful or confirmed is None else [confirmed])
     allowed = age.allows(1, lease, now, settings)
     assert not allowed or confirmed is None or now < max(rests_on) + settings.discovery_delay
