--- a/harrieryoke/__init__.py
+++ b/harrieryoke/__init__.py
@@ -1,4 +1,4 @@
-"""harrieryoke: the decisions of a router before workers that keep only some of many programs loaded."""
+"""harrieryoke: an invoker that routes calls to model hosts, each with some of many functions loaded."""
 
 from .interface import (
     Action,
--- a/harrieryoke/config.py
+++ b/harrieryoke/config.py
@@ -16,7 +16,7 @@
 from .limits import Limits
 from .net.hostlist_model import Known
 from .parts import Operator
-from .settings import check_figure, read_list, read_settings
+from .settings import check_number, read_list, read_settings
 
 READS = 3  # of a file that changes meanwhile
 # Limits' field -> where the settings' ceilings have it: what may change while the invoker serves
@@ -74,7 +74,7 @@
         try:
             told = ceilings.get(theirs) or getattr(usual, ours)
             read[ours] = msgspec.convert(told, type(getattr(usual, ours)), strict=False)
-            check_figure(read[ours], above_0=True)
+            check_number(read[ours], above_0=True)
         except (ValueError, OverflowError) as error:  # msgspec's are among them
             raise ConfigError(f"settings.ceilings.{theirs}: {error}") from None
     return read
--- a/harrieryoke/load_limit.py
+++ b/harrieryoke/load_limit.py
@@ -12,8 +12,8 @@
 def adapt_limit(load: WorkerLoad, latency_ratio: float, in_flight: int, front_ends: int) -> None:
     """Lowers the limit where answers come near the latency target, raises it where they are fast.
 
-    `latency_ratio` is the duration of an answer relative to the latency target, `in_flight` the number of other
-    attempts at the worker.
+    `latency_ratio` is the duration of an answer relative to the latency target, `in_flight` the number of
+    other attempts at the worker.
     """
     load.latency_ratio += 0.1 * (latency_ratio - load.latency_ratio)
     if load.latency_ratio > OVERLOADED_RATIO:
--- a/harrieryoke/net/answers.py
+++ b/harrieryoke/net/answers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from .. import interface as i
-from ..settings import REPORT_NAMES
+from ..settings import LOAD_REPORT_FIELDS
 from . import frames
 
 ENDS = {
@@ -28,8 +28,8 @@
     for pair in text.split(";") if text else []:
         name, _, value = pair.partition(":")
         try:
-            if name in REPORT_NAMES:
-                values[REPORT_NAMES[name]] = float(value)
+            if name in LOAD_REPORT_FIELDS:
+                values[LOAD_REPORT_FIELDS[name]] = float(value)
         except ValueError:
             continue
     return i.LoadReport(**values) if values else None
--- a/harrieryoke/repeat_rules.py
+++ b/harrieryoke/repeat_rules.py
@@ -16,8 +16,9 @@
 ) -> bool:
     """Whether another attempt may go to the worker.
 
-    `possible_runs` names the workers where earlier attempts may have executed, and when they were sent. A keyed
-    class is repeated within its window, less a tick, and its deduplication scope. Times are milliseconds.
+    `possible_runs` names the workers where earlier attempts may have executed, and when they were sent. A
+    keyed class is repeated within its window, less a tick, and within its deduplication scope. Times are
+    milliseconds.
     """
     if request_class.effect is Effect.SAFE or not possible_runs:
         return True
--- a/harrieryoke/settings.py
+++ b/harrieryoke/settings.py
@@ -1,4 +1,4 @@
-"""The wire's settings object into `interface.Settings`, for the simulator's adapter and the invoker alike."""
+"""Parses the settings object of the wire and of the configuration file into `interface.Settings`."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 EFFECTS = {"repeatable": "safe", "by_key": "keyed", "once": "unsafe"}
 
-# interface field -> where the wire has it
-TOP = {
+# interface field -> key of the settings object
+TOP_LEVEL_KEYS = {
     "classes": "classes",
     "tenants": "realms",
     "own_index": "me",
@@ -22,7 +22,7 @@
     "tick": "period",
     "over_share_worth": "over-share-worth",
 }
-CEILINGS = {
+CEILING_KEYS = {
     "max_attempts": "max-attempts",
     "second_attempts": "second-copies",
     "may_cancel": "cancel",
@@ -31,7 +31,7 @@
     "max_retry_after": "max-retry-after",
     "connect_timeout": "dial-timeout",
 }
-OBLIGATIONS = {
+OBLIGATION_KEYS = {
     "list_ask_within": "ask-within",
     "answer_slack": "answer-slack",
     "cold_period": "cold",
@@ -39,7 +39,7 @@
     "overload_multiple": "fall-multiple",
     "overload_time": "overload-for",
 }
-EXTRA = {
+EXTRA_KEYS = {
     "may_order": "orders",
     "keep_alive": "stays-loaded",
     "order_timeout": "order-limit",
@@ -51,7 +51,7 @@
     "reports_copy_lookup": "warm-notes",
     "reports_concurrent_requests": "says-company",
 }
-CLASS = {
+CLASS_KEYS = {
     "name": "name",
     "latency_target": "goal-time",
     "deadline": "hard-limit",
@@ -62,26 +62,28 @@
     "repeat_window": "repeat-window",
     "latency_target_stretch": "aim-stretch",
 }
-TENANT = {"name": "name", "allowance_per_s": "allowance-per-s"}
-CLASS_NEEDS = ("name", "goal-time", "hard-limit", "repeat")
-ABOVE_0 = ("goal-time", "hard-limit", "max-attempts", "siblings", "period", "stays-loaded")
-MOST = 1e12  # of any figure: thirty years in milliseconds
-TYPES: dict[type, dict[str, Any]] = {k: get_type_hints(k) for k in (Settings, RequestClass, Tenant)}
-# field of a load report -> where the settings' names have it
-REPORT_NAMES = {"concurrent": "in_progress", "load_share": "busy", "x0": "pinned_memory", "x1": "loads"}
-
-
-def check_figure(value: Any, above_0: bool = False) -> None:
-    """Guards against figures that no clock and no count can bear. Raises ValueError."""
-    if isinstance(value, int | float) and not (isfinite(value) and abs(value) <= MOST):
-        raise ValueError(f"{value} is no figure that can be used")
+TENANT_KEYS = {"name": "name", "allowance_per_s": "allowance-per-s"}
+REQUIRED_CLASS_KEYS = ("name", "goal-time", "hard-limit", "repeat")
+POSITIVE_KEYS = ("goal-time", "hard-limit", "max-attempts", "siblings", "period", "stays-loaded")
+MAX_NUMBER = 1e12  # about thirty years in milliseconds
+FIELD_TYPES: dict[type, dict[str, Any]] = {k: get_type_hints(k) for k in (Settings, RequestClass, Tenant)}
+# name in the settings -> field of a load report
+LOAD_REPORT_FIELDS = {"concurrent": "in_progress", "load_share": "busy", "x0": "pinned_memory", "x1": "loads"}
+
+
+def check_number(value: Any, above_0: bool = False) -> None:
+    """Raises ValueError for a number that is not finite or too large for times and counts."""
+    if isinstance(value, int | float) and not (isfinite(value) and abs(value) <= MAX_NUMBER):
+        raise ValueError(f"{value} is not finite or too large")
     if above_0 and not value > 0:
         raise ValueError("must be above 0")
 
 
-def part(info: Any, names: Mapping[str, str], target: type, where: str = "") -> dict[str, Any]:
-    """The named values that are there, as the fields of `kind`; what is absent or null keeps the interface's
-    default. Raises ValueError, which names the key below `where`."""
+def read_fields(info: Any, names: Mapping[str, str], target: type, where: str = "") -> dict[str, Any]:
+    """Returns the present values of `names` as fields of `target`; absent and null ones are left out.
+
+    Raises ValueError that names the key, prefixed with `where`.
+    """
     if not isinstance(info, dict):
         raise ValueError(f"{where.rstrip('.')}: an object is expected")
     fields: dict[str, Any] = {}
@@ -89,17 +91,18 @@
         if info.get(key) is None:
             continue
         try:
-            value = fields[field] = msgspec.convert(info[key], TYPES[target][field], strict=False)
-            for figure in value if isinstance(value, tuple) else (value,):
-                check_figure(figure, key in ABOVE_0)
-        except (ValueError, OverflowError) as error:  # msgspec's are among them
+            value = fields[field] = msgspec.convert(info[key], FIELD_TYPES[target][field], strict=False)
+            for number in value if isinstance(value, tuple) else (value,):
+                check_number(number, key in POSITIVE_KEYS)
+        except (ValueError, OverflowError) as error:  # includes the errors of msgspec
             raise ValueError(f"{where}{key}: {error}") from None
     return fields
 
 
 def read_class(info: Any, where: str) -> RequestClass:
-    fields = part(info, {k: v for k, v in CLASS.items() if k != "effect"}, RequestClass, where)
-    for key in CLASS_NEEDS:
+    """Parses a request class. Raises ValueError that names the key, prefixed with `where`."""
+    fields = read_fields(info, {k: v for k, v in CLASS_KEYS.items() if k != "effect"}, RequestClass, where)
+    for key in REQUIRED_CLASS_KEYS:
         if info.get(key) is None:
             raise ValueError(f"{where}{key}: it is missing")
     if info["repeat"] not in list(EFFECTS):
@@ -108,7 +111,7 @@
 
 
 def read_list(info: Mapping[str, Any], key: str) -> list[Any]:
-    """The list under that key; empty where there is none."""
+    """Returns the list under the key, empty if it is absent."""
     value = info.get(key)
     if not isinstance(value, list | None):
         raise ValueError(f"{key}: a list is expected")
@@ -116,16 +119,24 @@
 
 
 def read_settings(info: Any) -> Settings:
-    """The settings object, decoded; keys it does not know are left alone. Raises ValueError, which names the
-    key."""
-    top = {field: key for field, key in TOP.items() if field not in ("classes", "tenants")}
-    flat: dict[str, Any] = {"may_order": False} | part(info, top, Settings)
-    for section, names in (("ceilings", CEILINGS), ("obligations", OBLIGATIONS), ("extra", EXTRA)):
-        flat |= part({} if info.get(section) is None else info[section], names, Settings, f"{section}.")
-    classes = [read_class(c, f"classes[{n}].") for n, c in enumerate(read_list(info, TOP["classes"]))]
+    """Parses a decoded settings object; unknown keys are ignored. Raises ValueError that names the key."""
+    top = {field: key for field, key in TOP_LEVEL_KEYS.items() if field not in ("classes", "tenants")}
+    flat: dict[str, Any] = {"may_order": False} | read_fields(info, top, Settings)
+    for section, names in (
+        ("ceilings", CEILING_KEYS),
+        ("obligations", OBLIGATION_KEYS),
+        ("extra", EXTRA_KEYS),
+    ):
+        flat |= read_fields(
+            {} if info.get(section) is None else info[section], names, Settings, f"{section}."
+        )
+    classes = [
+        read_class(each, f"classes[{n}].")
+        for n, each in enumerate(read_list(info, TOP_LEVEL_KEYS["classes"]))
+    ]
     tenants = [
-        {"name": ""} | part(tenant, TENANT, Tenant, f"{TOP['tenants']}[{n}].")
-        for n, tenant in enumerate(read_list(info, TOP["tenants"]))
+        {"name": ""} | read_fields(tenant, TENANT_KEYS, Tenant, f"{TOP_LEVEL_KEYS['tenants']}[{n}].")
+        for n, tenant in enumerate(read_list(info, TOP_LEVEL_KEYS["tenants"]))
     ]
     return Settings(
         **flat,
@@ -136,6 +147,6 @@
     )
 
 
-def report_names(info: Any) -> tuple[str, ...]:
-    """The names of the load report's values, in their order."""
+def load_report_names(info: Any) -> tuple[str, ...]:
+    """Returns the names of the values of a load report, in order."""
     return tuple(str(n) for n in info.get("load-report", {}).get("fields", []))
--- a/harrieryoke/state_transfer.py
+++ b/harrieryoke/state_transfer.py
@@ -1,10 +1,10 @@
-"""State transfer: what the router has learned, serialised for the process that replaces this one.
+"""State transfer: serialises what the router has learned for the process that replaces this one.
 
 No I/O and no clock. Times are milliseconds of the sender's monotonic clock, which all processes of a machine
-share; `at` is the moment of packing on it. A receiver that has another clock, as after version 1, whose
-times are of the wall clock, moves them all to its own. Workers are named by the router's numbers, which are
-the same at every start, and classes by name. Work in progress (attempts, orders, waiting requests) is not
-transferred: the old process completes it.
+share; `packed_at` is the time of packing on that clock. A receiver with another clock shifts all times to
+its own, also those of version 1, which are of the wall clock. Workers are named by the router's numbers,
+which are the same at every start, and classes by name. Work in progress (attempts, orders, waiting requests)
+is not transferred: the old process completes it.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from .state import Copy, Function, TokenBucket, Worker, WorkerLoad, digest
 
 VERSION = 2
-WALL_CLOCK_VERSION = 1  # its times are Unix milliseconds, and it does not say when it was packed
-SAME_CLOCK_MS = 10_000.0  # a transfer takes less; a larger difference is one of clocks
+WALL_CLOCK_VERSION = 1  # has Unix times in milliseconds and no `packed_at`
+SAME_CLOCK_MS = 10_000.0  # longer than a transfer takes; a larger difference means another clock
 Count = Annotated[int, msgspec.Meta(ge=1, le=1 << 20)]
 
 
 class StateTransferError(ValueError):
-    """The transferred state can't be used; the text says why. The process starts without it."""
+    """The transferred state cannot be used; the process starts without it."""
 
 
 class WorkerState(msgspec.Struct, array_like=True):
-    """What was known of one model host."""
+    """State of one worker."""
 
     worker: int
     started: float
@@ -46,11 +46,11 @@
     cold_budget_updated_at: float
     suspected_classes: dict[str, tuple[float, float]]
     last_served: dict[str, float]
-    start_stamp: float | None = None  # the list's mark of its last start; version 1 has none
+    start_stamp: float | None = None  # not in version 1
 
 
 class CopyState(msgspec.Struct, array_like=True):
-    """The copies of one function at one worker."""
+    """Copies of one function at one worker."""
 
     worker: int
     count: Count
@@ -59,7 +59,7 @@
 
 
 class FunctionState(msgspec.Struct, array_like=True):
-    """One function; `age` is the time since its last use, in milliseconds of demand."""
+    """State of one function; `age` is the time since its last use, without idle time."""
 
     name: str
     class_name: str
@@ -75,25 +75,27 @@
 
 
 class RouterState(msgspec.Struct):
-    """The whole of what is transferred."""
+    """The transferred state."""
 
     workers: list[WorkerState]
     functions: list[FunctionState]
-    ordered: list[float]
-    arrivals: list[float]
-    calls: float
+    order_times: list[float] = msgspec.field(name="ordered")
+    arrival_times: list[float] = msgspec.field(name="arrivals")
+    recent_calls: float = msgspec.field(name="calls")
     last_arrival: float
-    strain: float
-    held: float
-    stretch: float
+    latency_ratio: float = msgspec.field(name="strain")
+    mean_in_progress: float = msgspec.field(name="held")
+    load_time_factor: float = msgspec.field(name="stretch")
     order_cap: float
-    at: float = 0.0
+    packed_at: float = msgspec.field(default=0.0, name="at")
 
 
 def pack(router: Router, now: float) -> bytes:
-    """Serialise what the router has learned: version, checksum, values. The newest definition of a class
-    counts. `now` is on the router's clock."""
-    names = [copy.name for copy in router.settings.classes]
+    """Serialise the state of the router, with version and checksum.
+
+    `now` is a time of the router's clock.
+    """
+    names = [request_class.name for request_class in router.settings.classes]
     state = RouterState(
         [worker_state(number, worker, names) for number, worker in router.workers.items()],
         [function_state(router, function, names) for function in router.functions.values()],
@@ -112,7 +114,7 @@
 
 
 def worker_state(number: int, worker: Worker, names: list[str]) -> WorkerState:
-    """Return what the router knows of one worker; `names` are the classes by index."""
+    """Return the state of one worker; `names` are the classes by index."""
     return WorkerState(
         number,
         worker.started,
@@ -128,14 +130,14 @@
         worker.last_disconnect,
         worker.cold_budget.tokens,
         worker.cold_budget.updated_at,
-        {names[index]: doubt for index, doubt in sorted(worker.suspected_classes.items())},
+        {names[index]: suspicion for index, suspicion in sorted(worker.suspected_classes.items())},
         {names[index]: served_at for index, served_at in sorted(worker.last_served.items())},
         worker.entry.start_stamp,
     )
 
 
 def function_state(router: Router, function: Function, names: list[str]) -> FunctionState:
-    """Return what the router knows of one function; `names` are the classes by index."""
+    """Return the state of one function; `names` are the classes by index."""
     return FunctionState(
         function.name,
         names[function.class_index],
@@ -155,33 +157,35 @@
 
 
 def unpack(data: bytes, now: float, wall: float) -> RouterState:
-    """Parse the output of `pack`, of this version or the one before, with its times on the receiver's clock:
-    `now` and `wall` are its monotonic and its wall clock. Raises StateTransferError for another version or
-    damaged data."""
+    """Parse the output of `pack` of this or the previous version and shift its times to the receiver's clock.
+
+    `now` and `wall` are the receiver's monotonic and wall clock. Raises StateTransferError for another
+    version or damaged data.
+    """
     head, _, body = data.partition(b"\n")
     try:
         version, checksum = map(int, head.split())
     except ValueError:
-        raise StateTransferError("its head can't be read") from None
+        raise StateTransferError("malformed header") from None
     if version not in (WALL_CLOCK_VERSION, VERSION):
-        raise StateTransferError(f"it is of version {version}, and up to {VERSION} is read here")
+        raise StateTransferError(f"unsupported version {version}; the newest supported version is {VERSION}")
     if zlib.crc32(body) != checksum:
-        raise StateTransferError("its checksum is wrong")
+        raise StateTransferError("checksum mismatch")
     try:
         state: RouterState = msgspec.json.decode(body, type=RouterState)
     except msgspec.MsgspecError as error:
         raise StateTransferError(str(error)) from None
-    clock_offset = (wall if version == WALL_CLOCK_VERSION else state.at) - now
+    clock_offset = (wall if version == WALL_CLOCK_VERSION else state.packed_at) - now
     if version == VERSION and -SAME_CLOCK_MS <= clock_offset <= 0:
         return state
     return shift_times(state, -clock_offset)
 
 
 def shift_times(state: RouterState, offset: float) -> RouterState:
-    """Return the state with each time later by so many milliseconds. One that says never stays so."""
+    """Return the state with each time shifted by `offset`; `NEVER` stays before all other times."""
     return msgspec.structs.replace(
         state,
-        workers=[shift_worker_times(w, offset) for w in state.workers],
+        workers=[shift_worker_times(worker, offset) for worker in state.workers],
         functions=[
             msgspec.structs.replace(
                 function,
@@ -189,19 +193,19 @@
                     msgspec.structs.replace(copy, last_seen=copy.last_seen + offset)
                     for copy in function.copies
                 ],
-                missed_until=[(worker, until + offset) for worker, until in function.missed_until],
+                missed_until=[(worker_id, until + offset) for worker_id, until in function.missed_until],
             )
             for function in state.functions
         ],
-        ordered=[served_at + offset for served_at in state.ordered],
-        arrivals=[served_at + offset for served_at in state.arrivals],
+        order_times=[time + offset for time in state.order_times],
+        arrival_times=[time + offset for time in state.arrival_times],
         last_arrival=state.last_arrival + offset,
-        at=state.at + offset,
+        packed_at=state.packed_at + offset,
     )
 
 
 def shift_worker_times(worker: WorkerState, offset: float) -> WorkerState:
-    """Return the worker with each time later by so many milliseconds."""
+    """Return the state of a worker with each time shifted by `offset`."""
     return msgspec.structs.replace(
         worker,
         started=worker.started + offset,
@@ -210,45 +214,45 @@
         last_disconnect=worker.last_disconnect + offset,
         cold_budget_updated_at=worker.cold_budget_updated_at + offset,
         suspected_classes={
-            name: (until + offset, pause) for name, (until, pause) in worker.suspected_classes.items()
+            name: (until + offset, duration) for name, (until, duration) in worker.suspected_classes.items()
         },
         last_served={name: served_at + offset for name, served_at in worker.last_served.items()},
     )
 
 
 def is_same_start(state: WorkerState, worker: Worker) -> bool:
-    """Whether the worker has not started anew since, by the list's mark where both have one."""
+    """Whether the worker has not restarted since, by the start stamps of the list where both are known."""
     if state.start_stamp is not None and worker.entry.start_stamp is not None:
         return state.start_stamp == worker.entry.start_stamp
     return state.started >= worker.started
 
 
 def restore(router: Router, state: RouterState) -> None:
-    """Give a router that knows its worker list, and has had no request yet, what another has learned.
+    """Restore transferred state into a router that has its worker list but no requests yet.
 
-    Workers that are not in its list are skipped; one that started since stays as cold as its list says.
+    Workers that are not in the list are skipped; one that restarted since keeps the state of a new start.
     """
     class_indexes = router.settings.active_classes()
     unchanged = {
-        worker.worker
-        for worker in state.workers
-        if worker.worker in router.workers and is_same_start(worker, router.workers[worker.worker])
+        each.worker
+        for each in state.workers
+        if each.worker in router.workers and is_same_start(each, router.workers[each.worker])
     }
-    router.order_times.extend(sorted(state.ordered))
-    router.arrival_times.extend(sorted(state.arrivals))
-    router.recent_calls, router.last_arrival = state.calls, state.last_arrival
-    router.latency_ratio, router.mean_in_progress = state.strain, state.held
-    router.load_time_factor, router.order_cap = state.stretch, state.order_cap
-    for function_state in state.functions:
-        if function_state.class_name in class_indexes and function_state.name not in router.functions:
-            restore_function(router, function_state, class_indexes[function_state.class_name], unchanged)
-    for worker in state.workers:
-        if worker.worker in unchanged:
-            restore_worker(router, router.workers[worker.worker], worker, class_indexes)
+    router.order_times.extend(sorted(state.order_times))
+    router.arrival_times.extend(sorted(state.arrival_times))
+    router.recent_calls, router.last_arrival = state.recent_calls, state.last_arrival
+    router.latency_ratio, router.mean_in_progress = state.latency_ratio, state.mean_in_progress
+    router.load_time_factor, router.order_cap = state.load_time_factor, state.order_cap
+    for function in state.functions:
+        if function.class_name in class_indexes and function.name not in router.functions:
+            restore_function(router, function, class_indexes[function.class_name], unchanged)
+    for each in state.workers:
+        if each.worker in unchanged:
+            restore_worker(router, router.workers[each.worker], each, class_indexes)
 
 
 def restore_function(router: Router, state: FunctionState, class_index: int, unchanged: set[int]) -> None:
-    """Add one function of class index `kind`, with its copies at the workers in `fresh`."""
+    """Add one function with its copies at the workers in `unchanged`, which have not restarted."""
     function = Function(
         state.name,
         digest(state.name),
@@ -274,19 +278,15 @@
 
 
 def restore_worker(router: Router, worker: Worker, state: WorkerState, class_indexes: dict[str, int]) -> None:
-    """Set what is known of one worker; `kinds` are the class indices by name."""
-    worker.load, worker.slowness_factor = (
-        WorkerLoad(state.latency_ratio, state.attempt_limit),
-        state.slowness_factor,
-    )
-    worker.in_progress, worker.reported_at, worker.last_heard, worker.last_disconnect = (
-        state.in_progress,
-        state.reported_at,
-        state.last_heard,
-        state.last_disconnect,
-    )
+    """Restore the state of one worker; `class_indexes` are by class name."""
+    worker.load = WorkerLoad(state.latency_ratio, state.attempt_limit)
+    worker.slowness_factor = state.slowness_factor
+    worker.in_progress, worker.reported_at = state.in_progress, state.reported_at
+    worker.last_heard, worker.last_disconnect = state.last_heard, state.last_disconnect
     worker.suspected_classes = {
-        class_indexes[name]: doubt for name, doubt in state.suspected_classes.items() if name in class_indexes
+        class_indexes[name]: suspicion
+        for name, suspicion in state.suspected_classes.items()
+        if name in class_indexes
     }
     worker.last_served = {
         class_indexes[name]: served_at
@@ -295,11 +295,8 @@
     }
     if state.ejected and router.functions:
         router.eject(worker, unreachable=False)
-        worker.unreachable, worker.may_have_restarted, worker.backoff = (
-            state.unreachable,
-            state.unreachable,
-            state.backoff,
-        )
+        worker.unreachable = worker.may_have_restarted = state.unreachable
+        worker.backoff = state.backoff
     worker.started = state.started
     router.all_warm_at = max(router.all_warm_at, worker.started + router.settings.cold_period)
     worker.cold_budget = TokenBucket(state.cold_budget, state.cold_budget_updated_at)
--- a/harrieryoke/wirehost.py
+++ b/harrieryoke/wirehost.py
@@ -1,4 +1,4 @@
-"""The bench's wire: parses batches, hosts one Router per instance and writes replies. Decides nothing."""
+"""Adapter for the simulator's line protocol: parses batches, runs a Router per instance, writes replies."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     WorkerStatus,
 )
 from .router import Router
-from .settings import REPORT_NAMES, read_settings, report_names
+from .settings import LOAD_REPORT_FIELDS, load_report_names, read_settings
 
 OUTCOMES = {
     "Ok": Outcome.OK,
@@ -60,41 +60,41 @@
     "Persisted": ListScope.REMEMBERED,
     "Error": ListScope.FAILED,
 }
-DRAINS = {"on": WorkerStatus.UP, "fading": WorkerStatus.DRAINING, "off": WorkerStatus.GONE}
-FOUND = {1: CopyLookup.LOADED, 2: CopyLookup.STARTED_LOAD, 3: CopyLookup.WAITED_FOR_LOAD}
+WORKER_STATUSES = {"on": WorkerStatus.UP, "fading": WorkerStatus.DRAINING, "off": WorkerStatus.GONE}
+COPY_LOOKUPS = {1: CopyLookup.LOADED, 2: CopyLookup.STARTED_LOAD, 3: CopyLookup.WAITED_FOR_LOAD}
 
 
 class WireError(Exception):
-    """The input is not what the wire allows."""
+    """The input violates the line protocol."""
 
 
 def read_info(text: str) -> tuple[Settings, tuple[str, ...]]:
-    """The settings of an INIT line, and the names of the load report's values."""
+    """Parses the settings of an INIT line, and the names of the values of a load report."""
     info = msgspec.json.decode(text)
     if not isinstance(info, dict):
         raise WireError("settings are not an object")
-    return read_settings(info), report_names(info)
+    return read_settings(info), load_report_names(info)
 
 
 def number_or_none(text: str) -> float | None:
-    """A wire number; '-' stands for an absent one."""
+    """Parses a number; '-' stands for an absent one."""
     return None if text == "-" else float(text)
 
 
 def read_report(text: str, names: tuple[str, ...]) -> LoadReport | None:
-    """A load report, values in the order of the settings."""
+    """Parses a load report, whose values are in the order of the settings."""
     if text == "-":
         return None
     values = {
-        REPORT_NAMES[name]: number_or_none(value)
+        LOAD_REPORT_FIELDS[name]: number_or_none(value)
         for name, value in zip(names, text.split(","), strict=False)
-        if name in REPORT_NAMES
+        if name in LOAD_REPORT_FIELDS
     }
     return LoadReport(**values)
 
 
 def read_entry(line: str) -> WorkerEntry:
-    """One M line of a SHEET."""
+    """Parses an M line of a SHEET."""
     parts = line.split(" ")
     if parts[0] != "M":
         raise WireError(f"worker entry expected: {line!r}")
@@ -105,14 +105,14 @@
         int(zone),
         int(kind),
         int(cell),
-        DRAINS[mode],
+        WORKER_STATUSES[mode],
         1.0 if size == "-" else float(size),
         started_at or None,
     )
 
 
 def read_request(parts: list[str], names: tuple[str, ...]) -> Event:
-    """REQUEST, without its tag and instance."""
+    """Parses the fields of a REQUEST line after its tag and instance."""
     request, class_index, tenant, function, deadline, hint, memory, slots, load_time, flags = parts
     bits = 0 if flags == "-" else int(flags)
     hinted = number_or_none(hint) if bits & 1 else None
@@ -131,7 +131,7 @@
 
 
 def read_settled(parts: list[str], names: tuple[str, ...]) -> Event:
-    """SETTLED, without its tag and instance."""
+    """Parses the fields of a SETTLED line after its tag and instance."""
     request, complete, reason, duration, info, worker, attempt, report = parts
     bits = 0 if info == "-" else int(info)
     outcome = OUTCOMES[reason]
@@ -142,7 +142,7 @@
         outcome,
         float(duration),
         complete == "1",
-        FOUND.get(bits & 7) if outcome is Outcome.OK else None,
+        COPY_LOOKUPS.get(bits & 7) if outcome is Outcome.OK else None,
         bits & 7 == 4,
         bits >> 3,
         read_report(report, names),
@@ -150,37 +150,37 @@
 
 
 def read_sampled(parts: list[str], names: tuple[str, ...]) -> Event:
-    """SAMPLED, without its tag and instance."""
+    """Parses the fields of a SAMPLED line after its tag and instance."""
     worker, reason, duration, report = parts
     return ProbeEnded(int(worker), OUTCOMES[reason], float(duration), read_report(report, names))
 
 
 def read_loaded(parts: list[str], names: tuple[str, ...]) -> Event:
-    """LOADED, without its tag and instance."""
+    """Parses the fields of a LOADED line after its tag and instance."""
     duration, copies, reason, worker, function = parts
     return OrderEnded(int(worker), function, OUTCOMES[reason], int(copies), float(duration))
 
 
 def read_accepted(parts: list[str], names: tuple[str, ...]) -> Event:
-    """ACCEPTED, without its tag and instance."""
+    """Parses the fields of a ACCEPTED line after its tag and instance."""
     request, worker, attempt, _ = parts
     return AnswerStarted(int(request), int(worker), int(attempt))
 
 
 def read_dropped(parts: list[str], names: tuple[str, ...]) -> Event:
-    """DROPPED, without its tag and instance."""
+    """Parses the fields of a DROPPED line after its tag and instance."""
     (request,) = parts
     return RequestDropped(int(request))
 
 
 def read_wake(parts: list[str], names: tuple[str, ...]) -> Event:
-    """WAKE, without its tag and instance."""
+    """Parses the fields of a WAKE line after its tag and instance."""
     (name,) = parts
     return TimerFired(name)
 
 
 def read_message(parts: list[str], names: tuple[str, ...]) -> Event:
-    """MESSAGE, without its tag and instance."""
+    """Parses the fields of a MESSAGE line after its tag and instance."""
     peer, raw = parts
     return PeerMessage(int(peer), b"" if raw == "-" else base64.b64decode(raw, validate=True))
 
@@ -198,16 +198,16 @@
 
 
 def write_action(instance: int, action: Action) -> str:
-    """One action as a wire line."""
+    """Formats an action as a line."""
     match action:
         case StartAttempt(request, worker, stop_at):
-            return (
-                f"SUBMIT_TO {instance} {request} {worker} {'-' if stop_at is None else repr(float(stop_at))}"
-            )
+            stop = "-" if stop_at is None else repr(float(stop_at))
+            return f"SUBMIT_TO {instance} {request} {worker} {stop}"
         case CancelAttempt(request, attempt):
             return f"RETRACT {instance} {request} {attempt}"
         case Refuse(request, retry_after):
-            return f"NOT_NOW {instance} {request} {'-' if retry_after is None else repr(float(retry_after))}"
+            delay = "-" if retry_after is None else repr(float(retry_after))
+            return f"NOT_NOW {instance} {request} {delay}"
         case Fail(request):
             return f"LOSE {instance} {request}"
         case OrderCopies(worker, function, copies):
@@ -224,15 +224,15 @@
             return f"REMARK {instance} {text}"
 
 
-class Host:
-    """All instances of one process; they share nothing but the numbered lists of the wire."""
+class InstanceHost:
+    """All router instances of the process; they share only the numbered worker lists."""
 
     def __init__(self) -> None:
         self.routers: dict[int, tuple[Router, tuple[str, ...]]] = {}
-        self.sheets: dict[int, tuple[WorkerEntry, ...]] = {}
+        self.worker_lists: dict[int, tuple[WorkerEntry, ...]] = {}
 
-    def batch(self, now: float, lines: Iterator[str]) -> list[str]:
-        """Reads one batch up to its end and returns the lines of the reply."""
+    def process_batch(self, now: float, lines: Iterator[str]) -> list[str]:
+        """Reads a batch up to its end and returns the lines of the reply."""
         pending: dict[int, list[Event]] = {}
         for line in lines:
             if line == "EOF_BATCH":
@@ -241,11 +241,11 @@
         raise WireError("input ended inside a batch")
 
     def read_line(self, line: str, lines: Iterator[str], pending: dict[int, list[Event]]) -> None:
-        """One message of a batch."""
+        """Parses a line of a batch and queues its event."""
         tag, _, rest = line.partition(" ")
         if tag == "SHEET":
             slot, count = rest.split(" ")
-            self.sheets[int(slot)] = tuple(read_entry(next(lines, "")) for _ in range(int(count)))
+            self.worker_lists[int(slot)] = tuple(read_entry(next(lines, "")) for _ in range(int(count)))
             return
         first, _, rest = rest.partition(" ")
         instance = int(first)
@@ -263,7 +263,7 @@
         elif tag == "FLEET":
             scope, _, slot = rest.split(" ")
             list_scope = SCOPES[scope]
-            entries = () if list_scope is ListScope.FAILED else self.sheets[int(slot)]
+            entries = () if list_scope is ListScope.FAILED else self.worker_lists[int(slot)]
             pending.setdefault(instance, []).append(WorkersListed(list_scope, entries))
         elif tag in READERS:
             pending.setdefault(instance, []).append(READERS[tag](rest.split(" "), self.routers[instance][1]))
@@ -271,24 +271,22 @@
             raise WireError(f"unknown message: {tag!r}")
 
     def reply(self, now: float, pending: dict[int, list[Event]]) -> list[str]:
-        """Lets every instance with events decide."""
-        lines_out: list[str] = []
+        """Runs every instance that has events and returns its actions as lines."""
+        reply: list[str] = []
         for instance, events in pending.items():
             try:
-                lines_out.extend(
-                    write_action(instance, a) for a in self.routers[instance][0].handle(now, events)
-                )
-            except Exception as error:  # a bug in the decisions is the day's end, told in plain words
-                lines_out.append(
-                    f"INTERNAL_ERROR {instance} {type(error).__name__}: {error}".replace("\n", " ")
-                )
-        lines_out.append("DONE")
-        return lines_out
+                actions = self.routers[instance][0].handle(now, events)
+                reply.extend(write_action(instance, action) for action in actions)
+            except Exception as error:  # reported to the simulator, which ends the run
+                line = f"INTERNAL_ERROR {instance} {type(error).__name__}: {error}"
+                reply.append(line.replace("\n", " "))
+        reply.append("DONE")
+        return reply
 
 
 def serve(source: Iterable[str], sink: TextIO) -> None:
     """Answers batches until the input ends."""
-    host = Host()
+    host = InstanceHost()
     lines = (line.rstrip("\n") for line in source)
     for line in lines:
         if not line:
@@ -296,7 +294,7 @@
         tag, _, clock = line.partition(" ")
         if tag != "BEGIN_BATCH":
             raise WireError(f"batch expected: {line[:80]!r}")
-        sink.write("\n".join(host.batch(float(clock), lines)) + "\n")
+        sink.write("\n".join(host.process_batch(float(clock), lines)) + "\n")
         sink.flush()
 
 
--- a/harrieryoke/work_lease.py
+++ b/harrieryoke/work_lease.py
@@ -80,5 +80,5 @@
 
 
 def _is_valid(known_until: float, now: float, settings: Settings) -> bool:
-    # writing may start only after a connect timeout
+    # work sent now may wait for a connection before writing starts
     return now + settings.connect_timeout < known_until + settings.discovery_delay
--- a/harrieryoke/worker_health.py
+++ b/harrieryoke/worker_health.py
@@ -112,7 +112,7 @@
         return not worker.unreachable and 2 * self.ejected_count > len(self.workers)
 
     def zone_unreachable(self, worker: Worker) -> bool:
-        """Whether the worker's zone seems lost while another answers; saves an attempt at each worker there."""
+        """Whether the zone seems lost while another answers; saves an attempt at each of its workers."""
         ejections = self.ejections_by_zone.get(worker.entry.zone, 0)
         return ejections >= UNREACHABLE_ZONE_EJECTIONS > min(self.ejections_by_zone.values())
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -325,7 +325,7 @@
     else:
         moved = unpack(pack(rig.router, rig.now), rig.now + 1e9, WALL)
         moved = shift_times(moved, -1e9)
-    assert moved.arrivals == pytest.approx(here.arrivals, abs=0.01) and here.arrivals
+    assert moved.arrival_times == pytest.approx(here.arrival_times, abs=0.01) and here.arrival_times
     for there, worker in zip(moved.workers, here.workers, strict=True):
         assert (there.last_heard, there.cold_budget_updated_at) == pytest.approx(
             (worker.last_heard, worker.cold_budget_updated_at), abs=0.01
