--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -62,10 +62,10 @@
 class Script:
     """In the module's place: answers each round with the next of the test's lists of actions."""
 
-    ordered: tuple[float, ...] = ()  # what the actor reads of a router for its log
-    arrivals: tuple[float, ...] = ()
+    order_times: tuple[float, ...] = ()  # what the actor reads of a router for its log
+    arrival_times: tuple[float, ...] = ()
     workers: Mapping[int, Worker] = MappingProxyType({})
-    outs = 0
+    ejected_count = 0
 
     def __init__(self, *rounds: list[i.Action]) -> None:
         self.rounds, self.heard = list(rounds), list[i.Event]()
--- a/tests/test_interleave.py
+++ b/tests/test_interleave.py
@@ -110,7 +110,7 @@
 class Single:
     """In the module's place: one attempt for each call, at one host; what ends otherwise is refused."""
 
-    outs, list_current = 0, True  # the actor reads them for its log
+    ejected_count, list_current = 0, True  # the actor reads them for its log
 
     def __init__(self, worker: int) -> None:
         self.worker, self.heard = worker, list[i.Event]()
