--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,5 +1,5 @@
-"""Every order of a handover's messages: the real `Upgrade` of the old process, a new process, which may be
-killed at any point, SIGTERM, and clients that come into the one accept queue."""
+"""Explores all interleavings of a handover: `Upgrade` of the old process, a new process that may be killed at
+any point, SIGTERM, and clients in the shared accept queue."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from .interleave import Failed, Thread, Wait, World, explore, replay
 
 
-class Quiet(Log):
+class SilentLog(Log):
     def put(self, *told: object) -> None: ...
 
 
@@ -29,11 +29,11 @@
 
 
 class Accepting:
-    """The new process has got the listening socket, and does not accept yet."""
+    """The new process has the listening socket but does not accept yet."""
 
 
-class Box(list[Any]):
-    """A mailbox of a part that is not played."""
+class StubMailbox(list[Any]):
+    """Mailbox of a part that is not simulated."""
 
     def push(self, message: Any) -> bool:
         self.append(message)
@@ -41,18 +41,20 @@
 
 
 class Handover(World):
-    """One accept queue, two processes; `kind` is the old one's Upgrade. No client waits in the queue for ever
-    while a process lives, and none is accepted twice."""
+    """Two processes with one accept queue; `kind` is the Upgrade of the old one.
+
+    No client may wait forever while a process is alive, and none may be accepted twice.
+    """
 
     def __init__(self, folder: Path, kind: type[Upgrade] = Upgrade) -> None:
-        self.front, self.hosts = Box(), Box()
-        self.old = kind(folder / "x", self.front, Box(), self.hosts, Limits(), Quiet())  # type: ignore[arg-type]
+        self.front, self.hosts = StubMailbox(), StubMailbox()
+        self.old = kind(folder / "x", self.front, StubMailbox(), self.hosts, Limits(), SilentLog())  # type: ignore[arg-type]
         self.link = Link(StubSocket())
         self.old.links.append(self.link)
         self.queue: deque[int] = deque()
         self.accepted: list[int] = []
-        self.old_accepts, self.old_lives, self.old_ends = True, True, False
-        self.new_accepts, self.new_lives = False, True
+        self.old_accepts, self.old_alive, self.old_stopping = True, True, False
+        self.new_accepts, self.new_alive = False, True
         new = [
             self.deliver(Accepting()),
             ("serve", self.serve),
@@ -60,70 +62,70 @@
         ]
         self.threads: dict[str, Thread] = {
             "clients": [(f"connect-{n}", partial(self.queue.append, n)) for n in (1, 2)],
-            "new": self.living(new),
+            "new": self.while_new_alive(new),
             "kill": [("kill", self.kill)],
-            "upgrade": self.upgrade(),
-            "front": self.fronting(),
-            "old accepts": self.accepting(lambda: self.old_lives and self.old_accepts),
-            "new accepts": self.accepting(lambda: self.new_lives and self.new_accepts),
+            "upgrade": self.run_upgrade(),
+            "front": self.run_front(),
+            "old accepts": self.run_accept(lambda: self.old_alive and self.old_accepts),
+            "new accepts": self.run_accept(lambda: self.new_alive and self.new_accepts),
             "term": self.term(),
         }
 
     def deliver(self, message: Any) -> tuple[str, Callable[[], object]]:
         return f"say-{type(getattr(message, 'message', message)).__name__}", lambda: self.old.tell(message)
 
-    def living(self, steps: list[tuple[str, Callable[[], object]]]) -> Iterator[str]:
+    def while_new_alive(self, steps: list[tuple[str, Callable[[], object]]]) -> Iterator[str]:
         for label, step in steps:
             yield label
-            if self.new_lives:
+            if self.new_alive:
                 step()
 
     def serve(self) -> None:
         self.new_accepts = True
 
     def kill(self) -> None:
-        """SIGKILL of the new process: the kernel ends its link."""
-        self.new_lives = self.new_accepts = False
+        """SIGKILL of the new process, which closes its link."""
+        self.new_alive = self.new_accepts = False
         self.old.tell(LinkLost(self.link))
 
-    def upgrade(self) -> Iterator[Wait]:
+    def run_upgrade(self) -> Iterator[Wait]:
         while True:
-            yield Wait(lambda: self.old_lives and self.old.box, "message", idle=True)
+            yield Wait(lambda: self.old_alive and self.old.box, "message", idle=True)
             self.old.receive(self.old.box.popleft())
 
-    def fronting(self) -> Iterator[Wait]:
+    def run_front(self) -> Iterator[Wait]:
         while True:
-            yield Wait(lambda: self.old_lives and self.front, "message", idle=True)
+            yield Wait(lambda: self.old_alive and self.front, "message", idle=True)
             match self.front.pop(0):
                 case Yield():
                     self.old_accepts = False
                 case Resume():
-                    self.old_accepts = not self.old_ends
+                    self.old_accepts = not self.old_stopping
 
-    def accepting(self, able: Callable[[], bool]) -> Iterator[Wait]:
+    def run_accept(self, able: Callable[[], bool]) -> Iterator[Wait]:
         while True:
             yield Wait(lambda: self.queue and able(), "accept", idle=True)
             self.accepted.append(self.queue.popleft())
 
     def term(self) -> Iterator[Wait]:
-        """An operator ends the old process once the new one has said yes."""
+        """Ends the old process once the new one accepts."""
         yield Wait(lambda: self.new_accepts, "SIGTERM", idle=True)
         self.old.stop()
-        self.old_ends = True
+        self.old_stopping = True
         yield Wait(lambda: not self.queue or not self.old_accepts, "exit")
-        self.old_lives = False
+        self.old_alive = False
 
     def key(self) -> Hashable:
-        said = tuple(type(m).__name__ for m in self.old.box), tuple(type(m).__name__ for m in self.front)
+        messages = tuple(type(m).__name__ for m in self.old.box), tuple(type(m).__name__ for m in self.front)
         return (
             tuple(self.queue),
             tuple(self.accepted),
             self.old_accepts,
-            self.old_lives,
-            self.old_ends,
+            self.old_alive,
+            self.old_stopping,
             self.new_accepts,
-            self.new_lives,
-            said,
+            self.new_alive,
+            messages,
             self.old.successor is None,
             self.old.stopping,
             len(self.old.links),
@@ -133,19 +135,19 @@
         assert len(set(self.accepted)) == len(self.accepted), "a client was accepted twice"
 
     def final(self) -> None:
-        lives = self.new_lives or (self.old_lives and not self.old_ends)
-        assert not (self.queue and lives), "a client waits, and a process lives"
+        alive = self.new_alive or (self.old_alive and not self.old_stopping)
+        assert not (self.queue and alive), "a client waits while a process is alive"
 
 
-class Forgetful(Upgrade):
-    """Planted: does not take up again what the new process leaves."""
+class WithoutResume(Upgrade):
+    """Planted fault: does not accept again after the new process is gone."""
 
     def on_link_lost(self, link: Link) -> None:
         self.links.remove(link)
 
 
-class Early(Upgrade):
-    """Planted: accepts no more as soon as it has handed over, not once the new process serves."""
+class EarlyYield(Upgrade):
+    """Planted fault: stops accepting at the handover instead of once the new process serves."""
 
     def receive(self, message: Any) -> None:
         if isinstance(message, Accepting):
@@ -153,10 +155,10 @@
         super().receive(message)
 
 
-class Torn(Handover):
-    """Planted: looks at the queue's first client, and takes it off in another step."""
+class NonAtomicAccept(Handover):
+    """Planted fault: reads the first client of the queue and removes it in a separate step."""
 
-    def accepting(self, able: Callable[[], bool]) -> Iterator[Wait]:
+    def run_accept(self, able: Callable[[], bool]) -> Iterator[Wait]:
         while True:
             yield Wait(lambda: self.queue and able(), "look", idle=True)
             self.accepted.append(self.queue[0])
@@ -173,12 +175,12 @@
 @pytest.mark.parametrize(
     ("kind", "old", "failure"),
     [
-        (Handover, Forgetful, "a client waits"),
-        (Handover, Early, "a client waits"),
-        (Torn, Upgrade, "accepted twice"),
+        (Handover, WithoutResume, "a client waits"),
+        (Handover, EarlyYield, "a client waits"),
+        (NonAtomicAccept, Upgrade, "accepted twice"),
     ],
 )
-def test_planted_faults_are_found_and_their_schedules_can_be_played_again(
+def test_planted_faults_are_found_and_their_schedules_can_be_replayed(
     tmp_path: Path, kind: type[Handover], old: type[Upgrade], failure: str
 ) -> None:
     with pytest.raises(Failed, match=failure) as found:
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -1,4 +1,4 @@
-"""3, 20 and 200 front ends over a small model of hosts that load copies, cold and silent ones among them."""
+"""3, 20 and 200 front ends over simulated model hosts that load copies; some are cold or unresponsive."""
 
 from __future__ import annotations
 
@@ -28,10 +28,9 @@
 from .rig import SETTINGS, workers
 from .test_fleet import ANSWER_MS, Fleet
 
-O = Outcome  # noqa: E741
 LOAD_MS = 400.0
-LANES = 4
-RULES = replace(
+SLOTS = 4
+MESH_SETTINGS = replace(
     SETTINGS,
     reports_concurrent_requests=True,
     reports_copy_lookup=True,
@@ -42,120 +41,126 @@
 
 
 class Mesh(Fleet):
-    """Hosts hold, miss and load copies; `dumb` ones answer nothing. Counts what the rules are about."""
+    """Hosts that serve, miss and load copies; `unresponsive` ones do not answer. Checks the order limit."""
 
     def __init__(self, front_ends: int, count: int) -> None:
-        self.copies: dict[tuple[int, str], float] = {}  # (worker, function) -> from when it stands
-        self.names: dict[int, str] = {}
-        self.dumb: set[int] = set()
-        self.closed: set[int] = set()
-        self.taken: list[list[float]] = [[] for _ in range(front_ends)]
-        self.orders: list[tuple[float, int, int]] = []  # when, front end, worker
-        self.asks: list[float] = []
+        self.copies: dict[tuple[int, str], float] = {}  # (worker, function) -> when it is loaded
+        self.function_names: dict[int, str] = {}
+        self.unresponsive: set[int] = set()
+        self.closed_hosts: set[int] = set()
+        self.arrivals: list[list[float]] = [[] for _ in range(front_ends)]
+        self.orders: list[tuple[float, int, int]] = []  # time, front end, worker
+        self.queries: list[float] = []
         self.loads = 0
         super().__init__(front_ends, count)
-        self.routers = [Router(replace(RULES, front_ends=front_ends), seed) for seed in range(front_ends)]
+        self.routers = [
+            Router(replace(MESH_SETTINGS, front_ends=front_ends), seed) for seed in range(front_ends)
+        ]
         self.tell(WorkersListed(ListScope.REMEMBERED, workers(count)))
 
-    def give(self, n: int, *events: Event) -> None:
-        for e in events:
-            if isinstance(e, RequestArrived):
-                self.names[e.request] = e.function
-                self.taken[n].append(self.now)
-        for a in self.routers[n].handle(self.now, list(events)):
-            if isinstance(a, StartAttempt):
-                assert a.worker not in self.closed, "sent to a host that drains"
-                self.sends.append((self.now, n, a.worker))
-                self.answer_call(n, a.request, a.worker)
-            elif isinstance(a, OrderCopies):
-                self.answer_order(n, a)
+    def give(self, index: int, *events: Event) -> None:
+        for event in events:
+            if isinstance(event, RequestArrived):
+                self.function_names[event.request] = event.function
+                self.arrivals[index].append(self.now)
+        for action in self.routers[index].handle(self.now, list(events)):
+            if isinstance(action, StartAttempt):
+                assert action.worker not in self.closed_hosts, "sent to a host that drains"
+                self.sends.append((self.now, index, action.worker))
+                self.answer_call(index, action.request, action.worker)
+            elif isinstance(action, OrderCopies):
+                self.answer_order(index, action)
             else:
-                self.answer(n, a)
+                self.answer(index, action)
 
-    def answer(self, n: int, action: Action) -> None:
-        """Anything else; these hosts are not probed."""
+    def answer(self, index: int, action: Action) -> None:
+        """Handles other actions; these hosts are not probed."""
 
-    def answer_call(self, n: int, request: int, worker: int) -> None:
-        if worker in self.dumb:
+    def answer_call(self, index: int, request: int, worker: int) -> None:
+        if worker in self.unresponsive:
             return
-        router = self.routers[n]
+        router = self.routers[index]
         number = router.requests[request].attempt_count - 1
-        stands = self.copies.get((worker, self.names[request]))
-        if stands is None:
-            done = AttemptEnded(request, worker, number, O.MISS, 1.0, False)
-            self.open.append((self.now + 1.0, n, done))
+        loaded_at = self.copies.get((worker, self.function_names[request]))
+        if loaded_at is None:
+            ended = AttemptEnded(request, worker, number, Outcome.MISS, 1.0, False)
+            self.open.append((self.now + 1.0, index, ended))
         else:
-            end = max(stands, self.now) + ANSWER_MS
-            found = CopyLookup.LOADED if stands <= self.now else CopyLookup.WAITED_FOR_LOAD
-            done = AttemptEnded(request, worker, number, O.OK, end - self.now, True, found)
-            self.open.append((end, n, done))
-
-    def answer_order(self, n: int, a: OrderCopies) -> None:
-        assert a.worker not in self.closed or not a.copies, "ordered at a host that drains"
-        if a.copies:
-            self.orders.append((self.now, n, a.worker))
-            own = sum(t > self.now - 5000 and k == n for t, k, _ in self.orders)
-            assert own <= 6 + 0.3 * sum(t > self.now - 5000 for t in self.taken[n]), "loads not rationed"
+            end = max(loaded_at, self.now) + ANSWER_MS
+            lookup = CopyLookup.LOADED if loaded_at <= self.now else CopyLookup.WAITED_FOR_LOAD
+            ended = AttemptEnded(request, worker, number, Outcome.OK, end - self.now, True, lookup)
+            self.open.append((end, index, ended))
+
+    def answer_order(self, index: int, order: OrderCopies) -> None:
+        assert order.worker not in self.closed_hosts or not order.copies, "ordered at a host that drains"
+        if order.copies:
+            self.orders.append((self.now, index, order.worker))
+            recent = sum(at > self.now - 5000 and front_end == index for at, front_end, _ in self.orders)
+            assert recent <= 6 + 0.3 * sum(
+                at > self.now - 5000 for at in self.arrivals[index]
+            ), "loads not rationed"
         else:
-            self.asks.append(self.now)
-        if a.worker in self.dumb:
+            self.queries.append(self.now)
+        if order.worker in self.unresponsive:
             return
-        if a.copies and (a.worker, a.function) not in self.copies:
+        if order.copies and (order.worker, order.function) not in self.copies:
             self.loads += 1
-            self.copies[a.worker, a.function] = self.now + LOAD_MS
-        stands = self.copies.get((a.worker, a.function), self.now)
-        done = OrderEnded(a.worker, a.function, O.OK, int(bool(a.copies)), max(2.0, stands - self.now))
-        self.open.append((max(stands, self.now + 2.0), n, done))  # type: ignore[arg-type]
+            self.copies[order.worker, order.function] = self.now + LOAD_MS
+        loaded_at = self.copies.get((order.worker, order.function), self.now)
+        ended = OrderEnded(
+            order.worker, order.function, Outcome.OK, int(bool(order.copies)), max(2.0, loaded_at - self.now)
+        )
+        self.open.append((max(loaded_at, self.now + 2.0), index, ended))  # type: ignore[arg-type]
 
     def step(self, ms: float) -> None:
-        """Time passes by `ms`; timers fire as they would in front ends that handle what is due each 5 ms."""
+        """Advances the clock by `ms`; front ends handle their timers every 5 ms."""
         until = self.now + ms
         while self.now < until:
             self.now += 5.0
             self.deliver()
-            for n, router in enumerate(self.routers):
+            for index, router in enumerate(self.routers):
                 if router.scheduled and router.scheduled[0][0] <= self.now:
-                    self.give(n, TimerFired("agenda"))
+                    self.give(index, TimerFired("agenda"))
 
     def play(self, ms: float, calls_a_second: float, functions: int) -> None:
         until = self.now + ms
         while self.now < until:
             self.step(1000 / calls_a_second)
             self.serial += 1
-            n, name = self.serial * 7 % len(self.routers), f"f{self.serial * 5 % functions}"
-            ask = RequestArrived(self.serial, 0, name, self.now + 2000, None, None, 400, LANES, LOAD_MS)
-            self.give(n, ask)
+            index, name = self.serial * 7 % len(self.routers), f"f{self.serial * 5 % functions}"
+            ask = RequestArrived(self.serial, 0, name, self.now + 2000, None, None, 400, SLOTS, LOAD_MS)
+            self.give(index, ask)
 
 
 @pytest.mark.parametrize("front_ends", [3, 20, 200])
 def test_after_a_release_the_fleet_orders_in_proportion_to_need(front_ends: int) -> None:
     mesh, functions = Mesh(front_ends, 6), 12
     mesh.play(4000, 100, functions)
-    mesh.copies.clear()  # released anew: nothing stands anywhere
+    mesh.copies.clear()  # as after a release: no copy is loaded
     before, loads = len(mesh.orders), mesh.loads
     mesh.play(3000, 100, functions)
     assert functions <= mesh.loads - loads <= 3 * functions
-    assert len(mesh.orders) - before <= 6 * functions  # not one for each front end and function
+    assert len(mesh.orders) - before <= 6 * functions  # rather than one per front end and function
 
 
 @pytest.mark.parametrize("front_ends", [3, 20, 200])
-def test_one_silent_host_does_not_set_all_front_ends_asking_at_once(front_ends: int) -> None:
+def test_an_unresponsive_host_is_not_queried_by_all_front_ends_at_once(front_ends: int) -> None:
     mesh = Mesh(front_ends, 6)
     mesh.play(4000, 100, 12)
-    mesh.asks.clear()
-    mesh.dumb.add(mesh.sends[-1][2])
+    mesh.queries.clear()
+    mesh.unresponsive.add(mesh.sends[-1][2])
     mesh.play(4000, 100, 12)
-    together = max((sum(at <= t < at + 100 for t in mesh.asks) for at in mesh.asks), default=0)
-    assert mesh.asks and together <= max(3, front_ends // 4)
+    together = max((sum(at <= t < at + 100 for t in mesh.queries) for at in mesh.queries), default=0)
+    assert mesh.queries and together <= max(3, front_ends // 4)
 
 
 @pytest.mark.parametrize("front_ends", [3, 20, 200])
-def test_a_host_that_drains_gets_nothing_new_from_any_front_end(front_ends: int) -> None:
+def test_a_draining_host_gets_no_new_work_from_any_front_end(front_ends: int) -> None:
     mesh = Mesh(front_ends, 6)
     mesh.play(3000, 100, 12)
     leaving = mesh.sends[-1][2]
     mesh.tell(WorkersListed(ListScope.CHANGES, (WorkerEntry(leaving, status=WorkerStatus.DRAINING),)))
-    mesh.closed.add(leaving)  # `give` holds each send and order against it
+    mesh.closed_hosts.add(leaving)  # `give` fails at an attempt or order there
     before = len(mesh.sends)
     mesh.play(2000, 100, 12)
     assert len(mesh.sends) - before >= 150
@@ -163,25 +168,27 @@
 
 @pytest.mark.parametrize("front_ends", [3, 40, 200])
 def test_hosts_that_replace_most_take_calls_while_they_are_cold(front_ends: int) -> None:
-    """Seen where 24 of 40 were replaced: all went to the 16 old ones, 40 calls at a time at each, while the
-    new ones held one or none."""
+    """Guards against sending all requests to the old hosts while cold ones take one or none.
+
+    After 24 of 40 hosts were replaced, each of the other 16 had 40 requests at a time.
+    """
     mesh = Mesh(front_ends, 10)
     mesh.play(4000, 100, 61)
     left = tuple(WorkerEntry(n, status=WorkerStatus.DRAINING) for n in range(1, 7))
     new = tuple(WorkerEntry(n, started=mesh.now) for n in range(11, 17))
     mesh.tell(WorkersListed(ListScope.CHANGES, left + new))
-    mesh.closed.update(range(1, 7))
+    mesh.closed_hosts.update(range(1, 7))
     started = mesh.now
-    mesh.play(RULES.cold_period, 100, 61)
-    late = [w for at, _, w in mesh.sends if at > started + RULES.cold_period / 4]
-    assert sum(w > 10 for w in late) >= len(late) / 20  # before: one in 600
+    mesh.play(MESH_SETTINGS.cold_period, 100, 61)
+    late = [worker for at, _, worker in mesh.sends if at > started + MESH_SETTINGS.cold_period / 4]
+    assert sum(worker > 10 for worker in late) >= len(late) / 20  # the fault had one in 600
 
 
 @pytest.mark.parametrize("share", [0.2, 0.6, 1.0])
-def test_a_worker_leads_the_order_of_as_many_functions_as_its_warmth_bears(share: float) -> None:
+def test_a_cold_worker_comes_first_for_a_share_of_functions_by_its_capacity(share: float) -> None:
     mesh = Mesh(2, 5)
-    grown = (share - RULES.cold_share) / (1 - RULES.cold_share)
-    entry = WorkerEntry(5, started=mesh.now - grown * RULES.cold_period)
+    grown = (share - MESH_SETTINGS.cold_share) / (1 - MESH_SETTINGS.cold_share)
+    entry = WorkerEntry(5, started=mesh.now - grown * MESH_SETTINGS.cold_period)
     mesh.tell(WorkersListed(ListScope.CHANGES, (entry,)))
     heads = []
     for router in mesh.routers:
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -1,4 +1,4 @@
-"""The module's size, and what it may not use."""
+"""Limits on the size of the decision modules and on what they use."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("name", POLICY)
-def test_each_decision_module_stays_within_its_pages(name: str) -> None:
+def test_each_decision_module_stays_within_its_size_limit(name: str) -> None:
     lines = SOURCES[name].splitlines()
     assert sum(bool(line.strip()) for line in lines) <= 500
     assert max(map(len, lines)) <= 110
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""The sites of deploy/sites: an invoker reads and serves each, and the program knows the names of none."""
+"""The sites in deploy/sites: the invoker reads and serves each, and its code contains no names of theirs."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 REPORTS = {"inflight": "concurrent", "queue": "depth", "util": "load_share"}
 MB_PER_CORE = 2000
 ALARM = "frost-alarm"
-LATER_MS = 50  # on sockets every time limit is so much longer
+SOCKET_TOLERANCE_MS = 50  # tolerance for time limits over sockets
 
 
-def least(value: Any) -> Any:
-    """A figure of a site, of which a range gives the lower end."""
+def lower_end(value: Any) -> Any:
+    """Returns a value of a site; for a range, its lower end."""
     return value[0] if isinstance(value, list) else value
 
 
@@ -52,7 +52,7 @@
 
 
 def wire_settings(site: dict[str, Any]) -> dict[str, Any]:
-    """The settings that an invoker of this site gets, as the wire names them."""
+    """Returns the settings of an invoker of this site, under their names on the wire."""
     allow, rules, fam, tier = site["allow"], site["rules"], site["fam"], site["tier"][0]
     kinds = tier["kind"]
     return {
@@ -71,14 +71,14 @@
         "obligations": {
             "answer-slack": 8,
             "cold": max(k["cold_s"][1] for k in kinds) * 1000,
-            "cold-share": min(least(k["cold_from"]) for k in kinds),
+            "cold-share": min(lower_end(k["cold_from"]) for k in kinds),
             "drain-grace": rules["drain_grace_ms"],
             "fall-multiple": rules["fall_multiple"],
             "overload-for": rules["fall_ms"],
         },
         "extra": {
             "orders": fam["orders"],
-            "stays-loaded": least(fam["keep_s"]) * 1000,
+            "stays-loaded": lower_end(fam["keep_s"]) * 1000,
             "order-limit": 10000,
             "load-window": fam["load_window_ms"],
             "load-floor": fam["load_free"],
@@ -95,7 +95,7 @@
         "worth-by": site["load"]["worth_by"],
         "discovery": "on_request" if site["discovery"]["mode"] == "ask" else "pushed",
         "period": site["day"]["tick_ms"],
-        "siblings": least(site["scale"]["balancers"]),
+        "siblings": lower_end(site["scale"]["balancers"]),
         "load-report": {"fields": [REPORTS.get(f, f) for f in tier["report"]["fields"]]},
     }
 
@@ -106,7 +106,7 @@
     return read_config(env={"RELAY_CONFIG": str(path)})
 
 
-# --- the settings are read ---
+# --- reading of settings ---
 
 
 def test_the_sites_differ_as_other_deployments_do() -> None:
@@ -174,11 +174,11 @@
         read(settings, tmp_path)
 
 
-# --- and served ---
+# --- serving ---
 
 
 def calls(site: str, first: int = 1) -> str:
-    """Steps in which a call of every class is served, in turn for every tenant."""
+    """Returns steps that serve a call of every class, with the tenants in turn."""
     steps, tenants = [], [t["name"] for t in SITES[site]["tenant"]]
     for n, c in enumerate(SITES[site]["class"], first):
         key = f"token=k-{n}" if c["effect"] == "keyed" else ""
@@ -192,7 +192,7 @@
 
 
 def refused_names(site: str, other: str) -> str:
-    """Steps in which no class and no tenant of the other site is taken."""
+    """Returns steps in which calls with classes and tenants of the other site are rejected."""
     tenant, name = SITES[site]["tenant"][0]["name"], SITES[site]["class"][0]["name"]
     steps = []
     for n, c in enumerate(SITES[other]["class"], 50):
@@ -214,7 +214,7 @@
     run(tmp_path, text, settings=wire_settings(SITES[site]))
 
 
-def test_the_short_deadline_is_kept_by_an_answer_and_by_a_refusal(tmp_path: Path) -> None:
+def test_answers_and_refusals_keep_the_short_deadline(tmp_path: Path) -> None:
     deadline = next(c["deadline_ms"] for c in SITES[ORCHARDS]["class"] if c["name"] == ALARM)
     call = f"{ALARM} acct=growers-oum budget={deadline}"
     scene = Scene(tmp_path, settings=wire_settings(SITES[ORCHARDS]))
@@ -235,7 +235,7 @@
                 {host}
                 expect c1 {n} error -32050""")
             took = 1000 * (time.monotonic() - sent)
-            assert took <= deadline + LATER_MS
+            assert took <= deadline + SOCKET_TOLERANCE_MS
             scene.play(after)
     finally:
         scene.end()
@@ -270,7 +270,7 @@
     assert replace(merged, **{name: getattr(new, name) for name in indexed}) == new
 
 
-# --- and the program knows none of their names ---
+# --- names in the code ---
 
 
 def names(settings: dict[str, Any]) -> set[str]:
@@ -279,7 +279,7 @@
 
 
 def found(paths: Iterable[Path]) -> list[str]:
-    """Where the name of a class, tenant, kind or zone of any site stands in these files."""
+    """Returns the places in the files that contain a name of a class, tenant, kind or zone of any site."""
     known = names(SETTINGS).union(*(names(wire_settings(site)) for site in SITES.values()))
     name = re.compile(rf"(?<![\w-])({'|'.join(sorted(known))})(?![\w-])")
     return [
@@ -290,8 +290,8 @@
     ]
 
 
-def test_no_name_of_a_site_stands_in_the_program_or_in_the_platforms_deploy_file() -> None:
-    """deploy/operator.toml is not among them: an operator names the classes of one installation there."""
+def test_no_name_of_a_site_is_in_the_code_or_in_balancer_toml() -> None:
+    """Excludes deploy/operator.toml, where an operator names the classes of one installation."""
     files = [p for p in ROOT.glob("harrieryoke/**/*") if p.suffix in (".py", ".proto")]
     assert len(files) > 100
     assert found([*files, ROOT / "deploy/balancer.toml"]) == []
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -1,4 +1,4 @@
-"""SIGHUPs without a pause, with broken and good files in turn, while calls are open and come."""
+"""Continuous SIGHUPs with valid and invalid files in turn, under load."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .scenario import Scene
 from .test_retune import NEW, Change, adds, changed, put
 
-OWN: dict[str, Change] = {
+INVALID_CHANGES: dict[str, Change] = {
     "settings.classes[0]: an object is": put("weight-read", "classes", 0),
     "settings.classes[1].hard-limit: it is missing": put(None, "classes", 1, "hard-limit"),
     "settings.realms: a list is": put("coops", "realms"),
@@ -28,12 +28,12 @@
 STORM = 300
 
 
-class Busy(Scene):
-    """One host that answers each request at once, and a client whose calls go on until it is told."""
+class LoadedScene(Scene):
+    """A host that answers each request at once, and a client that sends calls until `done`."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder)
-        self.sent, self.wrong, self.enough = 0, list[Any](), threading.Event()
+        self.sent, self.wrong, self.stopped = 0, list[Any](), threading.Event()
         threading.Thread(target=self.serve, daemon=True).start()
         self.caller = threading.Thread(target=self.call, daemon=True)
         self.play("send c1 probe 100000\nexpect c1 100000 healthy")
@@ -46,7 +46,7 @@
                 host.sock().sendall(frames.encode(frames.OK, frame.id, {}, b"y", frames.FROM_HOST))
 
     def call(self) -> None:
-        while not self.enough.is_set():
+        while not self.stopped.is_set():
             for _ in range(8):
                 self.sent += 1
                 self.play(f"send c1 call {self.sent} weight-read")
@@ -54,22 +54,22 @@
             self.wrong += [a for a in answers if "result" not in a]
 
     def write(self, change: Change) -> None:
-        """The file is there whole or not at all."""
+        """Replaces the configuration file atomically."""
         aside = self.folder / "aside"
         aside.write_text(json.dumps(self.config | {"settings": changed(change)}))
         aside.replace(self.folder / "config.json")
 
     def done(self) -> dict[str, int]:
-        """The figures once the last call has its answer."""
-        self.enough.set()
+        """Returns the metrics after the last call is answered."""
+        self.stopped.set()
         self.caller.join()
         return self.figures()
 
 
-def test_broken_files_under_load_are_turned_down_one_by_one_with_their_key(tmp_path: Path) -> None:
-    scene = Busy(tmp_path)
+def test_invalid_files_under_load_are_rejected_with_their_key(tmp_path: Path) -> None:
+    scene = LoadedScene(tmp_path)
     try:
-        for n, (key, change) in enumerate(OWN.items(), 1):
+        for n, (key, change) in enumerate(INVALID_CHANGES.items(), 1):
             scene.write(change)
             scene.play(f"send node HUP\nwait reload-failed the old configuration stays: {key}")
             assert scene.figures()["invoker_config_rejected"] == n
@@ -80,9 +80,9 @@
         scene.end()
 
 
-def test_a_storm_of_files_loses_no_call_and_ends_with_the_last_one(tmp_path: Path) -> None:
-    scene = Busy(tmp_path)
-    broken = list(OWN.values())
+def test_a_storm_of_reloads_loses_no_call_and_ends_with_the_last_file(tmp_path: Path) -> None:
+    scene = LoadedScene(tmp_path)
+    broken = list(INVALID_CHANGES.values())
     try:
         for n in range(STORM):
             scene.write(broken[n // 2 % len(broken)] if n % 2 else adds)
@@ -90,12 +90,12 @@
         scene.write(lambda s: s["classes"].append(NEW | {"name": "last"}))
         scene.play("send node HUP")
         until = time.monotonic() + 10
-        # the log is no help: it has so many lines a second and no more
+        # waits for the metrics, as the log is rate-limited
         while 'invoker_tries{kind="last"}' not in scene.figures():
             assert time.monotonic() < until, "the last file never came into force"
         seen = scene.done()
         assert not scene.wrong and seen['invoker_responses{kind="weight-read",result="ok"}'] == scene.sent
-        # signals that come before the last one is heard are one signal
+        # signals that arrive before the last one is handled are merged
         taken = seen["invoker_config_applied"] + seen["invoker_config_rejected"]
         assert 2 <= taken <= STORM + 1 and scene.sent > 8
         scene.play("send c1 call 200000 last\nexpect c1 200000 result y")
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter on a small hand-written transcript, good and malformed."""
+"""The simulator's adapter on short transcripts, valid and malformed."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 def test_a_transcript_from_start_to_answer() -> None:
     out = talk([*START, *ASKED])
-    assert out[0] == "DONE"  # nothing is due yet: no timer
+    assert out[0] == "DONE"  # nothing is scheduled yet
     tag, who, request, worker, stop_at = out[1].split(" ")
     assert (tag, who, request, stop_at) == ("SUBMIT_TO", "3", "5", "-") and worker in ("11", "12")
     miss = f"SETTLED 3 5 0 Miss 1.5 - {worker} 0 7,0.4,1"
@@ -51,23 +51,25 @@
     assert out[4] == f"START_COPY 3 {worker} m-x 1" and out[-1] == "DONE"
 
 
-def test_an_empty_batch_gets_an_empty_reply_and_a_torn_down_instance_is_forgotten() -> None:
+def test_an_empty_batch_gets_an_empty_reply_and_a_torn_down_instance_is_removed() -> None:
     assert talk(["BEGIN_BATCH 1", "EOF_BATCH"]) == ["DONE"]
     out = talk([*START, "BEGIN_BATCH 102", ASKED[1], "TEARDOWN 3", "EOF_BATCH"])
     assert out == ["DONE", "DONE"]
 
 
 def test_reports_and_notes_are_read_by_name() -> None:
-    e = wirehost.READERS["SETTLED"]("5 1 Ok 18.5 25 11 0 7,-,1".split(" "), ("concurrent", "x0", "unheard"))
-    assert isinstance(e, AttemptEnded)
+    event = wirehost.READERS["SETTLED"](
+        "5 1 Ok 18.5 25 11 0 7,-,1".split(" "), ("concurrent", "x0", "unheard")
+    )
+    assert isinstance(event, AttemptEnded)
     assert (
-        e.copy_lookup is CopyLookup.LOADED
-        and e.concurrent_requests == 3
-        and e.report == LoadReport(in_progress=7.0)
+        event.copy_lookup is CopyLookup.LOADED
+        and event.concurrent_requests == 3
+        and event.report == LoadReport(in_progress=7.0)
     )
 
 
-def test_an_exception_in_a_router_is_told_on_the_wire(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_a_router_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(*_: object) -> list[Action]:
         raise RuntimeError("out of\nluck")
 
@@ -90,7 +92,7 @@
         [*START, "BEGIN_BATCH 2", "SETTLED 3 5 0 Vanished 1 - 11 0 -", "EOF_BATCH"],
     ],
 )
-def test_malformed_input_ends_with_a_plain_message(lines: list[str]) -> None:
+def test_malformed_input_ends_with_an_error_message(lines: list[str]) -> None:
     run = subprocess.run(
         [sys.executable, "-m", "harrieryoke.wirehost"],
         input="\n".join(lines) + "\n",
