--- a/harrieryoke/core/module.py
+++ b/harrieryoke/core/module.py
@@ -250,9 +250,8 @@
             self.table.revoke(task, i.Outcome.CANCELLED)
         self.seed += 1
         self.router, self.timers = Router(self.settings, self.seed), []
-        self.orders_from = (
-            now + self.settings.order_limit_window
-        )  # the fresh one does not know of earlier orders
+        # the fresh one does not know of earlier orders
+        self.orders_from = now + self.settings.order_limit_window
         known: list[i.Event] = [i.WorkersListed(i.ListScope.REMEMBERED, tuple(self.entries.values()))]
         known += [] if self.list_confirmed is None else [self.list_confirmed]
         for action in self.router.handle(now, known):
--- a/harrieryoke/state.py
+++ b/harrieryoke/state.py
@@ -102,9 +102,8 @@
     suspected_classes: dict[int, tuple[float, float]] = field(default_factory=dict)
     unanswered_classes: set[int] = field(default_factory=set)  # classes with an overdue attempt
     last_served: dict[int, float] = field(default_factory=dict)  # class -> last successful answer
-    in_flight: dict[tuple[int, int], float] = field(
-        default_factory=dict
-    )  # own attempts -> sent, oldest first
+    # own attempts -> time of sending, oldest first
+    in_flight: dict[tuple[int, int], float] = field(default_factory=dict)
 
     def is_known_start(self, entry: WorkerEntry) -> bool:
         """Whether a new list entry refers to the start that is already known."""
@@ -123,7 +122,7 @@
     mean_duration: float
     memory: float = 0.0
     slots: int = 1
-    last_used: float = NEVER  # in time of demand: without idle time
+    last_used: float = NEVER  # on a clock that excludes idle time
     copy_width: float = 1.0  # number of workers that should have copies
     sole_user: bool = False  # a copy expired between own requests: no other front end renews it
     dispatch_scheduled: bool = False
--- a/harrieryoke/work_lease.py
+++ b/harrieryoke/work_lease.py
@@ -39,9 +39,8 @@
     """Age of the worker list. Without any confirmation it counts as current: the simulator sends none."""
 
     confirmed_at: float | None = None  # all earlier changes are in the list
-    unreadable: frozenset[int] = field(
-        default_factory=frozenset
-    )  # workers whose latest entry could not be read
+    # workers whose latest entry could not be read
+    unreadable: frozenset[int] = field(default_factory=frozenset)
 
     def confirm(self, event: ListConfirmed) -> None:
         """Applies a confirmation by discovery, which excludes entries that could not be read."""
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -112,13 +112,13 @@
                 if self.outcomes[action.request, number] not in NOT_EXECUTED
             ]
             if request_class.effect is Effect.UNSAFE:
-                assert not possible_runs, "effect twice"
+                assert not possible_runs, "executed twice"
             if request_class.effect is Effect.KEYED:
                 deduplicated = [
                     worker // 2 == action.worker // 2 and self.now - at < request_class.repeat_window
                     for worker, at in possible_runs
                 ]
-                assert all(deduplicated), "key lost"
+                assert all(deduplicated), "repeated outside the deduplication window or scope"
             assert action.worker not in self.closed_workers, "sent to a draining worker"
             earlier.append((action.worker, self.now))
         elif isinstance(action, OrderCopies) and action.copies:
@@ -128,7 +128,7 @@
                 since = self.now - self.settings.order_limit_window
                 arrivals = sum(at > since for at in self.arrivals.values())
                 order_limit = self.settings.order_limit_floor + self.settings.order_limit_share * arrivals
-                assert sum(at > since for at in self.orders) <= order_limit, "loads not rationed"
+                assert sum(at > since for at in self.orders) <= order_limit, "order limit exceeded"
         elif isinstance(action, Refuse | Fail):
             assert action.request not in self.ended, "two final answers"
             self.ended.add(action.request)
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -150,14 +150,14 @@
                 kept.append((self.now, index, ended))
         self.open = kept
 
-    def start(self, hosts: list[int], told: bool = True) -> None:
+    def start(self, hosts: list[int], listed: bool = True) -> None:
         """Restarts hosts: their copies are gone and their open attempts are reset."""
         self.refusing -= set(hosts)
         self.unresponsive -= set(hosts)
         self.end_open(hosts, Outcome.RESET)
         self.copies = {key: at for key, at in self.copies.items() if key[0] not in hosts}
         self.started_at |= dict.fromkeys(hosts, self.now)
-        if told:
+        if listed:
             self.tell_starts(hosts)
 
     def tell_starts(self, hosts: list[int]) -> None:
@@ -219,14 +219,16 @@
     fleet.traffic(MESH_SETTINGS.cold_period)
 
 
-def zone_back(refuse: bool, told: bool, lost_ms: float = 3000, zones: int = 1) -> Callable[[ColdFleet], None]:
+def zone_back(
+    refuse: bool, listed: bool, lost_ms: float = 3000, zones: int = 1
+) -> Callable[[ColdFleet], None]:
     """(c) Zones are lost for a while and return cold."""
 
     def play(fleet: ColdFleet) -> None:
         zone = [n for n in range(1, HOSTS + 1) if n % ZONES < zones]
         fleet.lose(zone, refuse)
         fleet.traffic(lost_ms)
-        fleet.start(zone, told)
+        fleet.start(zone, listed)
         fleet.traffic(MESH_SETTINGS.cold_period)
 
     return play
@@ -245,7 +247,7 @@
     """(e) A host restarts at once, and the list reports it late."""
 
     def play(fleet: ColdFleet) -> None:
-        fleet.start([1], told=False)
+        fleet.start([1], listed=False)
         fleet.traffic(ms)
         fleet.tell_starts([1])
         fleet.traffic(MESH_SETTINGS.cold_period - ms)
@@ -272,14 +274,14 @@
     "a one host starts": one_host,
     "a all others drain": others_drain,
     "b half replaced": half_replaced,
-    "c zone refuses, told": zone_back(refuse=True, told=True),
-    "c zone refuses, not told": zone_back(refuse=True, told=False),
-    "c zone refuses 12 s, not told": zone_back(refuse=True, told=False, lost_ms=12000),
-    "c zone silent, told": zone_back(refuse=False, told=True),
-    "c zone silent, not told": zone_back(refuse=False, told=False),
-    "c zone silent 12 s, not told": zone_back(refuse=False, told=False, lost_ms=12000),
-    "c all refuse 30 s, not told": zone_back(refuse=True, told=False, lost_ms=30000, zones=ZONES),
-    "c all silent 12 s, not told": zone_back(refuse=False, told=False, lost_ms=12000, zones=ZONES),
+    "c zone refuses, told": zone_back(refuse=True, listed=True),
+    "c zone refuses, not told": zone_back(refuse=True, listed=False),
+    "c zone refuses 12 s, not told": zone_back(refuse=True, listed=False, lost_ms=12000),
+    "c zone silent, told": zone_back(refuse=False, listed=True),
+    "c zone silent, not told": zone_back(refuse=False, listed=False),
+    "c zone silent 12 s, not told": zone_back(refuse=False, listed=False, lost_ms=12000),
+    "c all refuse 30 s, not told": zone_back(refuse=True, listed=False, lost_ms=30000, zones=ZONES),
+    "c all silent 12 s, not told": zone_back(refuse=False, listed=False, lost_ms=12000, zones=ZONES),
     "d front ends restart": front_ends_restart,
     "e told 1 s late": reported_late(1000),
     "e told 3 s late": reported_late(3000),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -87,9 +87,8 @@
     usual = len([at for at, _, _ in fleet.sends if at > fleet.now - 8000]) / 8 / 4
     started = fleet.now
     fleet.tell(i.WorkersListed(i.ListScope.CHANGES, (i.WorkerEntry(1, started=started),)))
-    gone = tuple(
-        i.WorkerEntry(n, status=i.WorkerStatus.DRAINING) for n in (2, 3, 4)
-    )  # all calls want to come
+    # all calls want to come
+    gone = tuple(i.WorkerEntry(n, status=i.WorkerStatus.DRAINING) for n in (2, 3, 4))
     fleet.tell(i.WorkersListed(i.ListScope.CHANGES, gone))
     fleet.run(7000, gap=12.5 * front_ends)
     cold = [at for at, _, w in fleet.sends if w == 1 and at >= started]
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -98,7 +98,7 @@
             recent = sum(at > self.now - 5000 and front_end == index for at, front_end, _ in self.orders)
             assert recent <= 6 + 0.3 * sum(
                 at > self.now - 5000 for at in self.arrivals[index]
-            ), "loads not rationed"
+            ), "order limit exceeded"
         else:
             self.queries.append(self.now)
         if order.worker in self.unresponsive:
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -220,7 +220,7 @@
     with pytest.raises(AssertionError, match="two attempts"):
         rig.check(StartAttempt(1, 2))
     rig.outcomes[1, 0] = Outcome.RESET
-    with pytest.raises(AssertionError, match="effect twice"):
+    with pytest.raises(AssertionError, match="executed twice"):
         rig.check(StartAttempt(1, 2))
     with pytest.raises(AssertionError, match="may have run"):
         rig.check(Refuse(1))
@@ -230,7 +230,7 @@
     with pytest.raises(AssertionError, match="draining"):
         rig.check(OrderCopies(3, "f", 1))
     rig.check(OrderCopies(2, "f", 1))
-    with pytest.raises(AssertionError, match="rationed"):
+    with pytest.raises(AssertionError, match="order limit"):
         rig.check(OrderCopies(2, "f", 1))
 
 
@@ -471,7 +471,7 @@
     assert loads(rig.settle(1, Outcome.MISS, 1)) == [(head, "f")]
     rig.orders.clear()  # the limit counts orders that reach a worker
     rig.loaded(head, Outcome.NOT_SENT)
-    assert loads(rig.wait(200)) == [(head, "f")], "the ration is spent on an order that never went out"
+    assert loads(rig.wait(200)) == [(head, "f")], "an order that was not sent counts for the limit"
 
 
 @pytest.mark.parametrize(("silent_ms", "cold"), [(1.2 * SETTINGS.keep_alive, True), (4000.0, False)])
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -37,17 +37,17 @@
     return value[0] if isinstance(value, list) else value
 
 
-def class_settings(told: dict[str, Any]) -> dict[str, Any]:
+def class_settings(request_class: dict[str, Any]) -> dict[str, Any]:
     settings = {
-        "name": told["name"],
-        "goal-time": told["aim_ms"],
-        "hard-limit": told["deadline_ms"],
-        "repeat": EFFECTS[told["effect"]],
-        "value": told["worth"],
-        "late-worth": told["late_worth"],
+        "name": request_class["name"],
+        "goal-time": request_class["aim_ms"],
+        "hard-limit": request_class["deadline_ms"],
+        "repeat": EFFECTS[request_class["effect"]],
+        "value": request_class["worth"],
+        "late-worth": request_class["late_worth"],
     }
-    if told["effect"] == "keyed":
-        settings |= {"dedup-scope": told["group"], "repeat-window": told["window_ms"]}
+    if request_class["effect"] == "keyed":
+        settings |= {"dedup-scope": request_class["group"], "repeat-window": request_class["window_ms"]}
     return settings
 
 
@@ -119,28 +119,28 @@
     assert all(len(s["class"]) == len(s["fam"]["class"]) for s in SITES.values())
 
 
-@pytest.mark.parametrize("site", SITES)
-def test_every_setting_of_a_site_is_read(site: str, tmp_path: Path) -> None:
-    told, config = SITES[site], read(wire_settings(SITES[site]), tmp_path)
+@pytest.mark.parametrize("site_name", SITES)
+def test_every_setting_of_a_site_is_read(site_name: str, tmp_path: Path) -> None:
+    site, config = SITES[site_name], read(wire_settings(SITES[site_name]), tmp_path)
     got, limits = config.settings, config.limits
-    for c, r in zip(told["class"], got.classes, strict=True):
+    for c, r in zip(site["class"], got.classes, strict=True):
         wanted = (c["name"], c["aim_ms"], c["deadline_ms"], c["worth"], c["late_worth"], c["effect"])
         assert (r.name, r.latency_target, r.deadline, r.worth, r.late_worth, r.effect.value) == wanted
         if r.effect is Effect.KEYED:
             assert (r.deduplication_scope.value, r.repeat_window) == (c["group"], c["window_ms"])
-    assert [t.name for t in got.tenants] == [t["name"] for t in told["tenant"]]
-    assert list(got.zones) == told["net"]["zones"]
-    kinds = told["tier"][0]["kind"]
+    assert [t.name for t in got.tenants] == [t["name"] for t in site["tenant"]]
+    assert list(got.zones) == site["net"]["zones"]
+    kinds = site["tier"][0]["kind"]
     assert got.kinds == tuple(k["name"] for k in kinds)
     assert got.memory_by_kind == tuple(k["cores"] * MB_PER_CORE for k in kinds)
-    allow, fam, rules, conn = told["allow"], told["fam"], told["rules"], told["tier"][0]["conn"]
+    allow, fam, rules, conn = site["allow"], site["fam"], site["rules"], site["tier"][0]["conn"]
     pairs = [
         (got.may_cancel, allow["cancel"]),
         (got.may_probe, allow["probes"]),
         (got.second_attempts, allow["second_copies"]),
         (got.sends_retry_after, allow["retry_after"]),
         (got.max_attempts, allow["max_attempts"]),
-        (got.max_retry_after, told["clients"]["max_retry_after_ms"]),
+        (got.max_retry_after, site["clients"]["max_retry_after_ms"]),
         (got.connect_timeout, conn["connect_timeout_ms"]),
         (limits.dial_ms, conn["connect_timeout_ms"]),
         (limits.link_idle_ms, conn["idle_s"] * 1000),
@@ -157,11 +157,11 @@
         (got.idle_copy_price, fam["memory_price"]),
         (got.reports_copy_lookup, fam["tells_warm"]),
         (got.reports_concurrent_requests, fam["tells_crowd"]),
-        (got.over_share_worth, told["load"]["over_share_worth"]),
-        (got.worth_by_work, told["load"]["worth_by"] == "work"),
-        (got.list_on_request, told["discovery"]["mode"] == "ask"),
-        (got.tick, told["day"]["tick_ms"]),
-        (got.front_ends, told["scale"]["balancers"][0]),
+        (got.over_share_worth, site["load"]["over_share_worth"]),
+        (got.worth_by_work, site["load"]["worth_by"] == "work"),
+        (got.list_on_request, site["discovery"]["mode"] == "ask"),
+        (got.tick, site["day"]["tick_ms"]),
+        (got.front_ends, site["scale"]["balancers"][0]),
     ]
     assert [pair for pair in pairs if pair[0] != pair[1]] == []
 
