--- a/harrieryoke/config.py
+++ b/harrieryoke/config.py
@@ -16,7 +16,7 @@
 from .limits import Limits
 from .net.hostlist_model import Known
 from .parts import Operator
-from .settings import check_figure, read_list, read_settings
+from .settings import check_number, read_list, read_settings
 
 MAX_READS = 3  # of a file that changes while it is read
 # fields of Limits that a reload may change -> their keys in the settings' ceilings
@@ -76,7 +76,7 @@
         try:
             value = ceilings.get(key) or getattr(defaults, field)
             read[field] = msgspec.convert(value, type(getattr(defaults, field)), strict=False)
-            check_figure(read[field], above_0=True)
+            check_number(read[field], above_0=True)
         except (ValueError, OverflowError) as error:  # msgspec's are among them
             raise ConfigError(f"settings.ceilings.{key}: {error}") from None
     return read
--- a/harrieryoke/core/module.py
+++ b/harrieryoke/core/module.py
@@ -10,9 +10,9 @@
 import gevent
 
 from .. import interface as i
-from ..brain import Router
 from ..limits import Limits
 from ..log import Log
+from ..router import Router
 from .actor import Actor
 from .clock import WallClockWatch, now_ms
 from .metrics import Metrics
@@ -175,16 +175,16 @@
             self.log(
                 "list-current" if self.logged_list_current else "list-unconfirmed", self.describe_list_age()
             )
-        if self.router.outs != self.logged_hosts_out:
-            self.logged_hosts_out = self.router.outs
-            out = sorted(self.host_name(number) for number, w in self.router.workers.items() if w.out)
+        if self.router.ejected_count != self.logged_hosts_out:
+            self.logged_hosts_out = self.router.ejected_count
+            out = sorted(self.host_name(number) for number, w in self.router.workers.items() if w.ejected)
             self.log("hosts-out", f"{len(out)} of {len(self.router.workers)}: {', '.join(out) or 'none'}")
 
     def describe_list_age(self) -> str:
         """Describe the age of the worker list and its unreadable entries."""
         age = self.router.list_age
-        since = "" if age.confirmed is None else f"confirmed {self.clock() - age.confirmed:.0f} ms ago"
-        doubtful = ", ".join(sorted(map(self.host_name, age.doubtful)))
+        since = "" if age.confirmed_at is None else f"confirmed {self.clock() - age.confirmed_at:.0f} ms ago"
+        doubtful = ", ".join(sorted(map(self.host_name, age.unreadable)))
         return f"{since}; unreadable last entries: {doubtful or 'none'}"
 
     def host_name(self, worker: int) -> str:
@@ -222,7 +222,7 @@
     def count_avoided(self) -> int:
         """Count the listed model hosts that accept calls but are excluded by the router."""
         router = self.router
-        return sum(w.up and not router.usable(w) for w in router.workers.values())
+        return sum(w.active and not router.is_usable(w) for w in router.workers.values())
 
     def run_router(self, now: float, events: list[i.Event]) -> None:
         """Pass the events to the router and carry out its actions."""
@@ -405,7 +405,7 @@
             self.queue_event(TaskEnded(order, i.Outcome.FULL), now)
         else:
             if action.copies:
-                ordered, arrived = len(self.router.ordered), len(self.router.arrivals)
+                ordered, arrived = len(self.router.order_times), len(self.router.arrival_times)
                 counts = f"{ordered} orders and {arrived} requests in the window"
                 self.log("order", f"{action.function} at {self.host_name(action.worker)}: {counts}")
             self.start_task(order, now)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -62,10 +62,10 @@
 class ScriptedRouter:
     """Stands in for the router: returns the next of the given lists of actions in each round."""
 
-    ordered: tuple[float, ...] = ()  # read by the actor for its log
-    arrivals: tuple[float, ...] = ()
+    order_times: tuple[float, ...] = ()  # read by the actor for its log
+    arrival_times: tuple[float, ...] = ()
     workers: Mapping[int, Worker] = MappingProxyType({})
-    outs = 0
+    ejected_count = 0
 
     def __init__(self, *rounds: list[i.Action]) -> None:
         self.rounds, self.events = list(rounds), list[i.Event]()
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""The sites of deploy/sites: an invoker reads and serves each, and the program knows the names of none."""
+"""The sites in deploy/sites: the invoker reads and serves each, and its code contains no names of theirs."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 import pytest
 
-from harrieryoke import interface as i
 from harrieryoke.checks import ConfigError
 from harrieryoke.config import Config, read_config
+from harrieryoke.interface import Effect
 from harrieryoke.limits import Limits
 from harrieryoke.reload import merge
 
@@ -29,30 +29,30 @@
 REPORTS = {"inflight": "concurrent", "queue": "depth", "util": "load_share"}
 MB_PER_CORE = 2000
 ALARM = "frost-alarm"
-LATER_MS = 50  # on sockets every time limit is so much longer
+SOCKET_TOLERANCE_MS = 50  # tolerance for time limits over sockets
 
 
-def least(value: Any) -> Any:
-    """A figure of a site, of which a range gives the lower end."""
+def lower_end(value: Any) -> Any:
+    """Returns a value of a site; for a range, its lower end."""
     return value[0] if isinstance(value, list) else value
 
 
-def class_settings(told: dict[str, Any]) -> dict[str, Any]:
+def class_settings(request_class: dict[str, Any]) -> dict[str, Any]:
     settings = {
-        "name": told["name"],
-        "goal-time": told["aim_ms"],
-        "hard-limit": told["deadline_ms"],
-        "repeat": EFFECTS[told["effect"]],
-        "value": told["worth"],
-        "late-worth": told["late_worth"],
+        "name": request_class["name"],
+        "goal-time": request_class["aim_ms"],
+        "hard-limit": request_class["deadline_ms"],
+        "repeat": EFFECTS[request_class["effect"]],
+        "value": request_class["worth"],
+        "late-worth": request_class["late_worth"],
     }
-    if told["effect"] == "keyed":
-        settings |= {"dedup-scope": told["group"], "repeat-window": told["window_ms"]}
+    if request_class["effect"] == "keyed":
+        settings |= {"dedup-scope": request_class["group"], "repeat-window": request_class["window_ms"]}
     return settings
 
 
 def wire_settings(site: dict[str, Any]) -> dict[str, Any]:
-    """The settings that an invoker of this site gets, as the wire names them."""
+    """Returns the settings of an invoker of this site, under their names on the wire."""
     allow, rules, fam, tier = site["allow"], site["rules"], site["fam"], site["tier"][0]
     kinds = tier["kind"]
     return {
@@ -71,14 +71,14 @@
         "obligations": {
             "answer-slack": 8,
             "cold": max(k["cold_s"][1] for k in kinds) * 1000,
-            "cold-share": min(least(k["cold_from"]) for k in kinds),
+            "cold-share": min(lower_end(k["cold_from"]) for k in kinds),
             "drain-grace": rules["drain_grace_ms"],
             "fall-multiple": rules["fall_multiple"],
             "overload-for": rules["fall_ms"],
         },
         "extra": {
             "orders": fam["orders"],
-            "stays-loaded": least(fam["keep_s"]) * 1000,
+            "stays-loaded": lower_end(fam["keep_s"]) * 1000,
             "order-limit": 10000,
             "load-window": fam["load_window_ms"],
             "load-floor": fam["load_free"],
@@ -95,7 +95,7 @@
         "worth-by": site["load"]["worth_by"],
         "discovery": "on_request" if site["discovery"]["mode"] == "ask" else "pushed",
         "period": site["day"]["tick_ms"],
-        "siblings": least(site["scale"]["balancers"]),
+        "siblings": lower_end(site["scale"]["balancers"]),
         "load-report": {"fields": [REPORTS.get(f, f) for f in tier["report"]["fields"]]},
     }
 
@@ -106,7 +106,7 @@
     return read_config(env={"RELAY_CONFIG": str(path)})
 
 
-# --- the settings are read ---
+# --- reading of settings ---
 
 
 def test_the_sites_differ_as_other_deployments_do() -> None:
@@ -119,28 +119,28 @@
     assert all(len(s["class"]) == len(s["fam"]["class"]) for s in SITES.values())
 
 
-@pytest.mark.parametrize("site", SITES)
-def test_every_setting_of_a_site_is_read(site: str, tmp_path: Path) -> None:
-    told, config = SITES[site], read(wire_settings(SITES[site]), tmp_path)
+@pytest.mark.parametrize("site_name", SITES)
+def test_every_setting_of_a_site_is_read(site_name: str, tmp_path: Path) -> None:
+    site, config = SITES[site_name], read(wire_settings(SITES[site_name]), tmp_path)
     got, limits = config.settings, config.limits
-    for c, r in zip(told["class"], got.classes, strict=True):
+    for c, r in zip(site["class"], got.classes, strict=True):
         wanted = (c["name"], c["aim_ms"], c["deadline_ms"], c["worth"], c["late_worth"], c["effect"])
         assert (r.name, r.latency_target, r.deadline, r.worth, r.late_worth, r.effect.value) == wanted
-        if r.effect is i.Effect.KEYED:
+        if r.effect is Effect.KEYED:
             assert (r.deduplication_scope.value, r.repeat_window) == (c["group"], c["window_ms"])
-    assert [t.name for t in got.tenants] == [t["name"] for t in told["tenant"]]
-    assert list(got.zones) == told["net"]["zones"]
-    kinds = told["tier"][0]["kind"]
+    assert [t.name for t in got.tenants] == [t["name"] for t in site["tenant"]]
+    assert list(got.zones) == site["net"]["zones"]
+    kinds = site["tier"][0]["kind"]
     assert got.kinds == tuple(k["name"] for k in kinds)
     assert got.memory_by_kind == tuple(k["cores"] * MB_PER_CORE for k in kinds)
-    allow, fam, rules, conn = told["allow"], told["fam"], told["rules"], told["tier"][0]["conn"]
+    allow, fam, rules, conn = site["allow"], site["fam"], site["rules"], site["tier"][0]["conn"]
     pairs = [
         (got.may_cancel, allow["cancel"]),
         (got.may_probe, allow["probes"]),
         (got.second_attempts, allow["second_copies"]),
         (got.sends_retry_after, allow["retry_after"]),
         (got.max_attempts, allow["max_attempts"]),
-        (got.max_retry_after, told["clients"]["max_retry_after_ms"]),
+        (got.max_retry_after, site["clients"]["max_retry_after_ms"]),
         (got.connect_timeout, conn["connect_timeout_ms"]),
         (limits.dial_ms, conn["connect_timeout_ms"]),
         (limits.link_idle_ms, conn["idle_s"] * 1000),
@@ -157,11 +157,11 @@
         (got.idle_copy_price, fam["memory_price"]),
         (got.reports_copy_lookup, fam["tells_warm"]),
         (got.reports_concurrent_requests, fam["tells_crowd"]),
-        (got.over_share_worth, told["load"]["over_share_worth"]),
-        (got.worth_by_work, told["load"]["worth_by"] == "work"),
-        (got.list_on_request, told["discovery"]["mode"] == "ask"),
-        (got.tick, told["day"]["tick_ms"]),
-        (got.front_ends, told["scale"]["balancers"][0]),
+        (got.over_share_worth, site["load"]["over_share_worth"]),
+        (got.worth_by_work, site["load"]["worth_by"] == "work"),
+        (got.list_on_request, site["discovery"]["mode"] == "ask"),
+        (got.tick, site["day"]["tick_ms"]),
+        (got.front_ends, site["scale"]["balancers"][0]),
     ]
     assert [pair for pair in pairs if pair[0] != pair[1]] == []
 
@@ -174,11 +174,11 @@
         read(settings, tmp_path)
 
 
-# --- and served ---
+# --- serving ---
 
 
 def calls(site: str, first: int = 1) -> str:
-    """Steps in which a call of every class is served, in turn for every tenant."""
+    """Returns steps that serve a call of every class, with the tenants in turn."""
     steps, tenants = [], [t["name"] for t in SITES[site]["tenant"]]
     for n, c in enumerate(SITES[site]["class"], first):
         key = f"token=k-{n}" if c["effect"] == "keyed" else ""
@@ -192,7 +192,7 @@
 
 
 def refused_names(site: str, other: str) -> str:
-    """Steps in which no class and no tenant of the other site is taken."""
+    """Returns steps in which calls with classes and tenants of the other site are rejected."""
     tenant, name = SITES[site]["tenant"][0]["name"], SITES[site]["class"][0]["name"]
     steps = []
     for n, c in enumerate(SITES[other]["class"], 50):
@@ -214,7 +214,7 @@
     run(tmp_path, text, settings=wire_settings(SITES[site]))
 
 
-def test_the_short_deadline_is_kept_by_an_answer_and_by_a_refusal(tmp_path: Path) -> None:
+def test_answers_and_refusals_keep_the_short_deadline(tmp_path: Path) -> None:
     deadline = next(c["deadline_ms"] for c in SITES[ORCHARDS]["class"] if c["name"] == ALARM)
     call = f"{ALARM} acct=growers-oum budget={deadline}"
     scene = Scene(tmp_path, settings=wire_settings(SITES[ORCHARDS]))
@@ -235,7 +235,7 @@
                 {host}
                 expect c1 {n} error -32050""")
             took = 1000 * (time.monotonic() - sent)
-            assert took <= deadline + LATER_MS
+            assert took <= deadline + SOCKET_TOLERANCE_MS
             scene.play(after)
     finally:
         scene.end()
@@ -270,7 +270,7 @@
     assert replace(merged, **{name: getattr(new, name) for name in indexed}) == new
 
 
-# --- and the program knows none of their names ---
+# --- names in the code ---
 
 
 def names(settings: dict[str, Any]) -> set[str]:
@@ -279,7 +279,7 @@
 
 
 def found(paths: Iterable[Path]) -> list[str]:
-    """Where the name of a class, tenant, kind or zone of any site stands in these files."""
+    """Returns the places in the files that contain a name of a class, tenant, kind or zone of any site."""
     known = names(SETTINGS).union(*(names(wire_settings(site)) for site in SITES.values()))
     name = re.compile(rf"(?<![\w-])({'|'.join(sorted(known))})(?![\w-])")
     return [
@@ -290,8 +290,8 @@
     ]
 
 
-def test_no_name_of_a_site_stands_in_the_program_or_in_the_platforms_deploy_file() -> None:
-    """deploy/operator.toml is not among them: an operator names the classes of one installation there."""
+def test_no_name_of_a_site_is_in_the_code_or_in_balancer_toml() -> None:
+    """Excludes deploy/operator.toml, where an operator names the classes of one installation."""
     files = [p for p in ROOT.glob("harrieryoke/**/*") if p.suffix in (".py", ".proto")]
     assert len(files) > 100
     assert found([*files, ROOT / "deploy/balancer.toml"]) == []
