--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -1,4 +1,4 @@
-"""A client that goes: from then on nothing is offered or written for it, whatever waits at that moment."""
+"""Tests that nothing is offered or written for a client after it has left, in any state of its connection."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
     sock.close()
 
 
-WAYS = pytest.mark.parametrize("how", ["closes", "half-closes", "resets"])
+LEAVING = pytest.mark.parametrize("how", ["closes", "half-closes", "resets"])
 
 
-@WAYS
+@LEAVING
 def test_client_leaves_behind_an_answer_it_does_not_read(how: str) -> None:
     with connected() as c:
         c.ask(1, 2)
@@ -47,7 +47,7 @@
         assert c.actor.outgoing.unsent == []
 
 
-@WAYS
+@LEAVING
 @pytest.mark.parametrize("behind", [3, 40], ids=["few lines", "more lines than the mailbox takes"])
 def test_lines_before_the_end_are_dropped_while_the_actor_waits(how: str, behind: int) -> None:
     with connected() as c:
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -1,4 +1,4 @@
-"""Upgrades under load in which one process ends by SIGKILL, at points of the handover and not at times."""
+"""Upgrades under load in which one process is killed by SIGKILL at defined points of the handover."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 __all__ = ["relays"]
 
-# a process that kills itself as it comes to a point: the method, at its begin or end, at which call of it
+# a process that kills itself at a point: before or after the n-th call of a method
 KILLER = """
 import os, signal
 from harrieryoke.core.module import ModuleActor
@@ -27,148 +27,152 @@
 from harrieryoke.upgrade.link import Link, Upgrade
 from gevent import socket
 
-def point(owner, name, when, nth, wanted=lambda *a: True):
-    real, left = getattr(owner, name), [nth]
-    def hooked(*args, **named):
-        if wanted(*args):
-            left[0] -= 1
-        if left[0] == 0 and when == "before":
+def point(owner, name, when, nth, matches=lambda *a: True):
+    original, remaining = getattr(owner, name), [nth]
+    def replacement(*args, **named):
+        if matches(*args):
+            remaining[0] -= 1
+        if remaining[0] == 0 and when == "before":
             os.kill(os.getpid(), signal.SIGKILL)
-        told = real(*args, **named)
-        if left[0] == 0:
+        result = original(*args, **named)
+        if remaining[0] == 0:
             os.kill(os.getpid(), signal.SIGKILL)
-        return told
-    setattr(owner, name, hooked)
+        return result
+    setattr(owner, name, replacement)
 
-def said(type):
-    received = link.PeerMessageReceived
-    return lambda self, message: isinstance(message, received) and isinstance(message.message, type)
+def received(type):
+    wrapper = link.PeerMessageReceived
+    return lambda self, message: isinstance(message, wrapper) and isinstance(message.message, type)
 
-def passed(self, message):
+def is_client_release(self, message):
     return isinstance(message, link.ClientReleased)
 
 {point}
 from harrieryoke.serve import serve
 raise SystemExit(serve())
 """
-NEW = {
-    "it has not asked yet": 'point(link, "request_handover", "before", 1)',
-    "what it is handed has come in part": 'point(link, "recv_fds", "after", 1)',
-    "all has come": 'point(link, "request_handover", "after", 1)',
-    "it has not learned yet": 'point(Upgrade, "restore_state", "before", 1)',
-    "it has learned and does not accept": 'point(PlatformFront, "start", "before", 1)',
-    "it accepts and has not said so": 'point(Upgrade, "start", "before", 1)',
-    "it has said so and can't be found yet": 'point(Upgrade, "start_reader", "after", 1)',
-    "it serves": 'point(Upgrade, "start", "after", 1)',
-    "the first client is passed on": 'point(Upgrade, "receive", "before", 1, said(link.ClientTransfer))',
-    "the first client is here": 'point(Upgrade, "receive", "after", 1, said(link.ClientTransfer))',
+NEW_PROCESS_POINTS = {
+    "before it asks": 'point(link, "request_handover", "before", 1)',
+    "after a part of the handover has arrived": 'point(link, "recv_fds", "after", 1)',
+    "after the whole handover has arrived": 'point(link, "request_handover", "after", 1)',
+    "before it restores the state": 'point(Upgrade, "restore_state", "before", 1)',
+    "after it has restored the state, before it accepts": 'point(PlatformFront, "start", "before", 1)',
+    "while it accepts, before it says so": 'point(Upgrade, "start", "before", 1)',
+    "after it has said so, before it can be reached": 'point(Upgrade, "start_reader", "after", 1)',
+    "after it serves": 'point(Upgrade, "start", "after", 1)',
+    "before it receives a client": 'point(Upgrade, "receive", "before", 1, received(link.ClientTransfer))',
+    "after it has received a client": 'point(Upgrade, "receive", "after", 1, received(link.ClientTransfer))',
 }
-OLD = {
-    "it is asked": 'point(Upgrade, "receive", "before", 1, said(link.Hello))',
-    "it looks for what it learned": 'point(Upgrade, "hand_over", "before", 1)',
-    "what it learned is packed": 'point(Link, "send_with_descriptor", "before", 1)',
-    "all is handed over": 'point(Link, "send_with_descriptor", "after", 1)',
-    "it hears that another serves": 'point(Upgrade, "receive", "before", 1, said(link.Serving))',
-    "it has told its front": 'point(Upgrade, "receive", "after", 1, said(link.Serving))',
-    "it accepts no more": 'point(PlatformFront, "send_away", "before", 1, lambda front: front.yielded)',
-    "it passes the first client on": 'point(Upgrade, "receive", "before", 1, passed)',
-    "the first client has gone": 'point(Upgrade, "receive", "after", 1, passed)',
-    "it is told to stop": 'point(Upgrade, "stop", "before", 1)',
+OLD_PROCESS_POINTS = {
+    "before it handles the request": 'point(Upgrade, "receive", "before", 1, received(link.Hello))',
+    "before it collects its state": 'point(Upgrade, "hand_over", "before", 1)',
+    "before it sends its state": 'point(Link, "send_with_descriptor", "before", 1)',
+    "after it has sent everything": 'point(Link, "send_with_descriptor", "after", 1)',
+    "before it handles the serving message": 'point(Upgrade, "receive", "before", 1, received(link.Serving))',
+    "after it handled the serving message": 'point(Upgrade, "receive", "after", 1, received(link.Serving))',
+    "when it stops accepting": 'point(PlatformFront, "send_away", "before", 1, lambda front: front.yielded)',
+    "before it releases the first client": 'point(Upgrade, "receive", "before", 1, is_client_release)',
+    "after it has released the first client": 'point(Upgrade, "receive", "after", 1, is_client_release)',
+    "before it is stopped": 'point(Upgrade, "stop", "before", 1)',
 }
 
 
-PLAIN = Relays.command
-STOPPED = "it is told to stop"
-OPEN_MS = 1500  # no call is open for longer here
-WARM_S = 2.0  # until the load finds its functions loaded, and nothing is refused for want of that
+NORMAL_COMMAND = Relays.command
+STOP_POINT = "before it is stopped"
+MAX_CALL_MS = 1500  # duration of a call of the load
+WARM_UP_S = 2.0  # until the functions of the load are loaded, and no call is refused for lack of a copy
 
 
-def armed(point: str) -> tuple[str, ...]:
+def killing_command(point: str) -> tuple[str, ...]:
     return (sys.executable, "-B", "-c", KILLER.replace("{point}", point))
 
 
 def idle_client(relays: Relays) -> socket.socket:
-    """A client with nothing open, passed on at once: those of the load may have a call open always."""
+    """A client without open calls, which is passed on immediately, unlike the clients of the load."""
     client = socket.create_connection(relays.listen, 6)
     client.sendall(b'{"jsonrpc":"2.0","id":1,"method":"probe"}\n')
     assert b"healthy" in client.recv(4096)
     return client
 
 
-class Deaths:
-    """What became of the calls round the ends of processes."""
+class Kills:
+    """Records the kills, and checks the results of the calls around them."""
 
     def __init__(self, relays: Relays) -> None:
-        gevent.sleep(WARM_S)
-        self.relays, self.at, self.began = relays, list[float](), now_ms()
+        gevent.sleep(WARM_UP_S)
+        self.relays, self.killed_at, self.started_at = relays, list[float](), now_ms()
         assert relays.ask(f"disable-server {relays.hosts[0].name}").startswith("done")
         self.banned_at = now_ms()
 
-    def wait(self, process: subprocess.Popen[bytes], where: str) -> None:
-        """Until the process has killed itself."""
+    def wait_for(self, process: subprocess.Popen[bytes], where: str) -> None:
+        """Wait until the process has killed itself."""
         until = now_ms() + 6000
         while process.poll() is None and now_ms() < until:
             gevent.sleep(0.005)
         assert process.poll() == -signal.SIGKILL, f"{where}: {process.poll()}\n{self.relays.text()}"
-        self.at.append(now_ms())
+        self.killed_at.append(now_ms())
 
     def check(self, most: int) -> None:
-        """Calls may be lost with the process that had taken them, so many for each, and no others; none is
-        answered twice. A connection is refused only where nobody had the listening socket any more."""
+        """Check that at most `most` calls were lost for each killed process, and none without one.
+
+        No call may be answered twice. A connection may be refused only while no process has the listener.
+        """
         relays, calls = self.relays, self.relays.load.calls
         assert sent_to(relays, relays.hosts[0].name, self.banned_at) == 0, "the ban was forgotten"
         assert "invoker_pool_ejected 1" in relays.ask("show-stat")
         ended, unreachable = relays.audit(), relays.load.unreachable
         lost = [c.sent for c in calls if not c.answers]
-        told = f"{ended} {unreachable} of {len(calls)}, deaths {self.at}, lost {lost}"
-        assert ended["twice"] == 0, told
+        summary = f"{ended} {unreachable} of {len(calls)}, kills {self.killed_at}, lost {lost}"
+        assert ended["twice"] == 0, summary
         for sent in lost:
-            assert any(0 <= at - sent < OPEN_MS for at in self.at), f"lost with no process: {told}"
-        assert len(lost) + unreachable <= most * len(self.at), told
-        # of the calls before the first death some are refused while the hosts have nothing loaded
-        since = [c for c in calls if c.sent >= self.began]
+            assert any(
+                0 <= at - sent < MAX_CALL_MS for at in self.killed_at
+            ), f"lost with no process: {summary}"
+        assert len(lost) + unreachable <= most * len(self.killed_at), summary
+        # before the first kill some calls are refused while no function is loaded
+        since = [c for c in calls if c.sent >= self.started_at]
         served = sum(c.how == "served" for c in since)
-        assert since and served > 0.95 * len(since) - len(lost), f"{served} of {len(since)} served; {told}"
+        assert since and served > 0.95 * len(since) - len(lost), f"{served} of {len(since)} served; {summary}"
 
 
-def test_a_new_process_killed_at_each_point_of_the_handover_loses_no_more_than_it_had_taken(
+def test_new_process_killed_at_each_point_of_the_handover_loses_only_calls_it_had_accepted(
     relays: Relays,
 ) -> None:
     load, serving = played(relays, 60.0), relays.process
-    deaths = Deaths(relays)
+    kills = Kills(relays)
     address = relays.manage
-    for where, point in NEW.items():
-        relays.command = armed(point)
+    for where, point in NEW_PROCESS_POINTS.items():
+        relays.command = killing_command(point)
         with idle_client(relays):
-            deaths.wait(relays.launch(), where)
+            kills.wait_for(relays.launch(), where)
         gevent.sleep(0.3)
     relays.manage, relays.process = address, serving
     load.kill()
     relays.load.settle()
-    deaths.check(most=2)
+    kills.check(most=2)
     assert relays.load.unreachable == 0
-    # whoever goes on has kept count of what the others ordered, or they ordered nothing
+    # the surviving process has counted the orders of the others, or they made none
     assert orders_over_budget(relays.load.calls, relays.arrived, WINDOW, FLOOR, SHARE) == 0
 
 
-def test_an_old_process_killed_at_each_point_of_the_handover_leaves_the_new_one_serving(
+def test_old_process_killed_at_each_point_of_the_handover_leaves_the_new_one_serving(
     relays: Relays,
 ) -> None:
     load = played(relays, 60.0)
-    deaths = Deaths(relays)
+    kills = Kills(relays)
     where = None
-    for name, point in [*OLD.items(), (None, None)]:
-        relays.command = PLAIN if point is None else armed(point)
+    for name, point in [*OLD_PROCESS_POINTS.items(), (None, None)]:
+        relays.command = NORMAL_COMMAND if point is None else killing_command(point)
         with idle_client(relays):
             old = relays.next()
             if where is None:
                 end(old)
             else:
-                if where == STOPPED:
+                if where == STOP_POINT:
                     old.send_signal(signal.SIGTERM)
-                deaths.wait(old, where)
+                kills.wait_for(old, where)
         where = name
         gevent.sleep(0.3)
     load.kill()
     relays.load.settle()
-    deaths.check(most=24)
+    kills.check(most=24)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's front, the model hosts and the event bus, as scenarios on real loopback sockets."""
+"""Scenarios with clients, model hosts and the event bus on real loopback sockets."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 from .scenario import Scene, run
 
-HUGE = "A" * 40000
-LONG = "z" * 230000  # bytes of an answer, far more than a request may have
-ONE = {
-    "a body comes back unchanged and fields are passed on": """
+HUGE = "A" * 40000  # body, longer than a request may be
+LONG = "z" * 230000  # answer, much longer than a request may be
+ONE_HOST_SCENARIOS = {
+    "bodies are unchanged and fields are passed on": """
         send c1 call 1 harvest-log token=k-1 body=hello
         expect h1 request sort=harvest-log asset=7f3a9c21e0b4d655 op=k-1 body=hello
         send h1 ok n=w body='as it was, and "more"'
@@ -31,7 +31,7 @@
         expect h1 request body=x
         send h1 ok n=w body={LONG}
         expect c1 1 result {LONG}""",
-    "answers come in any order": """
+    "answers may come in any order": """
         send c1 call 1 weight-read body=a
         expect h1 request body=a
         send c1 call 2 weight-read body=b
@@ -40,7 +40,7 @@
         expect c1 2 result B
         send c1 giveUp 1
         expect h1 give-up""",
-    "a miss brings an order, and the request is sent again there": """
+    "a miss causes a load order, and the request is sent again to the same host": """
         send c1 call 1 weight-read body=x
         expect h1 request body=x
         send h1 miss
@@ -49,7 +49,7 @@
         expect h1 request body=x
         send h1 ok n=w body=y
         expect c1 1 result y""",
-    "after giveUp nothing is written, also when the answer crosses it": """
+    "after giveUp nothing is written, even if the answer crosses it": """
         send c1 call 1 weight-read
         expect h1 request
         send c1 giveUp 1
@@ -59,30 +59,30 @@
         expect h1 request
         send h1 ok body=new
         expect c1 2 result new""",
-    "giveUp of what is not open is harmless": """
+    "giveUp of an id that is not open is ignored": """
         send c1 giveUp 9
         send c1 probe 1
         expect c1 1 healthy""",
-    "a client that closes gives its requests up": """
+    "a client that closes its connection gives up its requests": """
         send c1 call 1 weight-read
         expect h1 request
         close c1
         expect h1 give-up""",
-    "a lost connection may have run: a safe class goes again": """
+    "a lost connection may have run the request: a safe class is retried": """
         send c1 call 1 weight-read body=x
         expect h1 request
         close h1
         expect h1 request body=x
         send h1 ok body=y
         expect c1 1 result y""",
-    "a keyed call goes again with its key where its rack drops the repeat": """
+    "a keyed call is retried with its key where duplicates are dropped": """
         send c1 call 1 harvest-log token=k
         expect h1 request op=k
         send h1 error
         expect h1 request op=k
         send h1 ok
         expect c1 1 result""",
-    "a frame that can't be read closes the link, and the next call has a new one": """
+    "an unreadable frame closes the link, and the call is retried on a new one": """
         send c1 call 1 weight-read body=x
         expect h1 request
         send h1 raw 'no frame at all, but long enough for one'
@@ -91,14 +91,14 @@
         expect h1 request body=x
         send h1 ok body=y
         expect c1 1 result y""",
-    "a good answer counts, also with a bad frame in the same chunk behind it": """
+    "an answer counts even if an unreadable frame follows in the same chunk": """
         send c1 call 1 weight-read body=x
         expect h1 request
         send h1 ok body=y then='no frame at all, but long enough for one'
         expect c1 1 result y
         wait bad-frame
         expect h1 end""",
-    "an answer that stops short ends its link soon, and what is open there goes again": """
+    "an incomplete answer ends its link soon, and the open call is retried": """
         send c1 call 1 weight-read body=x
         expect h1 request
         send h1 ok body=y short=3
@@ -106,7 +106,7 @@
         expect h1 request body=x
         send h1 ok body=z
         expect c1 1 result z""",
-    "a link that stays open and silent is left, and what is open there goes again": """
+    "a silent link is closed, and the open call is retried": """
         send c1 call 1 weight-read body=x budget=30000
         expect h1 request body=x
         expect h1 end
@@ -117,19 +117,19 @@
         expect h1 request body=z
         send h1 ok body=Z
         expect c1 3 result Z""",
-    "a request over at the host has never run and goes again": """
+    "a request rejected as over by the host has never run and is retried": """
         send c1 call 1 harvest-log token=k
         expect h1 request
         send h1 over
         expect h1 request op=k
         send h1 ok
         expect c1 1 result""",
-    "a silent host: the answer comes before the client leaves": """
+    "a silent host: the answer comes before the client's deadline": """
         send c1 call 1 harvest-log token=k budget=300
         expect h1 request
         expect c1 1 error -32000
         expect h1 give-up""",
-    "bad lines get an error each and the connection goes on": """
+    "each invalid line gets an error and the connection stays open": """
         send c1 raw {
         expect c1 - error -32700
         send c1 raw '{"jsonrpc":"2.0","id":"x","method":"probe"}'
@@ -164,7 +164,7 @@
         expect c1 12 error -32602
         send c1 probe 13
         expect c1 13 healthy""".replace("HUGE", HUGE),
-    "an open id twice, and one request id twice": """
+    "a duplicate JSON-RPC id and a duplicate request id": """
         send c1 call 1 weight-read
         expect h1 request
         send c1 call 1 weight-read rid=00000000000000aa
@@ -173,12 +173,12 @@
         expect c1 2 error -32000
         send h1 ok body=one
         expect c1 1 result one""",
-    "a line without end closes the connection, and only that one": """
+    "a line without end closes only its own connection": """
         send c1 raw abcdefgh 20000
         expect c1 end
         send c2 probe 1
         expect c2 1 healthy""",
-    "who says nothing, or stops within a line, is closed; who has something open is not": """
+    "silent clients and those that stop within a line are closed; clients with an open call are not": """
         send c1 call 1 weight-read body=x budget=30000
         expect h1 request body=x
         send c2 part {
@@ -187,17 +187,17 @@
         expect c3 end
         send h1 ok body=y
         expect c1 1 result y""",
-    "the thirty-third open request is refused": "\n".join(
+    "the thirty-third open request of a connection is refused": "\n".join(
         f"send c1 call {n} weight-read" for n in range(1, 34)
     )
     + "\nexpect c1 33 error -32050",
-    "a host that leaves gets nothing new": """
+    "a host that leaves gets no new calls": """
         expect bus 'from 1'
         send bus leaving h1
         wait changed
         send c1 call 1 weight-read budget=200
         expect c1 1 error -32050""",
-    "what the module gives up on is answered at half its time, not near its end": """
+    "a call that cannot be served is refused at half its time, not at its deadline": """
         expect bus 'from 1'
         send bus leaving h1
         wait changed
@@ -207,7 +207,7 @@
         send c1 giveUp 1
         send c1 probe 3
         expect c1 3 healthy""",
-    "the bus is followed from the last event after it was lost": """
+    "after a lost connection the bus is followed from the last event": """
         expect bus 'from 1'
         send bus active h1
         send bus raw 2
@@ -217,7 +217,7 @@
         send bus raw nonsense
         close bus
         expect bus 'from 2'""",
-    "SIGHUP: the bus moves at once from the last event, what is open goes on, other keys are named": """
+    "SIGHUP: the bus changes at the last event, open calls continue, other keys are named": """
         expect bus 'from 1'
         send bus active h1
         send c1 call 1 weight-read body=x
@@ -231,7 +231,7 @@
         wait changed
         send h1 ok body=y
         expect c1 1 result y""",
-    "SIGHUP with a file that can't be used: the old one stays": """
+    "SIGHUP with an invalid file: the old configuration stays": """
         expect bus 'from 1'
         send config raw {
         send node HUP
@@ -243,7 +243,7 @@
         wait changed
         send c1 probe 1
         expect c1 1 healthy""",
-    "an event that can't be read twice is left out, and those behind it are heard": """
+    "an event that is unreadable twice is skipped, and the later ones are applied": """
         expect bus 'from 1'
         send bus raw nonsense
         expect bus end
@@ -253,12 +253,12 @@
         send bus raw 2
         close bus
         expect bus 'from 2'""",
-    "a bus that falls silent in the middle of an event is asked again": """
+    "a bus that stops within an event is asked again": """
         expect bus 'from 1'
         send bus part '{"offset":2,'
         expect bus end
         expect bus 'from 1'""",
-    "an address passes to a new host: the old one's link ends and its call goes again": """
+    "an address passes to a new host: the link of the old one ends and its call is retried": """
         expect bus 'from 1'
         send c1 call 1 weight-read body=x
         expect h1 request
@@ -267,7 +267,7 @@
         expect h1 request body=x
         send h1 ok body=y
         expect c1 1 result y""",
-    "SIGTERM: new connections are served for a while, what was taken is answered, exit 0": """
+    "SIGTERM: new connections are served for a while, accepted calls are answered, exit 0": """
         send c1 call 1 weight-read
         expect h1 request
         send node TERM
@@ -280,7 +280,7 @@
         send c1 giveUp 1
         expect c1 end
         expect node exit 0""",
-    "SIGTERM with a silent host: failed in time, exit 0": """
+    "SIGTERM with a silent host: the call fails in time, exit 0": """
         send c1 call 1 harvest-log token=k budget=60000
         expect h1 request
         send node TERM
@@ -289,7 +289,7 @@
 }
 
 
-def test_who_asked_once_and_stays_makes_room_for_newcomers_while_who_waits_is_kept(tmp_path: Path) -> None:
+def test_idle_client_is_closed_for_new_ones_and_a_waiting_client_is_kept(tmp_path: Path) -> None:
     others = "\n".join(f"send c{n} probe 1\nexpect c{n} 1 healthy" for n in range(2, 21))
     run(
         tmp_path,
@@ -304,32 +304,34 @@
     )
 
 
-@pytest.mark.parametrize("name", ONE)
+@pytest.mark.parametrize("name", ONE_HOST_SCENARIOS)
 def test_one_model_host(name: str, tmp_path: Path) -> None:
-    run(tmp_path, ONE[name])
+    run(tmp_path, ONE_HOST_SCENARIOS[name])
 
 
-KINDS = i.Settings((i.RequestClass("weight-read", 1000, 4000),))
+SETTINGS = i.Settings((i.RequestClass("weight-read", 1000, 4000),))
 
 
-def test_a_dial_that_is_reset_is_tried_once_more(monkeypatch: pytest.MonkeyPatch) -> None:
-    said = [ConnectionResetError(), socket.socket()]
+def test_reset_dial_is_retried_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    results = [ConnectionResetError(), socket.socket()]
 
     def dial(*args: object) -> object:
-        got = said.pop(0)
-        if isinstance(got, OSError):
-            raise got
-        return got
+        result = results.pop(0)
+        if isinstance(result, OSError):
+            raise result
+        return result
 
     monkeypatch.setattr(socket, "create_connection", dial)
-    actor = HostActor("h", Standing(("127.0.0.1", 9)), KINDS, Limits(), Log(), lambda ended: None, Metrics())
+    actor = HostActor(
+        "h", Standing(("127.0.0.1", 9)), SETTINGS, Limits(), Log(), lambda ended: None, Metrics()
+    )
     with actor.connect() as sock:
-        assert sock and not said
-    said.append(ConnectionRefusedError())
+        assert sock and not results
+    results.append(ConnectionRefusedError())
     assert actor.dial() is None
 
 
-def test_what_was_never_written_whole_has_not_run_and_the_rest_of_its_link_may_have() -> None:
+def test_attempt_not_completely_written_has_not_run_but_others_on_its_link_may_have() -> None:
     class Broken:
         def sendall(self, data: bytes) -> None:
             raise ConnectionResetError
@@ -337,7 +339,7 @@
         def close(self) -> None: ...
 
     ends: list[TaskEnded] = []
-    actor = HostActor("h", Standing(("127.0.0.1", 9)), KINDS, Limits(), Log(), ends.append, Metrics())
+    actor = HostActor("h", Standing(("127.0.0.1", 9)), SETTINGS, Limits(), Log(), ends.append, Metrics())
     old, new = (AttemptTask(1, 1e18, 0.0, call=Call(f"{n:016x}", 0, "f", 1e18)) for n in (1, 2))
     link = Link(Broken(), Decoder(0), {1: old})
     actor.links.append(link)
@@ -350,7 +352,7 @@
     run(tmp_path, "send c1 call 1 weight-read budget=200\nexpect c1 1 error -32050", hosts=0)
 
 
-def test_a_host_that_refuses_connections_has_run_nothing(tmp_path: Path) -> None:
+def test_host_that_refuses_connections_has_run_nothing(tmp_path: Path) -> None:
     scene = Scene(tmp_path)
     listening = scene.hosts["h1"].listening
     assert listening is not None
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -1,4 +1,4 @@
-"""Reconciliation in turns: the agreed machine against a plain model, and many members at one period's end."""
+"""Tests of reconciliation rounds: the state machine against a model, and many members at a period's end."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class RoundsAgainstModel(RuleBasedStateMachine):
-    """The model keeps a line of rounds and looks through all of it for each question."""
+    """Compares the state machine with a model that keeps all rounds in one list and searches it linearly."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -33,18 +33,17 @@
         for name, value in (("MOST_OPEN", 5), ("MOST_EACH", 2), ("MOST_ENDED", 4), ("MOST_TRIES", 3)):
             self.patch.setattr(r, name, value)
         self.rounds, self.index = r.Rounds(), 0
-        self.line: list[
-            list[int | str]
-        ] = []  # member, period, mark, tries, turn: in the order of their places
-        self.over: list[tuple[str, int, int, bool]] = []  # member, period, mark, done: the oldest first
+        # member, period, mark, tries, turn; in queue order
+        self.queue: list[list[int | str]] = []
+        self.ended: list[tuple[str, int, int, bool]] = []  # member, period, mark, done; oldest first
 
     def teardown(self) -> None:
         self.patch.undo()
 
-    def found(self, member: str, period: int) -> list[Any] | None:
-        return next((each for each in self.line if each[:2] == [member, period]), None)
+    def find(self, member: str, period: int) -> list[Any] | None:
+        return next((each for each in self.queue if each[:2] == [member, period]), None)
 
-    def say(self, body: r.Asked | r.Given) -> bool:
+    def submit(self, body: r.Asked | r.Given) -> bool:
         self.index += 1
         if isinstance(body, r.Turn | r.GiveUp):
             return self.rounds.apply(self.index, 1, r.encode(body))
@@ -52,67 +51,69 @@
 
     @rule(member=NAMES, period=PERIODS, mark=st.integers(1, 2))
     def want(self, member: str, period: int, mark: int) -> None:
-        good = self.found(member, period) is None and len(self.line) < 5
-        good = good and sum(each[0] == member for each in self.line) < 2
-        good = good and not any(each[:3] == (member, period, mark) for each in self.over)
-        assert self.say(r.Want(member, period, mark)) == good
-        self.line += [[member, period, mark, 0, 0]] if good else []
+        valid = self.find(member, period) is None and len(self.queue) < 5
+        valid = valid and sum(each[0] == member for each in self.queue) < 2
+        valid = valid and not any(each[:3] == (member, period, mark) for each in self.ended)
+        assert self.submit(r.Want(member, period, mark)) == valid
+        self.queue += [[member, period, mark, 0, 0]] if valid else []
 
     @rule(member=NAMES, period=PERIODS, most=st.integers(0, 3))
     def turn(self, member: str, period: int, most: int) -> None:
-        has, running = self.found(member, period), [each for each in self.line if each[4]]
-        good = has is not None and len(running) < most and member not in [each[0] for each in running]
-        assert self.say(r.Turn(member, period, most)) == good
-        if has is not None and good:
-            has[4] = self.index
-            self.line.sort(key=lambda each: each[0] == member)  # behind the others, in the order they had
+        entry, running = self.find(member, period), [each for each in self.queue if each[4]]
+        valid = entry is not None and len(running) < most and member not in [each[0] for each in running]
+        assert self.submit(r.Turn(member, period, most)) == valid
+        if entry is not None and valid:
+            entry[4] = self.index
+            self.queue.sort(
+                key=lambda each: each[0] == member
+            )  # behind the other members, which keep their order
 
     @rule(
         member=NAMES, period=PERIODS, how=st.sampled_from(["done", "back", "give", "last"]), old=st.booleans()
     )
-    def over_with(self, member: str, period: int, how: str, old: bool) -> None:
-        has = self.found(member, period)
-        turn = 0 if has is None else has[4] - old
-        good = has is not None and has[4] == turn != 0
+    def end(self, member: str, period: int, how: str, old: bool) -> None:
+        entry = self.find(member, period)
+        turn = 0 if entry is None else entry[4] - old
+        valid = entry is not None and entry[4] == turn != 0
         if how == "done":
-            said = self.say(r.Done(member, period, turn, COUNTS))
+            accepted = self.submit(r.Done(member, period, turn, COUNTS))
         elif how == "back":
-            said = self.say(r.Back(member, period, turn))
+            accepted = self.submit(r.Back(member, period, turn))
         else:
-            said = self.say(r.GiveUp(member, period, turn, how == "last"))
-        assert said == good
-        if not good or has is None:
+            accepted = self.submit(r.GiveUp(member, period, turn, how == "last"))
+        assert accepted == valid
+        if not valid or entry is None:
             return
-        self.line.remove(has)
-        has[3], has[4] = has[3] + (how in ("give", "last")), 0
-        if how == "give" and has[3] < 3:
-            self.line.append(has)
+        self.queue.remove(entry)
+        entry[3], entry[4] = entry[3] + (how in ("give", "last")), 0
+        if how == "give" and entry[3] < 3:
+            self.queue.append(entry)
         elif how != "back":
-            self.over = [each for each in self.over if each[:2] != (member, period)]
-            if len(self.over) >= 4:
-                self.over.remove(next((each for each in self.over if each[3]), self.over[0]))
-            self.over.append((member, period, has[2], how == "done"))
+            self.ended = [each for each in self.ended if each[:2] != (member, period)]
+            if len(self.ended) >= 4:
+                self.ended.remove(next((each for each in self.ended if each[3]), self.ended[0]))
+            self.ended.append((member, period, entry[2], how == "done"))
 
     @rule()
-    def restarted(self) -> None:
+    def restart(self) -> None:
         data = self.rounds.dump()
         self.rounds = r.Rounds()
         self.rounds.load(data)
         assert self.rounds.dump() == data
 
     @rule(body=st.binary(max_size=20))
-    def nonsense(self, body: bytes) -> None:
+    def apply_garbage(self, body: bytes) -> None:
         assert not self.rounds.ask(self.index, body) and not self.rounds.apply(self.index, 1, body)
 
     @invariant()
-    def same(self) -> None:
+    def equals_model(self) -> None:
         opened = [(m, p, x) for m, mine in self.rounds.open.items() for p, x in mine.items()]
-        opened.sort(key=lambda each: (each[2].place, [e[:2] for e in self.line].index([each[0], each[1]])))
-        assert [[m, p, x.mark, x.tries, x.turn] for m, p, x in opened] == self.line
-        assert self.rounds.wanted == len(self.line)
-        assert self.rounds.running == {(e[0], e[1]): e[4] for e in self.line if e[4]}
+        opened.sort(key=lambda each: (each[2].place, [e[:2] for e in self.queue].index([each[0], each[1]])))
+        assert [[m, p, x.mark, x.tries, x.turn] for m, p, x in opened] == self.queue
+        assert self.rounds.wanted == len(self.queue)
+        assert self.rounds.running == {(e[0], e[1]): e[4] for e in self.queue if e[4]}
         ended = [(m, p, end.mark, end.counts == COUNTS) for (m, p), end in self.rounds.ended.items()]
-        assert ended == self.over
+        assert ended == self.ended
 
 
 RoundsAgainstModel.TestCase.settings = settings(
@@ -121,14 +122,14 @@
 TestRounds = RoundsAgainstModel.TestCase
 
 
-LAG = 12.0  # ms at the most, from a member to the log and back
-WORK = 60.0  # ms at the most, of one turn
+MAX_LOG_DELAY_MS = 12.0  # from a member to the log, and from the log to a member
+MAX_TURN_MS = 60.0
 PERIOD = 7
 PACE = Pace(at_once=3, turn_ms=2000.0, tries=3, again_ms=500.0, spread_ms=1000.0, repeat_ms=200.0)
 
 
 class Node:
-    """A member's process, with its copy of what is agreed."""
+    """The process of a member, with its copy of the agreed state."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         self.fleet, self.name, self.applied, self.up, self.cut = fleet, name, 0, True, False
@@ -137,7 +138,7 @@
         self.conductor = Conductor(self.rounds, PACE)
         self.own = Own(name, self.rounds, PACE, fleet.rng.getrandbits(30))
         self.own.can(True)
-        self.begun, self.wakes = list[int](), float("inf")
+        self.started_turns, self.wakes = list[int](), float("inf")
 
     def token(self) -> int:
         duty = self.acts.duties.duties.get(r.DUTY)
@@ -151,16 +152,16 @@
             self.fleet.offer(self, d.Act(r.DUTY, token, body))
         for body in self.own.turn(now):
             self.fleet.offer(self, d.Ask(r.DUTY, body))
-        while (given := self.own.take()) is not None:
-            self.begun.append(given[1])
-            self.work(*given, 3)
+        while (turn_to_start := self.own.take()) is not None:
+            self.started_turns.append(turn_to_start[1])
+            self.work(*turn_to_start, 3)
         due = [at for at in (self.conductor.due, self.own.due) if at is not None]
         if due and not now < self.wakes <= min(due):
             self.wakes = min(due)
             self.fleet.at(self.wakes, self.step)
 
     def work(self, period: int, turn: int, messages: int) -> None:
-        """A turn is so many messages to the collector."""
+        """Send the remaining messages of a turn to the collector, one at a time."""
         self.fleet.working.discard(self.name)
         if not self.up or not self.own.holds(self.fleet.t, period, turn):
             return
@@ -170,12 +171,12 @@
         self.fleet.working.add(self.name)
         self.fleet.most = max(self.fleet.most, len(self.fleet.working))
         self.fleet.collect(self.name, turn)
-        later = self.fleet.t + self.fleet.rng.uniform(1, WORK / 3)
+        later = self.fleet.t + self.fleet.rng.uniform(1, MAX_TURN_MS / 3)
         self.fleet.at(later, partial(self.work, period, turn, messages - 1))
 
 
 class Fleet:
-    """`count` members and two more that hold the duty, h0 first, on one log that takes all it is offered."""
+    """`count` members, and two more that hold the duty (h0 first), on one log that accepts every entry."""
 
     def __init__(self, count: int, seed: int, loss: float = 0.0) -> None:
         self.rng, self.loss, self.t, self.serial = random.Random(seed), loss, 0.0, 0
@@ -204,12 +205,14 @@
 
     def offer(self, node: Node, command: d.Command) -> None:
         if not node.cut and self.rng.random() >= self.loss:
-            self.at(self.t + self.rng.uniform(1, LAG), partial(self.append, command))
+            self.at(self.t + self.rng.uniform(1, MAX_LOG_DELAY_MS), partial(self.append, command))
 
     def append(self, command: d.Command) -> None:
         self.log.append(d.encode(command))
         for node in self.nodes:
-            self.at(self.t + self.rng.uniform(1, LAG), partial(self.catch_up, node, len(self.log)))
+            self.at(
+                self.t + self.rng.uniform(1, MAX_LOG_DELAY_MS), partial(self.catch_up, node, len(self.log))
+            )
 
     def catch_up(self, node: Node, upto: int) -> None:
         if not node.up or node.cut or node.applied >= upto:
@@ -229,7 +232,7 @@
             node.step()
 
     def ended(self, member: str) -> bool | None:
-        """Whether it is done; None while it is not over."""
+        """Return whether the member's round succeeded; None while it has not ended."""
         end = self.nodes[1].rounds.ended.get((member, PERIOD))
         return None if end is None else end.counts is not None
 
@@ -237,50 +240,56 @@
         return len(self.nodes[1].rounds.ended) == len(self.members)
 
     def bound(self) -> float:
-        """Milliseconds for all: a turn is given, heard of, done, and its end heard of, by way of the log."""
-        return PACE.spread_ms + -(-len(self.members) // PACE.at_once) * (WORK + 4 * LAG) + 4 * LAG
+        """Return the time in which all rounds must end: each turn takes its work and four log delays."""
+        return (
+            PACE.spread_ms
+            + -(-len(self.members) // PACE.at_once) * (MAX_TURN_MS + 4 * MAX_LOG_DELAY_MS)
+            + 4 * MAX_LOG_DELAY_MS
+        )
 
 
 @pytest.mark.parametrize("count", [5, 40, 200])
-def test_of_many_at_one_moment_few_have_their_turn_and_all_are_done_in_time(count: int) -> None:
+def test_many_members_at_once_get_few_turns_at_a_time_and_all_finish_in_time(count: int) -> None:
     fleet = Fleet(count, count)
     began = fleet.t
     fleet.end_period()
     fleet.run(fleet.bound(), fleet.all_done)
     assert fleet.all_done() and fleet.t - began <= fleet.bound()
     assert fleet.most <= PACE.at_once and (count < 40 or fleet.most == PACE.at_once)
-    assert all(len(node.begun) == 1 and fleet.ended(node.name) for node in fleet.members)
+    assert all(len(node.started_turns) == 1 and fleet.ended(node.name) for node in fleet.members)
     entries = len(fleet.log)
     fleet.run(600_000.0)
-    assert len(fleet.log) == entries and not fleet.events  # and then nobody has anything to do
+    assert len(fleet.log) == entries and not fleet.events  # no member has anything left to do
     for data in fleet.log[:entries]:
         if isinstance(command := d.decode(data), d.Ask):
-            fleet.append(command)  # what comes once more, late
+            fleet.append(command)  # late duplicates
     fleet.run(600_000.0)
-    assert not fleet.nodes[1].rounds.open and all(len(node.begun) == 1 for node in fleet.members)
+    assert not fleet.nodes[1].rounds.open and all(len(node.started_turns) == 1 for node in fleet.members)
 
 
 @pytest.mark.parametrize("count", [5, 40, 200])
-def test_a_new_conductor_loses_no_want_and_doubles_no_turn(count: int) -> None:
+def test_new_conductor_loses_no_request_and_grants_no_turn_twice(count: int) -> None:
     fleet = Fleet(count, count, loss=0.05)
     first, second = fleet.nodes[:2]
     fleet.end_period()
     fleet.run(60_000.0, lambda: len(second.rounds.ended) >= count // 2)
     assert second.rounds.running
-    first.cut = True  # it hears nothing and goes on conducting: what it says comes late
+    first.cut = True  # it is partitioned and goes on as conductor, so its commands come late
     for at in range(20):
-        fleet.at(fleet.t + 50 * at, partial(fleet.append, d.Act(r.DUTY, first.token(), stale(fleet, at))))
+        fleet.at(
+            fleet.t + 50 * at, partial(fleet.append, d.Act(r.DUTY, first.token(), late_command(fleet, at)))
+        )
     fleet.append(d.End("h0", 1, 1))
     fleet.append(d.Grant(r.DUTY, "h1", 1))
     fleet.run(60_000.0, fleet.all_done)
     assert fleet.all_done()
     fleet.run(1000.0)
     assert second.acts.void["token"] >= 20
-    assert all(len(node.begun) == 1 and fleet.ended(node.name) for node in fleet.members)
+    assert all(len(node.started_turns) == 1 and fleet.ended(node.name) for node in fleet.members)
     assert fleet.most <= PACE.at_once
 
 
-def stale(fleet: Fleet, at: int) -> bytes:
+def late_command(fleet: Fleet, at: int) -> bytes:
     waits = [(m, p) for m, mine in fleet.nodes[1].rounds.open.items() for p in mine]
     member, period = waits[at % len(waits)]
     turn = fleet.nodes[1].rounds.open[member][period].turn
@@ -288,7 +297,7 @@
 
 
 @pytest.mark.parametrize("back", [False, True])
-def test_a_member_that_dies_in_its_turn_blocks_nobody(back: bool) -> None:
+def test_member_that_dies_during_its_turn_blocks_no_other(back: bool) -> None:
     fleet = Fleet(40, 1)
     fleet.end_period()
     began = fleet.t
@@ -297,8 +306,13 @@
     dead.up = False
     fleet.working.discard(dead.name)
     fleet.run(60_000.0, lambda: len(fleet.nodes[1].rounds.ended) >= 39)
-    # the others have one place less
-    assert fleet.t - began <= PACE.spread_ms + -(-39 // (PACE.at_once - 1)) * (WORK + 4 * LAG) + 4 * LAG
+    # one place less for the others
+    assert (
+        fleet.t - began
+        <= PACE.spread_ms
+        + -(-39 // (PACE.at_once - 1)) * (MAX_TURN_MS + 4 * MAX_LOG_DELAY_MS)
+        + 4 * MAX_LOG_DELAY_MS
+    )
     if back:
         again = Node(fleet, dead.name)
         fleet.nodes[fleet.nodes.index(dead)] = again
@@ -306,14 +320,14 @@
     fleet.run(60_000.0, fleet.all_done)
     assert fleet.ended(dead.name) is back
     if back:
-        assert again.begun == dead.begun  # under the same turn
+        assert again.started_turns == dead.started_turns  # it continued the same turn
     else:
         assert fleet.t - began < 60_000.0
         assert fleet.nodes[1].rounds.ended[dead.name, PERIOD].tries == PACE.tries
     assert fleet.nodes[1].rounds.status()["failed"] == (not back)
 
 
-def test_a_member_that_hears_nothing_stops_by_its_own_clock_and_does_it_again_later() -> None:
+def test_partitioned_member_stops_by_its_own_clock_and_repeats_its_round_later() -> None:
     fleet = Fleet(5, 2)
     fleet.end_period()
     fleet.run(60_000.0, lambda: bool(fleet.working))
@@ -326,26 +340,30 @@
     node.cut = False
     fleet.catch_up(node, len(fleet.log))
     fleet.run(60_000.0, fleet.all_done)
-    assert fleet.ended(node.name) and len(node.begun) == 2 and node.begun[0] < node.begun[1]
+    assert (
+        fleet.ended(node.name)
+        and len(node.started_turns) == 2
+        and node.started_turns[0] < node.started_turns[1]
+    )
 
 
-def test_who_cannot_reach_the_collector_gives_its_turn_back_and_asks_again_when_it_can() -> None:
+def test_member_without_the_collector_returns_its_turn_and_asks_again_later() -> None:
     fleet = Fleet(5, 3)
     fleet.end_period()
     fleet.run(60_000.0, lambda: bool(fleet.working))
     node = next(node for node in fleet.members if node.name in fleet.working)
     node.own.can(False)
     node.step()
-    fleet.run(5 * LAG)
+    fleet.run(5 * MAX_LOG_DELAY_MS)
     assert node.name not in fleet.nodes[1].rounds.open and fleet.ended(node.name) is None
     fleet.run(60_000.0)
     node.own.can(True)
     node.step()
     fleet.run(60_000.0, fleet.all_done)
-    assert fleet.ended(node.name) and len(node.begun) == 2
+    assert fleet.ended(node.name) and len(node.started_turns) == 2
 
 
-def test_who_wants_many_keeps_nobody_waiting() -> None:
+def test_member_with_many_requests_delays_no_other() -> None:
     fleet = Fleet(5, 4)
     greedy = fleet.members[0]
     for period in range(100, 112):
@@ -358,7 +376,7 @@
     assert Counter(name for name, _ in fleet.nodes[1].rounds.ended)[greedy.name] == 13
 
 
-def test_a_pace_that_cannot_be_used_is_named() -> None:
+def test_invalid_pace_is_named() -> None:
     PACE.check("council.rounds")
     with pytest.raises(PaceError, match=r"council.rounds.at_once: 1 to 8"):
         Pace(at_once=9).check("council.rounds")
--- a/tests/test_shutdown_crossings.py
+++ b/tests/test_shutdown_crossings.py
@@ -1,4 +1,4 @@
-"""What is on its way as connections are closed by the invoker: it is waited for, within bounds."""
+"""Tests that data in transit is waited for, within limits, while the invoker closes connections."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 CALL = json.loads(line(1))
 CALL["params"] |= {"acct": "coop-kef", "props": "memory_mb:512;lanes:8;load_ms:500", "blob": ""}
-FIRST, SECOND = json.dumps(CALL)[:40], json.dumps(CALL)[40:]
-PATIENT = "[limits]\nclient_ask_ms = 60000"
+FIRST_HALF, SECOND_HALF = json.dumps(CALL)[:40], json.dumps(CALL)[40:]
+LONG_REQUEST_TIMEOUT = "[limits]\nclient_ask_ms = 60000"
 
 
 def until_refused(scene: Scene) -> None:
-    """Until the invoker has closed its listening socket: whoever is to leave has been told so."""
+    """Wait until the invoker has closed its listening socket: all its clients have been told to leave."""
     host, port = scene.address.split(":")
-    patience = time.monotonic() + 4 * PATIENCE
-    while time.monotonic() < patience:
+    deadline = time.monotonic() + 4 * PATIENCE
+    while time.monotonic() < deadline:
         try:
             socket.create_connection((host, int(port)), 1).close()
         except ConnectionRefusedError:
             return
         except ConnectionResetError:
-            continue  # this one crossed the close; the next is refused
+            continue  # it crossed the close; the next one is refused
         time.sleep(0.01)
-    raise AssertionError("it listens still")
+    raise AssertionError("the invoker still listens")
 
 
 def play(folder: Path, *steps: str, operator: str = "") -> str:
-    """Plays a scenario, with a wait for the closed listening socket between its parts."""
+    """Play a scenario, and wait for the closed listening socket between its parts."""
     with ending(Scene(folder, operator=operator)) as scene:
         scene.play(steps[0])
         for step in steps[1:]:
@@ -50,54 +50,54 @@
     play(
         tmp_path,
         f"""
-        send c1 part '{FIRST}'
+        send c1 part '{FIRST_HALF}'
         send node TERM
         wait stopping
         send node TERM""",
         f"""
-        send c1 raw '{SECOND}'
+        send c1 raw '{SECOND_HALF}'
         expect h1 request
         send h1 ok body=y
         expect c1 1 result y
         expect c1 end
         expect node exit 0""",
-        operator=PATIENT,
+        operator=LONG_REQUEST_TIMEOUT,
     )
 
 
-def test_newcomers_do_not_push_out_a_client_within_a_line(tmp_path: Path) -> None:
+def test_new_clients_do_not_displace_a_client_within_a_line(tmp_path: Path) -> None:
     others = "\n".join(f"send c{n} probe 1\nexpect c{n} 1 healthy" for n in range(2, 21))
     play(
         tmp_path,
         f"""
-        send c1 part '{FIRST}'
+        send c1 part '{FIRST_HALF}'
         {others}
         expect c2 end
-        send c1 raw '{SECOND}'
+        send c1 raw '{SECOND_HALF}'
         expect h1 request
         send h1 ok body=y
         expect c1 1 result y
         send c1 probe 2
         expect c1 2 healthy""",
-        operator=f"{PATIENT}\nsockets = 20\nclient_fresh_ms = 0.001",
+        operator=f"{LONG_REQUEST_TIMEOUT}\nsockets = 20\nclient_fresh_ms = 0.001",
     )
 
 
-def test_a_stalled_line_that_went_on_is_not_taken_for_the_next_one() -> None:
+def test_line_that_continues_after_a_stall_is_not_confused_with_the_next_one() -> None:
     c = Connection()
     c.send(line(1, "probe")[:30])
     until(lambda: c.actor.partial, "half a line")
-    begun = c.actor.used
+    stalled_since = c.actor.used
     c.send(line(1, "probe")[30:] + line(2, "probe")[:30])
     assert c.read(1) == [(1, 0)]
-    c.actor.try_send(CloseIfIdle(stalled=begun))
+    c.actor.try_send(CloseIfIdle(stalled=stalled_since))
     until(lambda: c.actor.stopping, "told to close")
     c.send(line(2, "probe")[30:])
     assert c.read(1) == [(2, 0)]
     c.close()
 
 
-def test_half_line_that_does_not_go_on_is_closed_at_a_stop() -> None:
+def test_client_whose_half_line_does_not_continue_is_closed_at_a_stop() -> None:
     f = Front(client_ask_ms=100.0, sweep_ms=20.0)
     sock = f.connect(line(1)[:30])
     until(lambda: any(c.partial for c in f.front.clients), "half a line")
@@ -141,7 +141,7 @@
     assert greenlet.ready() and f.log.totals == {"greenlet-died": 1}
 
 
-def test_backlog_is_taken_before_the_listening_socket_closes() -> None:
+def test_backlog_is_accepted_before_the_listening_socket_closes() -> None:
     asleep = Event()
 
     def sleep(entry: socket.socket) -> None:
@@ -162,8 +162,8 @@
     assert f.front.empty.wait(PATIENCE)
 
 
-def answered(f: Front, sock: socket.socket) -> None:
-    """The stop waits for the call that came on its way through the front, and ends with its answer."""
+def check_stop_after_answer(f: Front, sock: socket.socket) -> None:
+    """Check that the stop waits for the call from the socket, and ends with its answer."""
     until(lambda: f.core.offered, "offered")
     assert not f.front.empty.is_set()
     (client,) = f.front.clients
@@ -179,7 +179,7 @@
     served, _ = f.listening.accept()
     f.front.try_send(StopListening())
     f.front.try_send(Accepted(served, "c:1", asked=True))
-    answered(f, sock)
+    check_stop_after_answer(f, sock)
 
 
 def test_stop_waits_for_a_connection_that_the_listener_has_just_accepted() -> None:
@@ -199,10 +199,10 @@
     until(lambda: f.front.entry.fileno() < 0, "the entry closed")
     assert not f.front.empty.is_set()
     release.set()
-    answered(f, sock)
+    check_stop_after_answer(f, sock)
 
 
-def test_half_written_answer_is_written_to_its_end_at_a_stop() -> None:
+def test_partly_written_answer_is_completed_at_a_stop() -> None:
     f = Front()
     sock = f.connect(line(1))
     until(lambda: f.core.offered, "offered")
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -11,19 +11,19 @@
 from harrieryoke.net import frames
 
 from .scenario import Scene
-from .test_retune import NEW, Change, adds, changed, put
+from .test_retune import NEW_CLASS, Change, add_class, changed_settings, set_value
 
 OWN: dict[str, Change] = {
-    "settings.classes[0]: an object is": put("weight-read", "classes", 0),
-    "settings.classes[1].hard-limit: it is missing": put(None, "classes", 1, "hard-limit"),
-    "settings.realms: a list is": put("coops", "realms"),
-    "settings.classes[0]: an object is expected": put([[]], "classes"),
-    "settings.period: must be above 0": put(0, "period"),
-    "settings.ceilings.max-attempts: 12089": put(2**80, "ceilings", "max-attempts"),
-    "settings.classes[0].name: 1 to 256": put("", "classes", 0, "name"),
-    "settings.ceilings.cancel: Expected": put("no", "ceilings", "cancel"),
-    "settings.obligations: it is missing": put(..., "obligations"),
-    "settings.classes[1].dedup-scope: Invalid": put("instance", "classes", 1, "dedup-scope"),
+    "settings.classes[0]: an object is": set_value("weight-read", "classes", 0),
+    "settings.classes[1].hard-limit: it is missing": set_value(None, "classes", 1, "hard-limit"),
+    "settings.realms: a list is": set_value("coops", "realms"),
+    "settings.classes[0]: an object is expected": set_value([[]], "classes"),
+    "settings.period: must be above 0": set_value(0, "period"),
+    "settings.ceilings.max-attempts: 12089": set_value(2**80, "ceilings", "max-attempts"),
+    "settings.classes[0].name: 1 to 256": set_value("", "classes", 0, "name"),
+    "settings.ceilings.cancel: Expected": set_value("no", "ceilings", "cancel"),
+    "settings.obligations: it is missing": set_value(..., "obligations"),
+    "settings.classes[1].dedup-scope: Invalid": set_value("instance", "classes", 1, "dedup-scope"),
 }
 STORM = 300
 
@@ -56,7 +56,7 @@
     def write(self, change: Change) -> None:
         """The file is there whole or not at all."""
         aside = self.folder / "aside"
-        aside.write_text(json.dumps(self.config | {"settings": changed(change)}))
+        aside.write_text(json.dumps(self.config | {"settings": changed_settings(change)}))
         aside.replace(self.folder / "config.json")
 
     def done(self) -> dict[str, int]:
@@ -85,9 +85,9 @@
     broken = list(OWN.values())
     try:
         for n in range(STORM):
-            scene.write(broken[n // 2 % len(broken)] if n % 2 else adds)
+            scene.write(broken[n // 2 % len(broken)] if n % 2 else add_class)
             scene.play("send node HUP")
-        scene.write(lambda s: s["classes"].append(NEW | {"name": "last"}))
+        scene.write(lambda s: s["classes"].append(NEW_CLASS | {"name": "last"}))
         scene.play("send node HUP")
         until = time.monotonic() + 10
         # the log is no help: it has so many lines a second and no more
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,5 +1,7 @@
-"""System calls of a real invoker fail for a moment, as Linux documents. What they tell of this machine is not
-held against a model host, and no request is lost by it."""
+"""System calls of a real invoker fail temporarily, as documented for Linux.
+
+Errors caused by this machine must not count against a model host, and no request may be lost.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +13,12 @@
 from .faults.shim import BadPlanError, FaultShim
 from .scenario import Scene, invoker
 
-MOMENT_S = 0.15  # how long calls fail, well under the time of a request
-SHORT_WINDOW_MS = 5  # of a keyed class: nothing that may have run goes out again
+FAILURE_S = 0.15  # duration of the failure, much shorter than the deadline of a request
+SHORT_WINDOW_MS = 5  # of a keyed class, so that an attempt that may have run is not retried
 
 
-def served(number: int, client: str = "c1") -> str:
-    """A request that goes to a host at once: one without a copy, or out, would get another frame first."""
+def served_request(number: int, client: str = "c1") -> str:
+    """Steps for a request that its host gets immediately; without a copy another frame would come first."""
     return f"""
         send {client} call {number} weight-read budget=3000 body=question
         expect h1 request body=question
@@ -39,7 +41,7 @@
         "connected ENETUNREACH",
     ],
 )
-def test_no_host_is_taken_for_dead_by_an_error_of_this_machine(failing: str, tmp_path: Path) -> None:
+def test_local_error_does_not_exclude_a_host(failing: str, tmp_path: Path) -> None:
     with invoker(tmp_path) as scene:
         scene.play(
             f"""
@@ -49,7 +51,7 @@
             wait dial-failed
             """
         )
-        time.sleep(MOMENT_S)
+        time.sleep(FAILURE_S)
         scene.play(
             """
             send calls clear
@@ -62,9 +64,9 @@
 
 
 @pytest.mark.parametrize("failing", ["connect ETIMEDOUT", "connect EHOSTUNREACH", "connected ETIMEDOUT"])
-def test_a_host_that_can_be_reached_again_at_once_is_not_dead(failing: str, tmp_path: Path) -> None:
+def test_host_that_is_reachable_at_the_next_attempt_is_not_excluded(failing: str, tmp_path: Path) -> None:
     with invoker(tmp_path) as scene:
-        scene.play(f'expect bus "from 1"\nsend calls fail {failing} times=1\n{served(1)}')
+        scene.play(f'expect bus "from 1"\nsend calls fail {failing} times=1\n{served_request(1)}')
         assert scene.shim is not None and scene.shim.struck(failing.split()[0]) == 1
         assert "hosts-out" not in scene.log()
 
@@ -72,29 +74,33 @@
 @pytest.mark.parametrize(
     "failing", ["socket ENFILE times=3", "socket ENOMEM times=3", "duplicate EMFILE times=3"]
 )
-def test_the_start_waits_for_sockets_that_it_can_not_have_at_once(failing: str, tmp_path: Path) -> None:
+def test_start_waits_for_sockets(failing: str, tmp_path: Path) -> None:
     with invoker(tmp_path, failing) as scene:
-        scene.play(served(1))
+        scene.play(served_request(1))
 
 
 @pytest.mark.parametrize("error", ["ECONNABORTED", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"])
-def test_clients_that_knock_while_accept_fails_are_served_after_it(error: str, tmp_path: Path) -> None:
+def test_clients_connecting_while_accept_fails_are_served_afterwards(error: str, tmp_path: Path) -> None:
     with invoker(tmp_path) as scene:
-        scene.play(served(1) + f"send calls fail accept {error}\nsend c2 call 2 weight-read body=late")
+        scene.play(
+            served_request(1) + f"send calls fail accept {error}\nsend c2 call 2 weight-read body=late"
+        )
         scene.wait("accept-failed")
-        time.sleep(MOMENT_S)
-        scene.play(served(3))
-        assert scene.shim is not None and scene.shim.struck("accept") < 20, "it tries without a pause"
+        time.sleep(FAILURE_S)
+        scene.play(served_request(3))
+        assert (
+            scene.shim is not None and scene.shim.struck("accept") < 20
+        ), "accept is retried without a delay"
         scene.play(
             "send calls clear\nexpect h1 request body=late\nsend h1 ok n=w body=x\nexpect c2 2 result x"
         )
 
 
-def test_clients_that_knock_while_accept_fails_are_served_by_a_process_that_stops(tmp_path: Path) -> None:
+def test_clients_connecting_while_accept_fails_are_served_by_a_stopping_process(tmp_path: Path) -> None:
     with invoker(tmp_path) as scene:
         scene.play(
             f"""
-            {served(1)}
+            {served_request(1)}
             send calls fail accept EMFILE
             send c2 call 2 weight-read body=late
             wait accept-failed
@@ -102,7 +108,7 @@
             wait stopping
             """
         )
-        time.sleep(0.75)  # past the time for which a process that stops accepts as before
+        time.sleep(0.75)  # longer than a stopping process accepts new connections
         scene.play(
             """
             send calls clear
@@ -117,15 +123,16 @@
 @pytest.mark.parametrize(
     "failing", ["recv short", "send short", "wait EINTR chance=0.5", "recv short\nsend calls fail send short"]
 )
-def test_what_comes_in_parts_or_is_interrupted_is_whole(failing: str, tmp_path: Path) -> None:
+def test_partial_and_interrupted_reads_and_writes_lose_nothing(failing: str, tmp_path: Path) -> None:
     with invoker(tmp_path) as scene:
         scene.play(
-            f"send calls fail {failing}\n{served(1)}\n{served(2)}\nsend c2 probe 1\nexpect c2 1 healthy"
+            f"send calls fail {failing}\n{served_request(1)}\n{served_request(2)}"
+            "\nsend c2 probe 1\nexpect c2 1 healthy"
         )
 
 
 LINK_BREAKS = {
-    "before its first byte: it has never run and goes out again": """
+    "before its first byte: it has never run and is retried": """
         send calls fail send ERROR peer=dialled times=1
         send c1 call 2 harvest-log token=t body=once
         expect h1 end
@@ -133,7 +140,7 @@
         send h1 ok n=w body=x
         expect c1 2 result x
     """,
-    "after it went out: it may have run and ends as failed": """
+    "after it was written: it may have run and fails": """
         send c1 call 2 harvest-log token=t body=once
         expect h1 request body=once
         send calls fail recv ERROR peer=dialled times=1
@@ -145,14 +152,12 @@
 
 @pytest.mark.parametrize("error", ["ETIMEDOUT", "EHOSTUNREACH"])
 @pytest.mark.parametrize("case", LINK_BREAKS)
-def test_a_request_that_may_not_be_repeated_and_whose_link_breaks(
-    case: str, error: str, tmp_path: Path
-) -> None:
+def test_request_without_repeats_on_a_broken_link(case: str, error: str, tmp_path: Path) -> None:
     with invoker(tmp_path, window=SHORT_WINDOW_MS) as scene:
-        scene.play(served(1) + LINK_BREAKS[case].replace("ERROR", error))
+        scene.play(served_request(1) + LINK_BREAKS[case].replace("ERROR", error))
 
 
-def test_a_client_whose_connection_the_kernel_gave_up_has_gone(tmp_path: Path) -> None:
+def test_client_whose_connection_the_kernel_gave_up_has_left(tmp_path: Path) -> None:
     with invoker(tmp_path) as scene:
         scene.play(
             """
@@ -167,19 +172,19 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "why"),
+    ("plan", "error"),
     [
         ("fail dial EMFILE", "no call 'dial': one of accept, socket"),
         ("fail socket EWHAT", "no error 'EWHAT'"),
         ("fail socket", "'fail CALL FAILURE' or 'clear' is wanted"),
     ],
 )
-def test_the_shim_refuses_a_plan_that_it_does_not_know(told: str, why: str, tmp_path: Path) -> None:
-    with pytest.raises(BadPlanError, match=why):
-        FaultShim(tmp_path).tell(told.split())
+def test_shim_rejects_an_unknown_plan(plan: str, error: str, tmp_path: Path) -> None:
+    with pytest.raises(BadPlanError, match=error):
+        FaultShim(tmp_path).tell(plan.split())
 
 
-def test_a_process_names_a_plan_that_it_can_not_read(tmp_path: Path) -> None:
+def test_process_reports_an_unreadable_plan(tmp_path: Path) -> None:
     shim = FaultShim(tmp_path)
     shim.file.write_bytes(b"short")
     with pytest.raises(AssertionError, match="never logged: started"):
