--- a/harrieryoke/core/__init__.py
+++ b/harrieryoke/core/__init__.py
@@ -1,1 +1,1 @@
-"""The invoker's core: requests, attempts, orders and outcomes. It knows no wire."""
+"""The core of the invoker: requests, attempts, load orders and outcomes, independent of any protocol."""
--- a/harrieryoke/core/records.py
+++ b/harrieryoke/core/records.py
@@ -52,7 +52,7 @@
 class CallObserver(Protocol):
     """Is notified of the end of each call exactly once; must not block."""
 
-    def call_ended(self, call: Call, how: str) -> None: ...
+    def call_ended(self, call: Call, result: str) -> None: ...
 
 
 class Recorder(CallObserver, Protocol):
@@ -75,17 +75,17 @@
 class Gate(Door, Protocol):
     """Door that is also notified of changes of the worker list, without blocking."""
 
-    def workers_changed(self, listed: WorkersChanged) -> None: ...
+    def workers_changed(self, change: WorkersChanged) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """Work sent to a model host. Only the table clears `wanted`; only the host sets `write_started`."""
+    """Work sent to a model host. Only the table clears `is_open`; only the host sets `write_started`."""
 
     worker: int
     stop_at: float
     sent: float
-    wanted: bool = True
+    is_open: bool = True
     write_started: bool = False
     start_by: float = float("inf")  # the host may treat a later send as a new request
 
--- a/harrieryoke/core/table.py
+++ b/harrieryoke/core/table.py
@@ -188,7 +188,7 @@
             return None
         del self.ports_by_task[task]
         self.deadlines.cancel(task)
-        task.wanted = False
+        task.is_open = False
         if isinstance(task, AttemptTask):
             del self.open_attempts[task.request, task.number]
             if entry := self.entries.get(task.request):
--- a/harrieryoke/log.py
+++ b/harrieryoke/log.py
@@ -26,7 +26,7 @@
             for limited, count in self.lines_in_second.items():
                 if count > self.lines_per_s:
                     self.try_write_line(
-                        now, "log-limited", f"{limited}: {count - self.lines_per_s} lines left out"
+                        now, "log-limited", f"{limited}: {count - self.lines_per_s} lines omitted"
                     )
             self.current_second, self.lines_in_second = int(now), {}
         self.totals[kind] = self.totals.get(kind, 0) + 1
--- a/harrieryoke/net/host.py
+++ b/harrieryoke/net/host.py
@@ -185,7 +185,7 @@
     def may_begin(self, task: Task) -> bool:
         """Whether the task is still to be written: asked again directly before its first byte."""
         now = now_ms()
-        if not task.wanted or task.stop_at <= now or task.start_by <= now:
+        if not task.is_open or task.stop_at <= now or task.start_by <= now:
             return False
         if isinstance(task, AttemptTask) and task.call.abandoned:
             return False
--- a/harrieryoke/parts.py
+++ b/harrieryoke/parts.py
@@ -94,7 +94,7 @@
         """As `propose`, for an invoker that does not hold the duty: the duty's state machine decides."""
         ...
 
-    def watch(self, told: Callable[[], object]) -> None:
+    def watch(self, callback: Callable[[], object]) -> None:
         """Register a callback for applied entries and changes of `acting`. It must not block."""
         ...
 
@@ -111,7 +111,7 @@
         """Open the folder. Raises ValueError if it cannot be used; `start` raises OSError."""
         ...
 
-    def reload(self, told: Any) -> None:
+    def reload(self, settings: Any) -> None:
         """Apply a new version of the [council] table."""
         ...
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -145,7 +145,7 @@
     h.receive("b")
     h.step()
     ended = [e for e in h.router.events if isinstance(e, i.AttemptEnded)]
-    assert [e.outcome for e in ended] == [outcome] and not h.peers.tasks[0].wanted
+    assert [e.outcome for e in ended] == [outcome] and not h.peers.tasks[0].is_open
 
 
 def test_attempt_rejected_by_the_mailbox_has_never_run_and_is_reported_in_the_next_round() -> None:
--- a/tests/test_host_crossings.py
+++ b/tests/test_host_crossings.py
@@ -149,7 +149,7 @@
 
 
 def unwant(stage: Stage, task: AttemptTask) -> None:
-    task.wanted = False
+    task.is_open = False
 
 
 def drain(stage: Stage, task: AttemptTask) -> None:
