--- a/harrieryoke/core/module.py
+++ b/harrieryoke/core/module.py
@@ -151,16 +151,17 @@
     # --- event loop ---
 
     def run(self) -> None:
-        stepped = 0.0
+        """Run rounds until the actor has finished, one for each tick at most."""
+        last_step = 0.0
         while not self.finished:
             self.wait_for_message(self.next_wake_time() - self.clock())
-            pause = stepped + self.settings.tick - self.clock()
+            pause = last_step + self.settings.tick - self.clock()
             if 0 < pause <= self.settings.tick:
                 gevent.sleep(pause / 1000)
-            stepped, messages = self.clock(), list(self.mailbox)
+            last_step, messages = self.clock(), list(self.mailbox)
             self.mailbox.clear()
             self.space_available.set()
-            self.step(stepped, messages)
+            self.step(last_step, messages)
             self.log_state_changes()
 
     def log_state_changes(self) -> None:
--- a/tests/interleave.py
+++ b/tests/interleave.py
@@ -248,9 +248,9 @@
 
 
 def actor_thread(actor: Actor, clock: Callable[[], float]) -> Iterator[str | Wait]:
-    """An actor's own `run`, `work`, `receive` and `finish`: one message a step, with the points that the code
-    it calls may add. It can go on when its mailbox is not empty or when the time it waits for has come. The
-    module takes all that has come in one step, as it does in its rounds."""
+    """An actor's own `run`, `process_mailbox`, `receive` and `finish`: one message a step, with the points that
+    the code it calls may add. It can go on when its mailbox is not empty or when the time it waits for has
+    come. The module takes all that has come in one step, as it does in its rounds."""
     box = Box(actor.mailbox)
 
     def wait(timeout_ms: float | None = None) -> None:
