--- a/tests/test_ledger_crash.py
+++ b/tests/test_ledger_crash.py
@@ -1,4 +1,5 @@
-"""The ledger on the store, through crashes at any operation: what was durable is there, sealed is sealed."""
+"""The ledger on the store, with crashes at any operation: durable entries survive, and sealed periods stay
+sealed."""
 
 from __future__ import annotations
 
@@ -9,10 +10,19 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from harrieryoke.ledger.decide.book import Book, Use
-from harrieryoke.ledger.decide.entry import Amounts, Entry, decode
+from harrieryoke.ledger.decide.book import Book, CallUsage
+from harrieryoke.ledger.decide.entry import Amounts, Entry, decode_entry
 from harrieryoke.ledger.decide.export import BatchId, ExportState
-from harrieryoke.ledger.decide.ledger import CUT, DONE, ENTRIES, SEAL, Cut, Done, Ledger, Sealed
+from harrieryoke.ledger.decide.ledger import (
+    BATCH_CREATED,
+    BATCH_FINISHED,
+    ENTRY_KINDS,
+    PERIOD_SEALED,
+    BatchCreated,
+    BatchFinished,
+    LedgerState,
+    PeriodSealed,
+)
 from harrieryoke.ledger.decide.periods import Periods
 from harrieryoke.store.decide.segment import Record
 from harrieryoke.store.settings import StoreError, StoreSettings
@@ -25,12 +35,14 @@
 FUZZ = settings(max_examples=200, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 
 
-class Life:
-    """One life of an instance: its ledger on a disk that may crash."""
+class InstanceRun:
+    """One run of an instance: its ledger on a disk that may crash."""
 
     def __init__(self, disk: Disk, epoch: int, collector: dict[BatchId, tuple[str, list[Entry]]]) -> None:
         self.disk, self.collector, self.now = disk, collector, 10.0 * HOUR
-        self.ledger = Ledger(Book("n1", epoch, Periods(HOUR, 0), 6000), ExportState(keep=2), batch=3)
+        self.ledger = LedgerState(
+            Book("n1", epoch, Periods(HOUR, 0), 6000), ExportState(max_kept_batches=2), max_batch_entries=3
+        )
         self.store = Store(
             disk, StoreSettings("x", segment_mb=0.002, sync="group"), 0.0, self.visit, self.load
         )
@@ -41,7 +53,7 @@
     def visit(self, record: Record) -> None:
         self.ledger.replay(record.kind, record.seq, record.payload, self.now)
 
-    def keep(self, kind: int, payload: bytes) -> int:
+    def append_record(self, kind: int, payload: bytes) -> int:
         seq = self.store.append(self.now, kind, b"k", payload)
         assert seq is not None
         return seq
@@ -52,52 +64,69 @@
     def act(self, step: str, value: int, rng: random.Random) -> None:
         book = self.ledger.book
         if step == "use":
-            use = Use(int(self.now), f"t{value % 3}", "c", "served", 1000, value, 400, key=f"k{value % 50}")
-            self.enter(book.use(use))
+            usage = CallUsage(
+                int(self.now),
+                f"t{value % 3}",
+                "c",
+                "served",
+                1000,
+                value,
+                400,
+                idempotency_key=f"k{value % 50}",
+            )
+            self.add_entry(book.add_usage(usage))
         elif step == "correct":
-            mine = [f.entry for f in self.ledger.fresh if f.entry.amounts != Amounts()]
-            if mine:
-                old = rng.choice(mine)
-                to = Amounts(1, value, value, value)
-                if to != old.amounts:
-                    self.enter(book.correct(old, old.amounts, to, "wrong", int(self.now)))
+            correctable = [
+                unbatched.entry for unbatched in self.ledger.unbatched if unbatched.entry.amounts != Amounts()
+            ]
+            if correctable:
+                old = rng.choice(correctable)
+                corrected = Amounts(1, value, value, value)
+                if corrected != old.amounts:
+                    self.add_entry(book.add_correction(old, old.amounts, corrected, "wrong", int(self.now)))
         elif step == "seal":
             self.now += HOUR
-            for number in book.periods.due(int(self.now)):
+            for number in book.periods.due_for_sealing(int(self.now)):
                 period = book.seal(number, int(self.now))
-                self.keep(SEAL, PACK(Sealed(number, period.sealed, int(self.now))))
+                self.append_record(
+                    PERIOD_SEALED, PACK(PeriodSealed(number, period.seal_digest, int(self.now)))
+                )
         elif step == "export":
             self.export()
         elif step == "snapshot" and self.flush():
-            self.store.take_snapshot(self.store.commit.durable, self.ledger.dump())
+            self.store.take_snapshot(self.store.commit.durable_seq, self.ledger.dump())
         elif step == "compact" and self.flush():
-            self.store.compact(self.ledger.needed(self.store.commit.next_seq))
+            self.store.compact(self.ledger.first_needed_seq(self.store.commit.next_seq))
         elif step == "flush":
             self.flush()
 
-    def enter(self, entry: Entry) -> None:
-        self.ledger.entered(self.keep(entry.kind, entry.encode()), entry, self.now)
+    def add_entry(self, entry: Entry) -> None:
+        self.ledger.add_unbatched(self.append_record(entry.kind, entry.encode()), entry, self.now)
 
     def export(self) -> None:
-        """As the daemon does it: cut, the cut durable, send, and only then the end."""
-        durable = self.store.commit.durable
-        while run := self.ledger.due(self.now, durable, flush=True):
-            batch = self.ledger.cut(run, str(run[0].entry.id))
-            cut = Cut(*batch.id, batch.first, batch.last, batch.begin, batch.end, batch.digest)
-            self.keep(CUT, PACK(cut))
+        """In the order of the daemon: create the batch, make that durable, send, then record the end."""
+        durable_seq = self.store.commit.durable_seq
+        while entries := self.ledger.next_batch_entries(self.now, durable_seq, flush=True):
+            batch = self.ledger.create_batch(entries, str(entries[0].entry.id))
+            created = BatchCreated(
+                *batch.id, batch.first_entry, batch.last_entry, batch.first_seq, batch.last_seq, batch.digest
+            )
+            self.append_record(BATCH_CREATED, PACK(created))
         if not self.flush():
             return
-        while (chosen := self.ledger.export.next_to_send(self.now)) is not None:
-            found = [
-                decode(r.payload)
-                for r in self.store.from_seq(chosen.begin)
-                if r.seq <= chosen.end and r.kind in ENTRIES
+        while (batch_to_send := self.ledger.export.next_to_send(self.now)) is not None:
+            sent_entries = [
+                decode_entry(record.payload)
+                for record in self.store.records_from_seq(batch_to_send.first_seq)
+                if record.seq <= batch_to_send.last_seq and record.kind in ENTRY_KINDS
             ]
-            assert [e.id.number for e in found] == list(range(chosen.first, chosen.last + 1))
-            held = self.collector.setdefault(chosen.id, (chosen.digest, found))
-            assert held == (chosen.digest, found)  # under one number there is never another content
-            assert self.ledger.export.acknowledged(chosen.id, held[0])
-            self.keep(DONE, PACK(Done(*chosen.id, "")))
+            assert [entry.id.number for entry in sent_entries] == list(
+                range(batch_to_send.first_entry, batch_to_send.last_entry + 1)
+            )
+            stored = self.collector.setdefault(batch_to_send.id, (batch_to_send.digest, sent_entries))
+            assert stored == (batch_to_send.digest, sent_entries)  # a batch number never has another content
+            assert self.ledger.export.record_acknowledgement(batch_to_send.id, stored[0])
+            self.append_record(BATCH_FINISHED, PACK(BatchFinished(*batch_to_send.id, "")))
 
 
 @FUZZ
@@ -114,31 +143,35 @@
     ),
     st.integers(0, 1000),
 )
-def test_after_any_crash_the_ledger_is_what_its_durable_records_say(
-    steps: list[tuple[str, int]], fail: dict[int, str | int], seed: int
+def test_after_any_crash_the_ledger_matches_its_durable_records(
+    steps: list[tuple[str, int]], faults: dict[int, str | int], seed: int
 ) -> None:
     disk, rng, epoch = Disk(seed), random.Random(seed), 1
-    disk.fail = fail
+    disk.fail = faults
     collector: dict[BatchId, tuple[str, list[Entry]]] = {}
     sealed: dict[int, str] = {}
-    life: Life | None = None
-
-    def begin() -> Life:
-        made = Life(disk, epoch, collector)
-        assert not made.ledger.damaged and not made.store.recovery.damaged
-        for number, digest in sealed.items():  # what was sealed and durable is sealed for ever
-            assert made.ledger.book.periods.known[number].sealed == digest
-        for id, (_, entries) in collector.items():  # nothing that was sent is unknown here
-            assert made.ledger.export.epochs[id.epoch].last >= entries[-1].id.number
-        made.ledger.export.connection_lost()
-        return made
+    life: InstanceRun | None = None
+
+    def start_instance() -> InstanceRun:
+        started = InstanceRun(disk, epoch, collector)
+        assert not started.ledger.damaged and not started.store.recovery.damaged
+        for number, digest in sealed.items():  # durable seals are never lost
+            assert started.ledger.book.periods.by_number[number].seal_digest == digest
+        for id, (_, entries) in collector.items():  # every sent batch is known here
+            assert started.ledger.export.epochs[id.epoch].last_entry >= entries[-1].id.number
+        started.ledger.export.connection_lost()
+        return started
 
     for step, value in [*steps, ("flush", 1)]:
         try:
-            life = life or begin()
+            life = life or start_instance()
             life.act(step, value, rng)
             if step in ("seal", "flush") and life.flush():
-                sealed |= {n: p.sealed for n, p in life.ledger.book.periods.known.items() if p.sealed}
+                sealed |= {
+                    number: period.seal_digest
+                    for number, period in life.ledger.book.periods.by_number.items()
+                    if period.seal_digest
+                }
         except (Crash, Killed) as ended:
             if isinstance(ended, Crash):
                 disk.crash()
@@ -150,17 +183,21 @@
     disk.fail = {}
     if life is not None:
         life.flush()
-        life.store.leave()
+        life.store.close_segment()
     disk.unlock()
     epoch += 1
-    last = begin()
-    last.export()
-    entries = [e for _, (_, batch) in sorted(collector.items()) for e in batch]
-    assert len({e.id for e in entries}) == len(entries)  # each once
-    book = last.ledger.book
-    assert sum((e.amounts for e in entries), Amounts()) == sum(book.totals.lines.values(), Amounts())
-    assert sum(p.sum.count for p in book.periods.known.values()) == len(entries)
+    last_run = start_instance()
+    last_run.export()
+    entries = [entry for _, (_, batch) in sorted(collector.items()) for entry in batch]
+    assert len({entry.id for entry in entries}) == len(entries)  # each exactly once
+    book = last_run.ledger.book
+    assert sum((entry.amounts for entry in entries), Amounts()) == sum(book.totals.lines.values(), Amounts())
+    assert sum(period.entry_set.count for period in book.periods.by_number.values()) == len(entries)
     sums: dict[int, int] = {}
     for entry in entries:
         sums[entry.period] = (sums.get(entry.period, 0) + entry.digest()) % (1 << 128)
-    assert {n: p.sum.digest for n, p in book.periods.known.items() if p.sum.count} == sums
+    assert {
+        number: period.entry_set.digest_sum
+        for number, period in book.periods.by_number.items()
+        if period.entry_set.count
+    } == sums
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -16,9 +16,9 @@
 
 from harrieryoke.council.decide import duties as d
 from harrieryoke.council.decide import rounds as r
-from harrieryoke.council.decide.acts import Acts
-from harrieryoke.council.decide.conduct import Conductor, Own, Pace, PaceError
-from harrieryoke.council.decide.hold import Fence
+from harrieryoke.council.decide.commands import ReplicatedState
+from harrieryoke.council.decide.grants import MemberTurns, TurnScheduler, TurnSettings, TurnSettingsError
+from harrieryoke.council.decide.lease import Fence
 
 COUNTS = r.Counts(9, 1, -1, 400)
 NAMES, PERIODS, HOWS = st.sampled_from("abc"), st.integers(1, 3), ("done", "back", "give", "last")
@@ -30,9 +30,14 @@
     def __init__(self) -> None:
         super().__init__()
         self.patch = pytest.MonkeyPatch()
-        for name, value in (("MOST_OPEN", 5), ("MOST_EACH", 2), ("MOST_ENDED", 4), ("MOST_TRIES", 3)):
+        for name, value in (
+            ("MAX_OPEN_ROUNDS", 5),
+            ("MAX_OPEN_PER_MEMBER", 2),
+            ("MAX_ENDED_ROUNDS", 4),
+            ("MAX_TRIES", 3),
+        ):
             self.patch.setattr(r, name, value)
-        self.rounds, self.index = r.Rounds(), 0
+        self.rounds, self.index = r.ReconciliationRounds(), 0
         # member, period, mark, tries, turn; in queue order
         self.queue: list[list[int | str]] = []
         self.ended: list[tuple[str, int, int, bool]] = []  # member, period, mark, done; oldest first
@@ -43,30 +48,29 @@
     def find(self, member: str, period: int) -> list[Any] | None:
         return next((each for each in self.queue if each[:2] == [member, period]), None)
 
-    def submit(self, body: r.Asked | r.Given) -> bool:
+    def submit(self, body: r.MemberRequest | r.HolderCommand) -> bool:
         self.index += 1
-        if isinstance(body, r.Turn | r.GiveUp):
+        if isinstance(body, r.GrantTurn | r.RevokeTurn):
             return self.rounds.apply(self.index, 1, r.encode(body))
-        return self.rounds.ask(self.index, r.encode(body))
+        return self.rounds.apply_unfenced(self.index, r.encode(body))
 
     @rule(member=NAMES, period=PERIODS, mark=st.integers(1, 2))
     def want(self, member: str, period: int, mark: int) -> None:
         valid = self.find(member, period) is None and len(self.queue) < 5
         valid = valid and sum(each[0] == member for each in self.queue) < 2
         valid = valid and not any(each[:3] == (member, period, mark) for each in self.ended)
-        assert self.submit(r.Want(member, period, mark)) == valid
+        assert self.submit(r.RequestTurn(member, period, mark)) == valid
         self.queue += [[member, period, mark, 0, 0]] if valid else []
 
     @rule(member=NAMES, period=PERIODS, most=st.integers(0, 3))
     def turn(self, member: str, period: int, most: int) -> None:
         entry, running = self.find(member, period), [each for each in self.queue if each[4]]
         valid = entry is not None and len(running) < most and member not in [each[0] for each in running]
-        assert self.submit(r.Turn(member, period, most)) == valid
+        assert self.submit(r.GrantTurn(member, period, most)) == valid
         if entry is not None and valid:
             entry[4] = self.index
-            self.queue.sort(
-                key=lambda each: each[0] == member
-            )  # behind the other members, which keep their order
+            # behind the other members, which keep their order
+            self.queue.sort(key=lambda each: each[0] == member)
 
     @rule(
         member=NAMES, period=PERIODS, how=st.sampled_from(["done", "back", "give", "last"]), old=st.booleans()
@@ -76,11 +80,11 @@
         turn = 0 if entry is None else entry[4] - old
         valid = entry is not None and entry[4] == turn != 0
         if how == "done":
-            accepted = self.submit(r.Done(member, period, turn, COUNTS))
+            accepted = self.submit(r.CompleteTurn(member, period, turn, COUNTS))
         elif how == "back":
-            accepted = self.submit(r.Back(member, period, turn))
+            accepted = self.submit(r.ReturnTurn(member, period, turn))
         else:
-            accepted = self.submit(r.GiveUp(member, period, turn, how == "last"))
+            accepted = self.submit(r.RevokeTurn(member, period, turn, how == "last"))
         assert accepted == valid
         if not valid or entry is None:
             return
@@ -97,22 +101,24 @@
     @rule()
     def restart(self) -> None:
         data = self.rounds.dump()
-        self.rounds = r.Rounds()
+        self.rounds = r.ReconciliationRounds()
         self.rounds.load(data)
         assert self.rounds.dump() == data
 
     @rule(body=st.binary(max_size=20))
     def apply_garbage(self, body: bytes) -> None:
-        assert not self.rounds.ask(self.index, body) and not self.rounds.apply(self.index, 1, body)
+        assert not self.rounds.apply_unfenced(self.index, body) and not self.rounds.apply(self.index, 1, body)
 
     @invariant()
     def equals_model(self) -> None:
         opened = [(m, p, x) for m, mine in self.rounds.open.items() for p, x in mine.items()]
-        opened.sort(key=lambda each: (each[2].place, [e[:2] for e in self.queue].index([each[0], each[1]])))
-        assert [[m, p, x.mark, x.tries, x.turn] for m, p, x in opened] == self.queue
-        assert self.rounds.wanted == len(self.queue)
+        opened.sort(
+            key=lambda each: (each[2].queue_position, [e[:2] for e in self.queue].index([each[0], each[1]]))
+        )
+        assert [[m, p, x.request_id, x.tries, x.turn] for m, p, x in opened] == self.queue
+        assert self.rounds.open_count == len(self.queue)
         assert self.rounds.running == {(e[0], e[1]): e[4] for e in self.queue if e[4]}
-        ended = [(m, p, end.mark, end.counts == COUNTS) for (m, p), end in self.rounds.ended.items()]
+        ended = [(m, p, end.request_id, end.counts == COUNTS) for (m, p), end in self.rounds.ended.items()]
         assert ended == self.ended
 
 
@@ -125,51 +131,53 @@
 MAX_LOG_DELAY_MS = 12.0  # from a member to the log, and from the log to a member
 MAX_TURN_MS = 60.0
 PERIOD = 7
-PACE = Pace(at_once=3, turn_ms=2000.0, tries=3, again_ms=500.0, spread_ms=1000.0, repeat_ms=200.0)
+TURN_SETTINGS = TurnSettings(
+    at_once=3, turn_ms=2000.0, tries=3, again_ms=500.0, spread_ms=1000.0, repeat_ms=200.0
+)
 
 
 class Node:
     """The process of a member, with its copy of the agreed state."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
-        self.fleet, self.name, self.applied, self.up, self.cut = fleet, name, 0, True, False
-        self.acts, self.rounds = Acts(d.Duties()), r.Rounds()
-        self.acts.add(r.DUTY, self.rounds)
-        self.conductor = Conductor(self.rounds, PACE)
-        self.own = Own(name, self.rounds, PACE, fleet.rng.getrandbits(30))
-        self.own.can(True)
-        self.started_turns, self.wakes = list[int](), float("inf")
+        self.fleet, self.name, self.applied, self.up, self.isolated = fleet, name, 0, True, False
+        self.state, self.rounds = ReplicatedState(d.DutyTable()), r.ReconciliationRounds()
+        self.state.add_machine(r.DUTY, self.rounds)
+        self.scheduler = TurnScheduler(self.rounds, TURN_SETTINGS)
+        self.member_turns = MemberTurns(name, self.rounds, TURN_SETTINGS, fleet.rng.getrandbits(30))
+        self.member_turns.set_collector_reachable(True)
+        self.started_turns, self.next_wake = list[int](), float("inf")
 
     def token(self) -> int:
-        duty = self.acts.duties.duties.get(r.DUTY)
+        duty = self.state.duties.duties.get(r.DUTY)
         return duty.token if duty is not None and duty.holder == self.name else 0
 
     def step(self) -> None:
         if not self.up:
             return
         now, token = self.fleet.t, self.token()
-        for body in self.conductor.turn(now, token):
-            self.fleet.offer(self, d.Act(r.DUTY, token, body))
-        for body in self.own.turn(now):
-            self.fleet.offer(self, d.Ask(r.DUTY, body))
-        while (turn_to_start := self.own.take()) is not None:
+        for body in self.scheduler.tick(now, token):
+            self.fleet.offer(self, d.FencedCommand(r.DUTY, token, body))
+        for body in self.member_turns.tick(now):
+            self.fleet.offer(self, d.UnfencedCommand(r.DUTY, body))
+        while (turn_to_start := self.member_turns.take_ready()) is not None:
             self.started_turns.append(turn_to_start[1])
             self.work(*turn_to_start, 3)
-        due = [at for at in (self.conductor.due, self.own.due) if at is not None]
-        if due and not now < self.wakes <= min(due):
-            self.wakes = min(due)
-            self.fleet.at(self.wakes, self.step)
+        due = [at for at in (self.scheduler.wake_at, self.member_turns.wake_at) if at is not None]
+        if due and not now < self.next_wake <= min(due):
+            self.next_wake = min(due)
+            self.fleet.at(self.next_wake, self.step)
 
     def work(self, period: int, turn: int, messages: int) -> None:
         """Send the remaining messages of a turn to the collector, one at a time."""
         self.fleet.working.discard(self.name)
-        if not self.up or not self.own.holds(self.fleet.t, period, turn):
+        if not self.up or not self.member_turns.holds(self.fleet.t, period, turn):
             return
         if not messages:
-            self.own.done(period, turn, COUNTS)
+            self.member_turns.complete(period, turn, COUNTS)
             return self.step()
         self.fleet.working.add(self.name)
-        self.fleet.most = max(self.fleet.most, len(self.fleet.working))
+        self.fleet.max_working = max(self.fleet.max_working, len(self.fleet.working))
         self.fleet.collect(self.name, turn)
         later = self.fleet.t + self.fleet.rng.uniform(1, MAX_TURN_MS / 3)
         self.fleet.at(later, partial(self.work, period, turn, messages - 1))
@@ -183,13 +191,13 @@
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.log: list[bytes] = []
         self.working: set[str] = set()
-        self.most, self.last = 0, 0.0
+        self.max_working, self.last_ended = 0, 0.0
         self.fences: dict[str, Fence] = {}
         self.nodes = [Node(self, name) for name in ("h0", "h1", *(f"m{n}" for n in range(count)))]
         self.members = self.nodes[2:]
-        words = [d.Word(name, 1, 1, 1.0) for name in ("h0", "h1")]
-        first: list[d.Command] = [d.Define((r.DUTY,)), *words, d.Grant(r.DUTY, "h0", 1)]
-        for command in first:
+        renewals = [d.RenewSession(name, 1, 1, 1.0) for name in ("h0", "h1")]
+        setup: list[d.Command] = [d.DefineDuties((r.DUTY,)), *renewals, d.GrantDuty(r.DUTY, "h0", 1)]
+        for command in setup:
             self.append(command)
         self.run(100.0)
 
@@ -204,7 +212,7 @@
             what()
 
     def offer(self, node: Node, command: d.Command) -> None:
-        if not node.cut and self.rng.random() >= self.loss:
+        if not node.isolated and self.rng.random() >= self.loss:
             self.at(self.t + self.rng.uniform(1, MAX_LOG_DELAY_MS), partial(self.append, command))
 
     def append(self, command: d.Command) -> None:
@@ -215,11 +223,11 @@
             )
 
     def catch_up(self, node: Node, upto: int) -> None:
-        if not node.up or node.cut or node.applied >= upto:
+        if not node.up or node.isolated or node.applied >= upto:
             return
         for index in range(node.applied + 1, upto + 1):
-            node.acts.apply(index, d.decode(self.log[index - 1]))
-            assert len(node.rounds.running) <= PACE.at_once
+            node.state.apply(index, d.decode(self.log[index - 1]))
+            assert len(node.rounds.running) <= TURN_SETTINGS.at_once
         node.applied = upto
         node.step()
 
@@ -228,7 +236,7 @@
 
     def end_period(self) -> None:
         for node in self.members:
-            node.own.want(self.t, PERIOD)
+            node.member_turns.request(self.t, PERIOD)
             node.step()
 
     def ended(self, member: str) -> bool | None:
@@ -242,8 +250,8 @@
     def bound(self) -> float:
         """Return the time in which all rounds must end: each turn takes its work and four log delays."""
         return (
-            PACE.spread_ms
-            + -(-len(self.members) // PACE.at_once) * (MAX_TURN_MS + 4 * MAX_LOG_DELAY_MS)
+            TURN_SETTINGS.spread_ms
+            + -(-len(self.members) // TURN_SETTINGS.at_once) * (MAX_TURN_MS + 4 * MAX_LOG_DELAY_MS)
             + 4 * MAX_LOG_DELAY_MS
         )
 
@@ -255,45 +263,48 @@
     fleet.end_period()
     fleet.run(fleet.bound(), fleet.all_done)
     assert fleet.all_done() and fleet.t - began <= fleet.bound()
-    assert fleet.most <= PACE.at_once and (count < 40 or fleet.most == PACE.at_once)
+    assert fleet.max_working <= TURN_SETTINGS.at_once and (
+        count < 40 or fleet.max_working == TURN_SETTINGS.at_once
+    )
     assert all(len(node.started_turns) == 1 and fleet.ended(node.name) for node in fleet.members)
     entries = len(fleet.log)
     fleet.run(600_000.0)
-    assert len(fleet.log) == entries and not fleet.events  # no member has anything left to do
+    assert len(fleet.log) == entries and not fleet.events  # and no member has anything left to do
     for data in fleet.log[:entries]:
-        if isinstance(command := d.decode(data), d.Ask):
+        if isinstance(command := d.decode(data), d.UnfencedCommand):
             fleet.append(command)  # late duplicates
     fleet.run(600_000.0)
     assert not fleet.nodes[1].rounds.open and all(len(node.started_turns) == 1 for node in fleet.members)
 
 
 @pytest.mark.parametrize("count", [5, 40, 200])
-def test_new_conductor_loses_no_request_and_grants_no_turn_twice(count: int) -> None:
+def test_new_holder_loses_no_request_and_grants_no_turn_twice(count: int) -> None:
     fleet = Fleet(count, count, loss=0.05)
-    first, second = fleet.nodes[:2]
+    old_holder, new_holder = fleet.nodes[:2]
     fleet.end_period()
-    fleet.run(60_000.0, lambda: len(second.rounds.ended) >= count // 2)
-    assert second.rounds.running
-    first.cut = True  # it is partitioned and goes on as conductor, so its commands come late
+    fleet.run(60_000.0, lambda: len(new_holder.rounds.ended) >= count // 2)
+    assert new_holder.rounds.running
+    old_holder.isolated = True  # it is partitioned and goes on as the holder, so its commands come late
     for at in range(20):
         fleet.at(
-            fleet.t + 50 * at, partial(fleet.append, d.Act(r.DUTY, first.token(), late_command(fleet, at)))
+            fleet.t + 50 * at,
+            partial(fleet.append, d.FencedCommand(r.DUTY, old_holder.token(), late_command(fleet, at))),
         )
-    fleet.append(d.End("h0", 1, 1))
-    fleet.append(d.Grant(r.DUTY, "h1", 1))
+    fleet.append(d.EndSession("h0", 1, 1))
+    fleet.append(d.GrantDuty(r.DUTY, "h1", 1))
     fleet.run(60_000.0, fleet.all_done)
     assert fleet.all_done()
     fleet.run(1000.0)
-    assert second.acts.void["token"] >= 20
+    assert new_holder.state.rejected["token"] >= 20
     assert all(len(node.started_turns) == 1 and fleet.ended(node.name) for node in fleet.members)
-    assert fleet.most <= PACE.at_once
+    assert fleet.max_working <= TURN_SETTINGS.at_once
 
 
 def late_command(fleet: Fleet, at: int) -> bytes:
     waits = [(m, p) for m, mine in fleet.nodes[1].rounds.open.items() for p in mine]
     member, period = waits[at % len(waits)]
     turn = fleet.nodes[1].rounds.open[member][period].turn
-    return r.encode(r.GiveUp(member, period, turn, True) if turn else r.Turn(member, period, 8))
+    return r.encode(r.RevokeTurn(member, period, turn, True) if turn else r.GrantTurn(member, period, 8))
 
 
 @pytest.mark.parametrize("back", [False, True])
@@ -309,8 +320,8 @@
     # one place less for the others
     assert (
         fleet.t - began
-        <= PACE.spread_ms
-        + -(-39 // (PACE.at_once - 1)) * (MAX_TURN_MS + 4 * MAX_LOG_DELAY_MS)
+        <= TURN_SETTINGS.spread_ms
+        + -(-39 // (TURN_SETTINGS.at_once - 1)) * (MAX_TURN_MS + 4 * MAX_LOG_DELAY_MS)
         + 4 * MAX_LOG_DELAY_MS
     )
     if back:
@@ -323,7 +334,7 @@
         assert again.started_turns == dead.started_turns  # it continued the same turn
     else:
         assert fleet.t - began < 60_000.0
-        assert fleet.nodes[1].rounds.ended[dead.name, PERIOD].tries == PACE.tries
+        assert fleet.nodes[1].rounds.ended[dead.name, PERIOD].tries == TURN_SETTINGS.tries
     assert fleet.nodes[1].rounds.status()["failed"] == (not back)
 
 
@@ -332,12 +343,12 @@
     fleet.end_period()
     fleet.run(60_000.0, lambda: bool(fleet.working))
     node = next(node for node in fleet.members if node.name in fleet.working)
-    ((period, held),) = node.own.held.items()
-    node.cut = True
-    assert node.own.holds(fleet.t, period, held.turn)
-    assert not node.own.holds(fleet.t + PACE.turn_ms, period, held.turn)
-    fleet.run(2 * PACE.turn_ms)
-    node.cut = False
+    ((period, held),) = node.member_turns.held.items()
+    node.isolated = True
+    assert node.member_turns.holds(fleet.t, period, held.turn)
+    assert not node.member_turns.holds(fleet.t + TURN_SETTINGS.turn_ms, period, held.turn)
+    fleet.run(2 * TURN_SETTINGS.turn_ms)
+    node.isolated = False
     fleet.catch_up(node, len(fleet.log))
     fleet.run(60_000.0, fleet.all_done)
     assert (
@@ -352,12 +363,12 @@
     fleet.end_period()
     fleet.run(60_000.0, lambda: bool(fleet.working))
     node = next(node for node in fleet.members if node.name in fleet.working)
-    node.own.can(False)
+    node.member_turns.set_collector_reachable(False)
     node.step()
     fleet.run(5 * MAX_LOG_DELAY_MS)
     assert node.name not in fleet.nodes[1].rounds.open and fleet.ended(node.name) is None
     fleet.run(60_000.0)
-    node.own.can(True)
+    node.member_turns.set_collector_reachable(True)
     node.step()
     fleet.run(60_000.0, fleet.all_done)
     assert fleet.ended(node.name) and len(node.started_turns) == 2
@@ -367,8 +378,8 @@
     fleet = Fleet(5, 4)
     greedy = fleet.members[0]
     for period in range(100, 112):
-        greedy.own.want(fleet.t, period)
-    fleet.run(PACE.spread_ms / 2)
+        greedy.member_turns.request(fleet.t, period)
+    fleet.run(TURN_SETTINGS.spread_ms / 2)
     fleet.end_period()
     fleet.run(60_000.0, lambda: all(fleet.ended(node.name) for node in fleet.members))
     assert sum(name == greedy.name for name, _ in fleet.nodes[1].rounds.ended) < 13
@@ -376,7 +387,7 @@
     assert Counter(name for name, _ in fleet.nodes[1].rounds.ended)[greedy.name] == 13
 
 
-def test_invalid_pace_is_named() -> None:
-    PACE.check("council.rounds")
-    with pytest.raises(PaceError, match=r"council.rounds.at_once: 1 to 8"):
-        Pace(at_once=9).check("council.rounds")
+def test_invalid_turn_settings_are_named() -> None:
+    TURN_SETTINGS.check("council.rounds")
+    with pytest.raises(TurnSettingsError, match=r"council.rounds.at_once: must be 1 to 8"):
+        TurnSettings(at_once=9).check("council.rounds")
