--- a/harrieryoke/background/runner.py
+++ b/harrieryoke/background/runner.py
@@ -1,4 +1,4 @@
-"""The greenlet that runs background jobs, a slice at a time."""
+"""The greenlet that runs background jobs, one slice at a time."""
 
 from __future__ import annotations
 
@@ -15,57 +15,62 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Slice:
-    """What a slice did. `size` is the bytes that it moved."""
+class SliceOutcome:
+    """What a slice did: whether the job has another slice, and the bytes it moved."""
 
-    more: bool = False
-    size: int = 0
+    has_more: bool = False
+    moved_bytes: int = 0
 
 
 @dataclass(slots=True)
-class Want:
+class JobRequested:
+    """A job should run its next slice as soon as possible."""
+
     name: str
 
 
-class Runner(Actor):
-    """A job's slice runs here; what would block it hands to a thread and waits for. `busy` says whether
-    serving wants the time. A job that raises has failed, and is tried again after a pause."""
+class JobRunner(Actor):
+    """Runs the slices of jobs. Slices delegate blocking work to a thread and wait for it. `is_busy` tells
+    whether serving needs the event loop. A job that raises has failed and is retried with back-off."""
 
-    def __init__(self, told: BackgroundSettings, log: Log, seed: int, busy: Callable[[], bool]) -> None:
+    def __init__(
+        self, settings: BackgroundSettings, log: Log, seed: int, is_busy: Callable[[], bool]
+    ) -> None:
         super().__init__("background", 256, log)
-        self.schedule = JobScheduler(told.time_share, told.mb_per_s * 2**20, seed)
-        self.busy, self.slices = busy, dict[str, Callable[[], Slice]]()
+        self.scheduler = JobScheduler(settings.time_share, settings.mb_per_s * 2**20, seed)
+        self.is_busy, self.slice_functions = is_busy, dict[str, Callable[[], SliceOutcome]]()
 
-    def add(self, job: Job, run: Callable[[], Slice]) -> None:
-        self.slices[job.name] = run
-        self.schedule.add(job, now_ms())
+    def add(self, job: Job, run_slice: Callable[[], SliceOutcome]) -> None:
+        self.slice_functions[job.name] = run_slice
+        self.scheduler.add(job, now_ms())
 
-    def want(self, name: str) -> None:
-        """Its next slice as soon as may be. Never waits; at the mailbox's bound it comes with its period."""
-        self.try_send(Want(name))
+    def request(self, name: str) -> None:
+        """Requests a job's next slice as soon as possible. Never blocks: if the mailbox is full, the job
+        waits for its period."""
+        self.try_send(JobRequested(name))
 
     def run(self) -> None:
         while not self.finished:
-            at = self.schedule.next_wake(now_ms(), self.busy())
-            self.wait_for_message(1000.0 if at is None else min(1000.0, at - now_ms()))
+            wake_at = self.scheduler.next_wake(now_ms(), self.is_busy())
+            self.wait_for_message(1000.0 if wake_at is None else min(1000.0, wake_at - now_ms()))
             self.process_mailbox()
-            name = self.schedule.start_next(now_ms(), self.busy())
+            name = self.scheduler.start_next(now_ms(), self.is_busy())
             if name is not None:
-                self.one(name)
+                self.run_slice(name)
 
-    def one(self, name: str) -> None:
-        began, cpu, did = now_ms(), time.thread_time(), Slice()
+    def run_slice(self, name: str) -> None:
+        started_at, cpu_s, outcome = now_ms(), time.thread_time(), SliceOutcome()
         try:
-            did = self.slices[name]()
-            how = SliceResult.MORE if did.more else SliceResult.DONE
+            outcome = self.slice_functions[name]()
+            result = SliceResult.MORE if outcome.has_more else SliceResult.DONE
         except Exception as error:
-            how = SliceResult.FAILED
+            result = SliceResult.FAILED
             self.log("job-failed", f"{name}: {type(error).__name__}: {error}", job=name)
-        # what it waited for in a thread or on a socket took none of the loop's time; a part of its bytes did
-        took = min(max(0.0, now_ms() - began), 1000 * (time.thread_time() - cpu))
-        self.schedule.finish_slice(now_ms(), how, took, did.size)
+        # Waiting for a thread or socket costs no loop time; copying its bytes costs some CPU time.
+        loop_ms = min(max(0.0, now_ms() - started_at), 1000 * (time.thread_time() - cpu_s))
+        self.scheduler.finish_slice(now_ms(), result, loop_ms, outcome.moved_bytes)
 
     def receive(self, message: Any) -> None:
         match message:
-            case Want(name):
-                self.schedule.request(name, now_ms())
+            case JobRequested(name):
+                self.scheduler.request(name, now_ms())
--- a/harrieryoke/council/disk.py
+++ b/harrieryoke/council/disk.py
@@ -31,7 +31,7 @@
 from ..core.actor import spawn
 from ..core.clock import now_ms, wall_ms
 from ..log import Log
-from ..store.actor import HEAD, StoreKeeper
+from ..store.actor import RECORD_OVERHEAD_BYTES, StoreWriter
 from ..store.decide.segment import Record
 from ..store.files import Directory, DiskDirectory
 from ..store.settings import StoreError, StoreSettings
@@ -176,17 +176,17 @@
         return self.hole
 
 
-def leave(keeper: StoreKeeper) -> None:
+def leave(keeper: StoreWriter) -> None:
     """Of one that was not started."""
     keeper.store.directory.unlock()
-    keeper.pool.kill()
+    keeper.thread_pool.kill()
 
 
-def opened(told: StoreSettings, name: str, log: Log, files: Folder) -> tuple[StoreKeeper, Found]:
+def opened(told: StoreSettings, name: str, log: Log, files: Folder) -> tuple[StoreWriter, Found]:
     """Raises StoreError for a folder of somebody else's, which is left alone."""
     while True:
         found = Found()
-        keeper = StoreKeeper(told, log, found.visit, found.restore, files)
+        keeper = StoreWriter(told, log, found.visit, found.restore, files)
         why, cut = "", found.unfinished(keeper.store)
         if found.foreign:
             why = f"holds what this program can't read as a council's: {found.foreign}"
@@ -251,7 +251,7 @@
         self.due, self.empty, self.ended, self.over = Event(), Event(), Event(), False
         self.done: Callable[[int], object] = lambda number: None
         self.failed: Callable[[str], object] = lambda why: None
-        self.keeper.watch, self.keeper.ails = self.watch, self.ails
+        self.keeper.on_durable, self.keeper.on_failure_change = self.watch, self.ails
 
     @staticmethod
     def found(told: StoreSettings, name: str, base: int) -> Seat:
@@ -282,7 +282,7 @@
     def pump(self) -> None:
         """Hands the store what it has room for."""
         while self.waiting and not self.barrier:
-            save, promised = self.waiting[0], self.keeper.durable
+            save, promised = self.waiting[0], self.keeper.durable_seq
             record, news = save.record, False
             if isinstance(record, Snapshot):
                 log = self.state.log
@@ -290,7 +290,7 @@
                 kind, payload = TAKEN, ENCODE((promised, record.index))
             else:
                 kind, payload = HARD if isinstance(record, Hard) else ENTRY, ENCODE((promised, record))
-            if not self.keeper.room(HEAD + len(payload)):
+            if not self.keeper.has_room(RECORD_OVERHEAD_BYTES + len(payload)):
                 break
             seq = self.keeper.append(wall_ms(), kind, b"", payload)
             assert seq is not None
@@ -313,7 +313,7 @@
             number = self.marks.popleft()[1]
         if number:
             self.done(number)
-            self.ails(self.keeper.failing)  # guards against one who takes a part for the whole
+            self.ails(self.keeper.failure)  # guards against one who takes a part for the whole
         self.pump()
         if self.wanted is not None:
             self.due.set()
@@ -328,11 +328,11 @@
         while not self.over:
             self.due.clear()
             wanted = self.wanted
-            if wanted is None or wanted.seq > self.keeper.durable:
+            if wanted is None or wanted.seq > self.keeper.durable_seq:
                 self.due.wait()
                 continue
             try:
-                self.keeper.ask(partial(self.write, wanted))
+                self.keeper.run_in_thread(partial(self.write, wanted))
             except OSError as error:
                 self.snapshot_failed(str(error))
                 pause = min(RETRY_MOST_S, max(RETRY_S, 2 * pause))
--- a/harrieryoke/ledger/actor.py
+++ b/harrieryoke/ledger/actor.py
@@ -1,4 +1,4 @@
-"""The ledger's actor: an entry for each final answer, and what the operators ask of it."""
+"""The ledger's actor: writes an entry for each final answer, and serves the operators' requests."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 from .. import interface as i
 from ..background.decide.schedule import Job
-from ..background.runner import Runner, Slice
+from ..background.runner import JobRunner, SliceOutcome
 from ..core.actor import Actor, wait_for_reply
 from ..core.clock import now_ms, wall_ms
 from ..core.records import Call, CallEnded, Front, SettingsChanged, StatusRequested
 from ..log import Log
 from ..state import Bucket
-from ..store.actor import StoreKeeper
+from ..store.actor import StoreWriter
 from ..store.decide.segment import Record
 from ..store.settings import StoreError, StoreSettings
 from ..store.store import Store
@@ -47,59 +47,60 @@
 T = TypeVar("T")
 NO_TENANT = "(none)"
 TICK_MS = 500.0
-LAST_MS = 3.0  # before its time an answer leaves, whatever the disk does
-PACK = msgspec.msgpack.encode
+ANSWER_MARGIN_MS = 3.0  # an answer leaves this long before its deadline, whatever the disk does
+ENCODE = msgspec.msgpack.encode
 
 
 @dataclass(slots=True)
-class Do:
-    """Run it in the ledger's own greenlet; `told` gets what it says, or its error."""
+class RunFunction:
+    """Runs `function` in the ledger's greenlet; `result` receives its value or exception."""
 
-    what: Callable[[], Any]
-    told: AsyncResult
+    function: Callable[[], Any]
+    result: AsyncResult
 
 
 @dataclass(slots=True)
-class Answered:
-    """A call has its final answer, which leaves by `deliver`."""
+class CallAnswered:
+    """A call has its final answer, which `deliver` sends."""
 
     call: Call
-    how: str
+    outcome: str
     deliver: Callable[[], object]
 
 
 @dataclass(slots=True)
-class Held:
-    """An answer that waits for its entry, until `until` at the latest."""
+class HeldAnswer:
+    """An answer that waits for its entry to be durable, at the latest until `release_at`."""
 
     seq: int
-    until: float
+    release_at: float
     deliver: Callable[[], object]
 
 
-class HeldFront:
-    """Stands in for a front: what was answered is in the ledger before the client hears it."""
+class HoldingFront:
+    """Wraps a front so that the entry of an answer is in the ledger before the client receives the
+    answer."""
 
     def __init__(self, front: Front, ledger: LedgerActor) -> None:
         self.front, self.ledger = front, ledger
 
     def served(self, call: Call, body: bytes) -> None:
-        self.ledger.answered(call, "served", lambda: self.front.served(call, body))
+        self.ledger.call_answered(call, "served", lambda: self.front.served(call, body))
 
     def refused(self, call: Call, retry_after: float | None) -> None:
-        self.ledger.answered(call, "refused", lambda: self.front.refused(call, retry_after))
+        self.ledger.call_answered(call, "refused", lambda: self.front.refused(call, retry_after))
 
     def failed(self, call: Call, reason: str) -> None:
-        self.ledger.answered(call, "failed", lambda: self.front.failed(call, reason))
+        self.ledger.call_answered(call, "failed", lambda: self.front.failed(call, reason))
 
 
 class LedgerActor(Actor):
-    """Owns the ledger. It hears of each final answer and never makes one wait: what finds no room is counted,
-    and a gap is written as soon as there is room again. Raises LedgerError or StoreError at the start."""
+    """Owns the ledger. Recording a final answer never blocks: entries that find no room are counted, and a
+    gap entry is written as soon as there is room. Raises LedgerError or StoreError at the start."""
 
     def __init__(
         self,
-        told: LedgerSettings,
+        ledger_settings: LedgerSettings,
         store: StoreSettings | None,
         instance: str,
         settings: i.Settings,
@@ -107,13 +108,13 @@
         log: Log,
     ) -> None:
         super().__init__("ledger", mailbox, log)
-        self.told, self.settings, self.instance = told, settings, instance
-        began_at = int(wall_ms())
-        # new with each start, also without a disk and after a wall clock that was set back
-        self.epoch = began_at << 20 | secrets.randbits(20)
-        periods = Periods(told.period_s * 1000, told.grace_s * 1000)
-        book = Book(instance, self.epoch, periods, int(told.key_window_s * 1000))
-        collector = told.collector
+        self.ledger_settings, self.settings, self.instance = ledger_settings, settings, instance
+        started_ms = int(wall_ms())
+        # New with each start, also without a disk and after the wall clock was set back.
+        self.epoch = started_ms << 20 | secrets.randbits(20)
+        periods = Periods(ledger_settings.period_s * 1000, ledger_settings.grace_s * 1000)
+        book = Book(instance, self.epoch, periods, int(ledger_settings.key_window_s * 1000))
+        collector = ledger_settings.collector
         export = ExportState() if collector is None else ExportState(collector.window, collector.answer_ms)
         self.ledger = LedgerState(book, export)
         if collector is not None:
@@ -121,366 +122,387 @@
                 collector.batch,
                 collector.batch_ms,
             )
-        self.shares: dict[int, Bucket] = {}
+        self.tenant_buckets: dict[int, Bucket] = {}
         self.counts: Counter[str] = Counter()
-        # with another policy nothing is durable soon, by the operator's choice
-        self.holds = store is not None and store.sync == "group" and told.hold_ms > 0
-        self.held: list[Held] = []
-        self.missed = self.missed_first = self.missed_last = 0
-        self.memory: dict[int, Entry] = {}  # without a store: entries that the export still wants, by number
-        self.serial = 0
-        self.cut_seqs: dict[BatchId, int] = {}  # records that must be durable before the batch is sent
+        # with other sync policies entries are not durable soon, by the operator's choice
+        self.holds_answers = store is not None and store.sync == "group" and ledger_settings.hold_ms > 0
+        self.held_answers: list[HeldAnswer] = []
+        self.missed_count = self.first_missed_ms = self.last_missed_ms = 0
+        # without a store: entries that the export still needs, by sequence number
+        self.entries_in_memory: dict[int, Entry] = {}
+        self.last_serial = 0
+        # sequence numbers of creation records that must be durable before their batch is sent
+        self.batch_created_seqs: dict[BatchId, int] = {}
         self.snapshot_seq = 0
-        self.keeper: StoreKeeper | None = None
+        self.store_writer: StoreWriter | None = None
         if store is not None:
             try:
-                self.keeper = StoreKeeper(
+                self.store_writer = StoreWriter(
                     store, log, self.replay, lambda data: self.ledger.load(data, now_ms())
                 )
             except BookError as error:
                 raise StoreError(f"store.folder: {error}") from None
-            self.keeper.watch = lambda durable: self.wake()
-            self.snapshot_seq = self.keeper.store.recovery.snapshot_seq
-            for words in self.ledger.damaged:
-                log("ledger-damaged", words)
-        self.sealed: Callable[[int], object] = lambda period: None  # a period has been closed
-        self.wanted: Callable[[], object] = lambda: None  # tells the export that there may be something to do
-        began = EpochStarted(instance, self.epoch, began_at)
-        self.ledger.epochs[self.epoch] = began
-        self.keep(EPOCH_STARTED, b"", PACK(began))
+            self.store_writer.on_durable = lambda durable_seq: self.wake()
+            self.snapshot_seq = self.store_writer.store.recovery.snapshot_seq
+            for problem in self.ledger.damaged:
+                log("ledger-damaged", problem)
+        # called when a period was sealed
+        self.on_period_sealed: Callable[[int], object] = lambda period: None
+        self.on_export_work: Callable[[], object] = lambda: None  # the export may have work
+        started = EpochStarted(instance, self.epoch, started_ms)
+        self.ledger.epochs[self.epoch] = started
+        self.append_record(EPOCH_STARTED, b"", ENCODE(started))
 
     def replay(self, record: Record) -> None:
         self.ledger.replay(record.kind, record.seq, record.payload, now_ms())
 
-    # --- the table's side ---
+    # --- called by the call table ---
 
     def front_for(self, front: Front) -> Front:
-        return HeldFront(front, self) if self.holds else front
+        return HoldingFront(front, self) if self.holds_answers else front
 
-    def answered(self, call: Call, how: str, deliver: Callable[[], object]) -> None:
-        if not self.try_send(Answered(call, how, deliver)):
-            self.miss()
+    def call_answered(self, call: Call, outcome: str, deliver: Callable[[], object]) -> None:
+        if not self.try_send(CallAnswered(call, outcome, deliver)):
+            self.count_missed()
             deliver()
 
     def call_ended(self, call: Call, how: str) -> None:
-        """Where answers come by `answered`, only a call without one is new here."""
-        if self.holds and how != "withdrawn":
+        """Records the end of a call. If answers are held, only calls without an answer are new here."""
+        if self.holds_answers and how != "withdrawn":
             return
         if not self.try_send(CallEnded(call, how)):
-            self.miss()
+            self.count_missed()
 
-    def miss(self) -> None:
-        """Nothing may wait for the ledger: what it can't take is counted, and told in a gap."""
-        at = int(wall_ms())
+    def count_missed(self) -> None:
+        """Counts an entry that could not be recorded; a gap entry reports it later."""
+        now = int(wall_ms())
         self.counts["missed"] += 1
-        self.missed_first = self.missed_first if self.missed else at
-        self.missed, self.missed_last = self.missed + 1, at
+        self.first_missed_ms = self.first_missed_ms if self.missed_count else now
+        self.missed_count, self.last_missed_ms = self.missed_count + 1, now
 
     # --- the loop ---
 
     def start(self) -> None:
-        if self.keeper is not None:
-            self.keeper.start()
+        if self.store_writer is not None:
+            self.store_writer.start()
         super().start()
 
     def wake(self) -> None:
         self.message_arrived.set()
-        self.wanted()
+        self.on_export_work()
 
     def run(self) -> None:
         while not self.finished:
-            soonest = min((h.until for h in self.held), default=now_ms() + TICK_MS)
-            self.wait_for_message(min(TICK_MS, soonest - now_ms()))
+            next_release = min(
+                (answer.release_at for answer in self.held_answers), default=now_ms() + TICK_MS
+            )
+            self.wait_for_message(min(TICK_MS, next_release - now_ms()))
             self.process_mailbox()
-            self.release()
+            self.release_answers()
             self.tick()
 
-    def release(self) -> None:
-        """Answers leave once their entries are durable, or when they may wait no longer: then `unsure` counts
-        them, since a crash just now would leave them out of the ledger."""
-        if not self.held:
+    def release_answers(self) -> None:
+        """Delivers answers whose entries are durable or whose time is up; the latter are counted as `unsure`,
+        since a crash could still lose their entries."""
+        if not self.held_answers:
             return
-        now, durable = now_ms(), self.durable()
-        failing = self.keeper is not None and self.keeper.failing
-        held, self.held = self.held, []
-        for each in held:
-            if each.seq <= durable:
-                each.deliver()
-            elif failing or not now < each.until <= now + self.told.hold_ms:
+        now, durable_seq = now_ms(), self.durable_seq()
+        failing = self.store_writer is not None and self.store_writer.failure
+        answers, self.held_answers = self.held_answers, []
+        for answer in answers:
+            if answer.seq <= durable_seq:
+                answer.deliver()
+            elif failing or not now < answer.release_at <= now + self.ledger_settings.hold_ms:
                 self.counts["unsure"] += 1
-                each.deliver()
+                answer.deliver()
             else:
-                self.held.append(each)
+                self.held_answers.append(answer)
 
     def finish(self) -> None:
-        """Whatever ended this actor: no answer stays here."""
+        """Delivers all held answers, whatever ended this actor."""
         super().finish()
-        for each in self.held:
-            each.deliver()
+        for answer in self.held_answers:
+            answer.deliver()
         for message in list(self.mailbox):
-            if isinstance(message, Answered):
+            if isinstance(message, CallAnswered):
                 message.deliver()
-        self.held.clear()
+        self.held_answers.clear()
         self.mailbox.clear()
 
     def tick(self) -> None:
-        """Periods are stretches of the wall clock, and so is what a gap tells of."""
+        """Writes pending gap entries and seals periods, both by the wall clock."""
         now = int(wall_ms())
-        if self.missed and self.room():
-            count, self.missed = self.missed, 0
-            said = f"{count} entries found no room"
-            self.write(self.ledger.book.add_gap(now, self.missed_first, self.missed_last, said))
-        for number in self.ledger.book.periods.due_for_sealing(now) if self.room() else ():
-            self.seal(number)
-
-    def seal(self, number: int) -> str:
-        """Raises PeriodError for a period that can't be closed now."""
-        if not self.room():
-            raise PeriodError("the store takes nothing just now")
+        if self.missed_count and self.has_room():
+            count, self.missed_count = self.missed_count, 0
+            reason = f"{count} entries found no room"
+            self.write_entry(self.ledger.book.add_gap(now, self.first_missed_ms, self.last_missed_ms, reason))
+        for number in self.ledger.book.periods.due_for_sealing(now) if self.has_room() else ():
+            self.seal_period(number)
+
+    def seal_period(self, number: int) -> str:
+        """Raises PeriodError if the period can't be sealed now."""
+        if not self.has_room():
+            raise PeriodError("the store accepts no records just now")
         now = int(wall_ms())
         period = self.ledger.book.seal(number, now)
-        self.keep(PERIOD_SEALED, b"", PACK(PeriodSealed(number, period.seal_digest, now)))
-        gaps = f", {period.gap_count} gaps in it" if period.gap_count else ""
-        self.sealed(number)
+        self.append_record(PERIOD_SEALED, b"", ENCODE(PeriodSealed(number, period.seal_digest, now)))
+        gap_note = f", {period.gap_count} gaps in it" if period.gap_count else ""
+        self.on_period_sealed(number)
         self.log(
-            "period-sealed", f"{number}: {period.seal_digest}{gaps}", period=number, gaps=period.gap_count
+            "period-sealed", f"{number}: {period.seal_digest}{gap_note}", period=number, gaps=period.gap_count
         )
         return period.seal_digest
 
     def receive(self, message: Any) -> None:
         match message:
-            case Answered(call, how, deliver):
-                seq = self.enter(call, how)
-                if seq is None or seq <= self.durable():
+            case CallAnswered(call, outcome, deliver):
+                seq = self.enter_call(call, outcome)
+                if seq is None or seq <= self.durable_seq():
                     deliver()
                 else:
-                    until = min(now_ms() + self.told.hold_ms, call.deadline - LAST_MS)
-                    self.held.append(Held(seq, until, deliver))
-            case CallEnded(call, how):
-                self.enter(call, how)
-            case Do(what, told):
+                    release_at = min(
+                        now_ms() + self.ledger_settings.hold_ms, call.deadline - ANSWER_MARGIN_MS
+                    )
+                    self.held_answers.append(HeldAnswer(seq, release_at, deliver))
+            case CallEnded(call, outcome):
+                self.enter_call(call, outcome)
+            case RunFunction(function, result):
                 try:
-                    told.set(what())
+                    result.set(function())
                 except Exception as error:
-                    told.set_exception(error)
+                    result.set_exception(error)
             case SettingsChanged(settings):
                 self.settings = settings
-            case StatusRequested(tell):
-                tell(self.status())
+            case StatusRequested(reply):
+                reply(self.status())
 
-    def enter(self, call: Call, how: str) -> int | None:
-        """The record's number, or None where there is no room."""
+    def enter_call(self, call: Call, outcome: str) -> int | None:
+        """Writes the entry of a call; returns its sequence number, or None if there is no room."""
         now = now_ms()
-        if not self.room():
-            self.miss()
+        if not self.has_room():
+            self.count_missed()
             return None
-        kind = self.settings.classes[call.class_index]
-        tenant, over = NO_TENANT, False
+        request_class = self.settings.classes[call.class_index]
+        tenant, over_share = NO_TENANT, False
         if call.tenant is not None:
-            known = self.settings.tenants[call.tenant]
-            tenant, rate = known.name, known.allowance_per_s
-            share = self.shares.setdefault(call.tenant, Bucket())
-            over = rate > 0 and not share.take(now, rate / 1000, max(1.0, rate))
-        took = max(0, int(now - call.received_at)) if call.received_at else 0
-        use = CallUsage(
+            tenant_settings = self.settings.tenants[call.tenant]
+            tenant, rate = tenant_settings.name, tenant_settings.allowance_per_s
+            bucket = self.tenant_buckets.setdefault(call.tenant, Bucket())
+            over_share = rate > 0 and not bucket.take(now, rate / 1000, max(1.0, rate))
+        duration_ms = max(0, int(now - call.received_at)) if call.received_at else 0
+        usage = CallUsage(
             int(wall_ms()),
             tenant,
-            kind.name,
-            how,
-            int(1000 * kind.worth),
-            took,
+            request_class.name,
+            outcome,
+            int(1000 * request_class.worth),
+            duration_ms,
             int(call.memory),
-            over,
+            over_share,
             call.function,
             call.label or "",
             call.key,
             call.request_id,
         )
-        self.counts[how] += 1
-        return self.write(self.ledger.book.add_usage(use))
+        self.counts[outcome] += 1
+        return self.write_entry(self.ledger.book.add_usage(usage))
 
-    def write(self, entry: Entry, root: EntryId | None = None) -> int:
-        """Keeps an entry that the book has made. A correction stands under the key of what it corrects in the
-        end, and its own key points there."""
-        seq = self.keep(entry.kind, (root or entry.id).store_key(), entry.encode())
+    def write_entry(self, entry: Entry, root: EntryId | None = None) -> int:
+        """Writes an entry that the book has created. A correction is stored under the key of the root entry
+        that it corrects, and a record under its own key refers to that."""
+        seq = self.append_record(entry.kind, (root or entry.id).store_key(), entry.encode())
         if root is not None:
-            self.keep(CORRECTION_ROOT, entry.id.store_key(), PACK(root))
-        if self.keeper is None:
-            self.memory[seq] = entry
+            self.append_record(CORRECTION_ROOT, entry.id.store_key(), ENCODE(root))
+        if self.store_writer is None:
+            self.entries_in_memory[seq] = entry
         self.ledger.add_unbatched(seq, entry, now_ms())
         if len(self.ledger.unbatched) >= self.ledger.max_batch_entries:
-            self.wanted()
+            self.on_export_work()
         return seq
 
-    def keep(self, kind: int, key: bytes, payload: bytes) -> int:
-        """`room` was asked before; what is told besides entries is small and finds room."""
-        self.serial += 1
-        if self.keeper is None:
-            return self.serial
-        seq = self.keeper.append(wall_ms(), kind, key, payload)
+    def append_record(self, kind: int, key: bytes, payload: bytes) -> int:
+        """Appends a record. The caller has checked `has_room` for entries; other records are small and fit
+        its reserve."""
+        self.last_serial += 1
+        if self.store_writer is None:
+            return self.last_serial
+        seq = self.store_writer.append(wall_ms(), kind, key, payload)
         if seq is None:
             raise BookError("the store's queue is full")
         return seq
 
-    def room(self) -> bool:
-        if self.keeper is None:
-            return len(self.memory) < self.told.memory_entries
-        return self.keeper.room(2048)
+    def has_room(self) -> bool:
+        if self.store_writer is None:
+            return len(self.entries_in_memory) < self.ledger_settings.memory_entries
+        return self.store_writer.has_room(2048)
 
-    def durable(self) -> int:
-        return self.serial if self.keeper is None else self.keeper.durable
+    def durable_seq(self) -> int:
+        return self.last_serial if self.store_writer is None else self.store_writer.durable_seq
 
-    # --- for the export; from other greenlets, through `ask` ---
+    # --- for the export; called from other greenlets through `run_in_actor` ---
 
-    def ask(self, what: Callable[[], T], timeout_ms: float = 5000.0) -> T:
-        """Runs it in the ledger's greenlet and waits. Raises what it raises, or gevent.Timeout."""
-        told: AsyncResult = AsyncResult()
-        if not self.blocking_send(Do(what, told)):
+    def run_in_actor(self, function: Callable[[], T], timeout_ms: float = 5000.0) -> T:
+        """Runs `function` in the ledger's greenlet and waits for it. Raises what it raises, or
+        gevent.Timeout."""
+        result: AsyncResult = AsyncResult()
+        if not self.blocking_send(RunFunction(function, result)):
             raise BookError("the ledger has ended")
-        return told.get(timeout=timeout_ms / 1000)  # type: ignore[no-any-return]
+        return result.get(timeout=timeout_ms / 1000)  # type: ignore[no-any-return]
 
     def next_batch(self, flush: bool = False) -> Batch | None:
-        """The batch that goes to the collector now; it counts as out from here on."""
-        now, durable = now_ms(), self.durable()
-        # guards against a batch whose cut could not be written down: it would be cut otherwise after a crash
-        while self.room() and (run := self.ledger.next_batch_entries(now, durable, flush)):
-            batch = self.ledger.create_batch(run, batch_digest(encode_entry(f.entry) for f in run))
-            cut = BatchCreated(
+        """The next batch to send, which then counts as in flight."""
+        now, durable_seq = now_ms(), self.durable_seq()
+        # Without room the creation could not be recorded, and after a crash the batch would have other
+        # entries.
+        while self.has_room() and (entries := self.ledger.next_batch_entries(now, durable_seq, flush)):
+            batch = self.ledger.create_batch(
+                entries, batch_digest(encode_entry(unbatched.entry) for unbatched in entries)
+            )
+            created = BatchCreated(
                 *batch.id, batch.first_entry, batch.last_entry, batch.first_seq, batch.last_seq, batch.digest
             )
-            self.cut_seqs[batch.id] = self.keep(BATCH_CREATED, b"", PACK(cut))
+            self.batch_created_seqs[batch.id] = self.append_record(BATCH_CREATED, b"", ENCODE(created))
         waiting = self.ledger.export.waiting
-        # guards against a crash after the sending: what was sent under a number must be cut the same again
-        if not waiting or self.cut_seqs.get(waiting[0], 0) > self.durable():
+        # After a crash, a batch that was sent must be created again with the same entries.
+        if not waiting or self.batch_created_seqs.get(waiting[0], 0) > self.durable_seq():
             return None
-        chosen = self.ledger.export.next_to_send(now)
-        if chosen is not None:
-            self.cut_seqs.pop(chosen.id, None)
-        return chosen
+        next_to_send = self.ledger.export.next_to_send(now)
+        if next_to_send is not None:
+            self.batch_created_seqs.pop(next_to_send.id, None)
+        return next_to_send
 
-    def all_sent(self) -> bool:
-        """Whether the collector has acknowledged all batches that were cut."""
+    def all_acknowledged(self) -> bool:
+        """Whether no batch is waiting or in flight."""
         return not (self.ledger.export.waiting or self.ledger.export.in_flight)
 
-    def entries_of(self, batch: Batch) -> list[Entry]:
-        """Read beside the loop. Raises LookupError where not all are there."""
-        if self.keeper is None:
-            found = [
-                self.memory[seq] for seq in range(batch.first_seq, batch.last_seq + 1) if seq in self.memory
+    def read_batch(self, batch: Batch) -> list[Entry]:
+        """Reads the entries of a batch in the store's thread. Raises LookupError if any is missing."""
+        if self.store_writer is None:
+            entries = [
+                self.entries_in_memory[seq]
+                for seq in range(batch.first_seq, batch.last_seq + 1)
+                if seq in self.entries_in_memory
             ]
         else:
-            found = self.keeper.ask(lambda store: read_entries(store, batch))
-        numbers = [e.id.number for e in found]
+            entries = self.store_writer.run_in_thread(lambda store: read_batch_entries(store, batch))
+        numbers = [entry.id.number for entry in entries]
         if numbers != list(range(batch.first_entry, batch.last_entry + 1)):
-            wanted = batch.last_entry - batch.first_entry + 1
-            raise LookupError(f"batch {batch.id}: {len(found)} of {wanted} entries are there")
-        return found
-
-    def period_bytes(self, period: int) -> dict[int, bytes]:
-        """All entries of a period that are still here, by id, as they go over the wire. Read beside the
-        loop."""
-        if self.keeper is not None:
-            return self.keeper.ask(lambda store: period_entries(store, period))
-        made = (encode_entry(entry) for entry in self.memory.values() if entry.period == period)
-        return {entry_wire_id(data): data for data in made}
+            expected = batch.last_entry - batch.first_entry + 1
+            raise LookupError(f"batch {batch.id}: {len(entries)} of {expected} entries are there")
+        return entries
+
+    def read_period(self, period: int) -> dict[int, bytes]:
+        """Reads all entries of a period that are still stored, encoded for the collector, by id, in the
+        store's thread."""
+        if self.store_writer is not None:
+            return self.store_writer.run_in_thread(lambda store: read_period_entries(store, period))
+        encoded_entries = (
+            encode_entry(entry) for entry in self.entries_in_memory.values() if entry.period == period
+        )
+        return {entry_wire_id(data): data for data in encoded_entries}
 
-    def batch_ended(self, id: BatchId, reason: str = "") -> None:
-        """It is acknowledged, or set aside with a reason."""
+    def record_batch_end(self, batch_id: BatchId, reason: str = "") -> None:
+        """A batch was acknowledged, or set aside with a reason."""
         if reason:
-            self.log("batch-aside", f"{id.epoch:x}/{id.number}: {reason}", batch=id.number)
-        if self.room():
-            self.keep(BATCH_FINISHED, b"", PACK(BatchFinished(id.epoch, id.number, reason)))
-        if self.keeper is None:
-            needed = self.ledger.first_needed_seq(self.serial + 1)
-            self.memory = {seq: entry for seq, entry in self.memory.items() if seq >= needed}
+            self.log("batch-aside", f"{batch_id.epoch:x}/{batch_id.number}: {reason}", batch=batch_id.number)
+        if self.has_room():
+            self.append_record(
+                BATCH_FINISHED, b"", ENCODE(BatchFinished(batch_id.epoch, batch_id.number, reason))
+            )
+        if self.store_writer is None:
+            first_needed_seq = self.ledger.first_needed_seq(self.last_serial + 1)
+            self.entries_in_memory = {
+                seq: entry for seq, entry in self.entries_in_memory.items() if seq >= first_needed_seq
+            }
 
     # --- background work ---
 
-    def add_jobs(self, runner: Runner) -> None:
-        if self.keeper is not None:
-            runner.add(Job("snapshot", 4, period_ms=5000.0), self.snapshot_slice)
-            runner.add(Job("compact", 2, period_ms=20_000.0), self.compact_slice)
-
-    def snapshot_slice(self) -> Slice:
-        """A snapshot once enough records came since the last; then the older segments may go."""
-        keeper = self.keeper
-        assert keeper is not None
-        if keeper.durable - self.snapshot_seq < keeper.told.snapshot_every:
-            return Slice()
-        seq, payload = self.ask(lambda: (keeper.next_seq - 1, self.ledger.dump()))
-        if not keeper.wait_durable(seq, 10.0):
-            raise TimeoutError("the state that was to be kept is not durable yet")
-        keeper.ask(lambda store: store.take_snapshot(seq, payload))
+    def add_jobs(self, runner: JobRunner) -> None:
+        if self.store_writer is not None:
+            runner.add(Job("snapshot", 4, period_ms=5000.0), self.run_snapshot_slice)
+            runner.add(Job("compact", 2, period_ms=20_000.0), self.run_compaction_slice)
+
+    def run_snapshot_slice(self) -> SliceOutcome:
+        """Takes a snapshot once enough records follow the last one; older segments then become removable."""
+        store_writer = self.store_writer
+        assert store_writer is not None
+        if store_writer.durable_seq - self.snapshot_seq < store_writer.settings.snapshot_every:
+            return SliceOutcome()
+        seq, payload = self.run_in_actor(lambda: (store_writer.next_seq - 1, self.ledger.dump()))
+        if not store_writer.wait_durable(seq, 10.0):
+            raise TimeoutError("the state for the snapshot is not yet durable")
+        store_writer.run_in_thread(lambda store: store.take_snapshot(seq, payload))
         self.snapshot_seq = seq
-        return Slice(size=len(payload))
-
-    def compact_slice(self) -> Slice:
-        keeper = self.keeper
-        assert keeper is not None
-        needed = self.ask(lambda: self.ledger.first_needed_seq(keeper.next_seq))
-        removal = keeper.ask(lambda store: store.compact(needed))
-        if removal.lost_seqs is not None:
-            first, last = removal.lost_seqs
-            self.ask(lambda: self.lost(first, last))
-        return Slice()
-
-    def lost(self, first: int, last: int) -> None:
-        """The disk's budget was spent while the collector was away: the oldest went, and totals say so."""
+        return SliceOutcome(moved_bytes=len(payload))
+
+    def run_compaction_slice(self) -> SliceOutcome:
+        store_writer = self.store_writer
+        assert store_writer is not None
+        first_needed_seq = self.run_in_actor(lambda: self.ledger.first_needed_seq(store_writer.next_seq))
+        plan = store_writer.run_in_thread(lambda store: store.compact(first_needed_seq))
+        if plan.lost_seqs is not None:
+            first, last = plan.lost_seqs
+            self.run_in_actor(lambda: self.report_lost_records(first, last))
+        return SliceOutcome()
+
+    def report_lost_records(self, first: int, last: int) -> None:
+        """The disk budget was exceeded while the collector was unreachable: the oldest records were removed,
+        which a gap entry reports."""
         now, batches = int(wall_ms()), self.ledger.discard_lost_records(first, last)
-        words = f"records {first} to {last} went for want of room, {len(batches)} batches not exported"
-        self.log("ledger-lost", words)
-        if batches and self.room():
-            self.write(self.ledger.book.add_gap(now, first, last, words))
+        description = f"records {first} to {last} went for want of room, {len(batches)} batches not exported"
+        self.log("ledger-lost", description)
+        if batches and self.has_room():
+            self.write_entry(self.ledger.book.add_gap(now, first, last, description))
         elif batches:
-            self.miss()  # the gap is told as soon as there is room
+            self.count_missed()  # the gap is reported as soon as there is room
 
-    # --- the operators ---
+    # --- operators' requests ---
 
     def close_period(self, number: int) -> str:
         """Raises PeriodError."""
-        return self.ask(lambda: self.seal(number))
+        return self.run_in_actor(lambda: self.seal_period(number))
 
-    def correct(self, id: EntryId, to: Amounts, reason: str) -> Entry:
-        """Raises BookError for what is not there or can't be corrected."""
-        keeper = self.keeper
-        if keeper is None:
+    def correct(self, entry_id: EntryId, corrected: Amounts, reason: str) -> Entry:
+        """Raises BookError if the entry is not stored or can't be corrected."""
+        store_writer = self.store_writer
+        if store_writer is None:
             raise BookError("corrections need a [store]")
-        if self.ask(lambda: keeper.next_seq - 1) > keeper.durable:
-            keeper.wait_durable(keeper.next_seq - 1, 2.0)
-        root, found = keeper.ask(lambda store: find(store, id))
-        if not found:
-            raise BookError(f"{id} is not in the store")
-        named = next(e for e in found if e.id == id)
-        earlier = sum((e.amounts for e in found), Amounts())
-
-        def enter() -> Entry:
-            if not self.room():
-                raise BookError("the store takes nothing just now")
-            entry = self.ledger.book.add_correction(named, earlier, to, reason, int(wall_ms()))
-            self.write(entry, root)
+        if self.run_in_actor(lambda: store_writer.next_seq - 1) > store_writer.durable_seq:
+            store_writer.wait_durable(store_writer.next_seq - 1, 2.0)
+        root, entries = store_writer.run_in_thread(lambda store: find_with_corrections(store, entry_id))
+        if not entries:
+            raise BookError(f"{entry_id} is not in the store")
+        old = next(candidate for candidate in entries if candidate.id == entry_id)
+        earlier = sum((candidate.amounts for candidate in entries), Amounts())
+
+        def add_correction() -> Entry:
+            if not self.has_room():
+                raise BookError("the store accepts no records just now")
+            entry = self.ledger.book.add_correction(old, earlier, corrected, reason, int(wall_ms()))
+            self.write_entry(entry, root)
             return entry
 
-        return self.ask(enter)
+        return self.run_in_actor(add_correction)
 
-    def try_again(self, id: BatchId) -> bool:
-        done = self.ask(lambda: self.ledger.export.retry_set_aside(id))
-        self.wanted()
-        return done
+    def retry_batch(self, batch_id: BatchId) -> bool:
+        found = self.run_in_actor(lambda: self.ledger.export.retry_set_aside(batch_id))
+        self.on_export_work()
+        return found
 
-    def ask_status(self, timeout_ms: float) -> dict[str, Any]:
-        told: AsyncResult = AsyncResult()
-        self.blocking_send(StatusRequested(told.set))
-        return wait_for_reply(told, timeout_ms)
+    def request_status(self, timeout_ms: float) -> dict[str, Any]:
+        result: AsyncResult = AsyncResult()
+        self.blocking_send(StatusRequested(result.set))
+        return wait_for_reply(result, timeout_ms)
 
     def status(self) -> dict[str, Any]:
         ledger, export = self.ledger, self.ledger.export
-        money = bill_by_tenant(ledger.book.totals.lines, self.told.prices)
+        bill = bill_by_tenant(ledger.book.totals.lines, self.ledger_settings.prices)
         return {
             "instance": self.instance,
             "epoch": f"{self.epoch:x}",
             "entries": ledger.book.last_number,
             "counts": dict(self.counts),
-            "missed_open": self.missed,
+            "missed_open": self.missed_count,
             "repeats": ledger.book.repeat_count,
             "late": ledger.book.late_count,
             "damaged": ledger.damaged[:100],
@@ -488,7 +510,7 @@
             "totals": ledger.book.totals.rows(),
             "billed": [
                 {"period": period, "tenant": tenant, "amount": str(amount)}
-                for (period, tenant), amount in sorted(money.items())
+                for (period, tenant), amount in sorted(bill.items())
             ],
             "export": {
                 "not_in_a_batch": len(ledger.unbatched),
@@ -496,56 +518,58 @@
                 "waiting": len(export.waiting),
                 "out": len(export.in_flight),
                 "aside": [
-                    {"epoch": f"{b.id.epoch:x}", "batch": b.id.number, "reason": b.reason}
-                    for b in export.set_aside_batches.values()
+                    {"epoch": f"{batch.id.epoch:x}", "batch": batch.id.number, "reason": batch.reason}
+                    for batch in export.set_aside_batches.values()
                 ],
                 "sent_again": export.resent_count,
                 "answered_twice": export.duplicate_answers,
                 "wrong_digests": export.digest_mismatches,
-                "lost": [[f"{e:x}", a, b] for e, a, b in export.lost_batches],
-                "holes": [[f"{e:x}", a, b] for e, a, b in export.missing_entries],
+                "lost": [[f"{epoch:x}", first, last] for epoch, first, last in export.lost_batches],
+                "holes": [[f"{epoch:x}", first, last] for epoch, first, last in export.missing_entries],
             },
-            "store": None if self.keeper is None else self.keeper.status(),
+            "store": None if self.store_writer is None else self.store_writer.status(),
         }
 
     def stop(self, timeout_s: float) -> None:
-        """What came is entered, and what is entered is brought to the disk."""
+        """Processes the mailbox, then flushes all entries to disk."""
         with gevent.Timeout(timeout_s, False):
             while self.mailbox and not self.finished:
                 gevent.sleep(0.01)
         self.finished = True
         self.message_arrived.set()
-        if self.keeper is not None:
-            self.keeper.stop(timeout_s)
+        if self.store_writer is not None:
+            self.store_writer.stop(timeout_s)
 
 
-def read_entries(store: Store, batch: Batch) -> list[Entry]:
-    found = []
+def read_batch_entries(store: Store, batch: Batch) -> list[Entry]:
+    entries = []
     for record in store.records_from_seq(batch.first_seq):
         if record.seq > batch.last_seq:
             break
         if record.kind in ENTRY_KINDS:
-            found.append(decode_entry(record.payload))
-    return found
+            entries.append(decode_entry(record.payload))
+    return entries
 
 
-def period_entries(store: Store, period: int) -> dict[int, bytes]:
-    found: dict[int, bytes] = {}
+def read_period_entries(store: Store, period: int) -> dict[int, bytes]:
+    entries: dict[int, bytes] = {}
     for record in store.records_from_seq(1):
         if record.kind in ENTRY_KINDS and (entry := decode_entry(record.payload)).period == period:
             data = encode_entry(entry)
-            found[entry_wire_id(data)] = data
-    return found
+            entries[entry_wire_id(data)] = data
+    return entries
 
 
-def find(store: Store, id: EntryId) -> tuple[EntryId, list[Entry]]:
-    """What the id is of in the end, and that entry with all corrections of it."""
-    root = id
-    for record in store.records_with_key(id.store_key()):
+def find_with_corrections(store: Store, entry_id: EntryId) -> tuple[EntryId, list[Entry]]:
+    """The root of an entry id, and the root entry with all its corrections."""
+    root = entry_id
+    for record in store.records_with_key(entry_id.store_key()):
         if record.kind == CORRECTION_ROOT:
             root = msgspec.msgpack.decode(record.payload, type=EntryId)
     return root, [
-        decode_entry(r.payload) for r in store.records_with_key(root.store_key()) if r.kind in ENTRY_KINDS
+        decode_entry(record.payload)
+        for record in store.records_with_key(root.store_key())
+        if record.kind in ENTRY_KINDS
     ]
 
 
--- a/harrieryoke/ledger/decide/ledger.py
+++ b/harrieryoke/ledger/decide/ledger.py
@@ -132,7 +132,7 @@
         ]
         unsent = [batch for batch in affected if batch.state.value in ("waiting", "out")]
         for batch in unsent:
-            self.export.set_aside(batch.id, "its entries were removed for want of room on the disk")
+            self.export.set_aside(batch.id, "its entries went for want of room on the disk")
         while self.unbatched and self.unbatched[0].seq <= last:
             self.unbatched.popleft()
         return unsent
--- a/harrieryoke/ledger/link.py
+++ b/harrieryoke/ledger/link.py
@@ -1,8 +1,7 @@
-"""The connection to the collector, and the export's slices.
+"""The connection to the collector, and the slices of the export job.
 
-One greenlet keeps the connection; a reader for each connection hands what it hears to the ledger's actor. The
-export itself is a background job: a slice cuts or takes one batch, reads its entries beside the loop and
-sends it.
+One greenlet maintains the connection and passes what it reads to the ledger's actor. The export is a
+background job: each slice creates or picks one batch, reads its entries in the store's thread and sends it.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 from gevent.lock import RLock
 
 from ..background.decide.schedule import Job
-from ..background.runner import Runner, Slice
+from ..background.runner import JobRunner, SliceOutcome
 from ..core.actor import spawn
 from ..core.clock import now_ms
 from ..core.local_errors import is_broken_off
@@ -27,119 +26,134 @@
 from ..wire.frames import Decoder, WireError, encode
 from .actor import LedgerActor
 from .decide.export import BatchId
-from .reconciler import Alone, Reconciler, Turns
+from .reconciler import LocalTurns, Reconciler, Turns
 from .settings import CollectorSettings, LedgerError
 from .tls import create_context
 from .wire import codec
 from .wire.codec import pb
 
-DIAL_S = 2.0
-WRITE_S = 5.0
-PAUSE_S, PAUSE_MOST_S = 0.1, 10.0
+CONNECT_TIMEOUT_S = 2.0
+WRITE_TIMEOUT_S = 5.0
+MIN_RECONNECT_S, MAX_RECONNECT_S = 0.1, 10.0
 
 
 class CollectorLink:
-    """Raises LedgerError at the start for TLS files that can't be used; later, at a reload, the old ones
-    stay."""
+    """Raises LedgerError at the start if TLS files are unusable; on a later reload the old ones stay in
+    use."""
 
     def __init__(
         self,
-        told: CollectorSettings,
-        where: tuple[str, int],
+        settings: CollectorSettings,
+        address: tuple[str, int],
         ledger: LedgerActor,
-        runner: Runner,
+        runner: JobRunner,
         log: Log,
         turns: Turns | None = None,
     ) -> None:
-        self.told, self.where, self.ledger, self.runner, self.log = told, where, ledger, runner, log
-        self.context = create_context(told)
+        self.settings, self.address, self.ledger, self.runner, self.log = (
+            settings,
+            address,
+            ledger,
+            runner,
+            log,
+        )
+        self.tls_context = create_context(settings)
         self.sock: Any = None
-        self.ready, self.over, self.gone = False, False, Event()
-        self.pause, self.failed_with = PAUSE_S, ""
-        self.connections = self.sent_bytes = 0
+        self.connected, self.stopping, self.ended = False, False, Event()
+        self.reconnect_delay_s, self.last_failure = MIN_RECONNECT_S, ""
+        self.connection_count = self.sent_bytes = 0
         self.rng = random.Random()
-        ledger.wanted = lambda: runner.want("export")
-        self.sending = RLock()
-        by: Turns = Alone() if turns is None else turns
-        by.given = lambda: runner.want("reconcile")
-        self.reconciler = Reconciler(ledger, self.send, lambda: self.ready, log, told.answer_ms, by)
-        runner.add(Job("reconcile", 3, period_ms=told.answer_ms), self.reconciler.slice)
-        ledger.sealed = self.reconcile
-        runner.add(Job("export", 6, period_ms=told.batch_ms, deadline_ms=10 * told.batch_ms), self.slice)
+        ledger.on_export_work = lambda: runner.request("export")
+        self.send_lock = RLock()
+        reconcile_turns: Turns = LocalTurns() if turns is None else turns
+        reconcile_turns.given = lambda: runner.request("reconcile")
+        self.reconciler = Reconciler(
+            ledger, self.send, lambda: self.connected, log, settings.answer_ms, reconcile_turns
+        )
+        runner.add(Job("reconcile", 3, period_ms=settings.answer_ms), self.reconciler.run_slice)
+        ledger.on_period_sealed = self.reconcile
+        runner.add(
+            Job("export", 6, period_ms=settings.batch_ms, deadline_ms=10 * settings.batch_ms),
+            self.run_export_slice,
+        )
 
     def start(self) -> None:
-        spawn(self.log, "collector link", self.run, self.gone.set)
+        spawn(self.log, "collector link", self.run, self.ended.set)
 
     def reconcile(self, period: int) -> None:
-        self.reconciler.want(period)
-        self.runner.want("reconcile")
+        self.reconciler.request(period)
+        self.runner.request("reconcile")
 
     def reload(self) -> None:
-        """SIGHUP: certificates and keys are read anew, and the next connection is made with them."""
+        """On SIGHUP: rereads certificates and keys, and reconnects with them."""
         try:
-            self.context = create_context(self.told)
+            self.tls_context = create_context(self.settings)
         except LedgerError as error:
-            self.log("collector-tls", f"the old files stay in force: {error}")
+            self.log("collector-tls", f"keeping the old files: {error}")
             return
-        self.drop()
+        self.disconnect()
 
     def run(self) -> None:
-        while not self.over:
+        while not self.stopping:
             try:
                 self.connect()
-                self.read()
+                self.read_frames()
                 reason = "closed by the collector"
             except (OSError, ssl.SSLError, WireError, gevent.Timeout) as error:
                 reason = str(error)
-            was, self.ready = self.ready, False
-            self.drop()
-            if self.over:
-                return  # the ledger may have ended too
-            self.reconciler.lost()
-            self.ledger.ask(self.ledger.ledger.export.connection_lost)
-            if was or reason != self.failed_with:
-                self.log("collector-lost", f"{self.told.address}: {reason}")
-            self.failed_with = "" if was else reason
-            self.pause = PAUSE_S if was else min(PAUSE_MOST_S, 2 * self.pause)
-            gevent.sleep(self.pause * self.rng.uniform(0.5, 1.5))
+            was_connected, self.connected = self.connected, False
+            self.disconnect()
+            if self.stopping:
+                return  # the ledger may have ended as well
+            self.reconciler.connection_lost()
+            self.ledger.run_in_actor(self.ledger.ledger.export.connection_lost)
+            if was_connected or reason != self.last_failure:
+                self.log("collector-lost", f"{self.settings.address}: {reason}")
+            self.last_failure = "" if was_connected else reason
+            self.reconnect_delay_s = (
+                MIN_RECONNECT_S if was_connected else min(MAX_RECONNECT_S, 2 * self.reconnect_delay_s)
+            )
+            gevent.sleep(self.reconnect_delay_s * self.rng.uniform(0.5, 1.5))
 
     def connect(self) -> None:
-        sock: Any = socket.create_connection(self.where, DIAL_S)
-        if self.context is not None:
-            sock.settimeout(DIAL_S)
-            sock = self.context.wrap_socket(sock, server_hostname=self.told.server_name or self.where[0])
+        sock: Any = socket.create_connection(self.address, CONNECT_TIMEOUT_S)
+        if self.tls_context is not None:
+            sock.settimeout(CONNECT_TIMEOUT_S)
+            sock = self.tls_context.wrap_socket(
+                sock, server_hostname=self.settings.server_name or self.address[0]
+            )
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sock = sock
-        self.connections += 1
-        sock.settimeout(WRITE_S)
-        sock.sendall(encode(pb.Frame(hello=self.ledger.ask(self.hello))))
+        self.connection_count += 1
+        sock.settimeout(WRITE_TIMEOUT_S)
+        sock.sendall(encode(pb.Frame(hello=self.ledger.run_in_actor(self.make_hello))))
 
-    def hello(self) -> pb.Hello:
+    def make_hello(self) -> pb.Hello:
         ledger = self.ledger.ledger
-        held = [
-            pb.Epoch(epoch=epoch, batches=out.last_batch, entries=out.last_entry)
-            for epoch, out in ledger.export.epochs.items()
+        epochs = [
+            pb.Epoch(epoch=epoch, batches=epoch_export.last_batch, entries=epoch_export.last_entry)
+            for epoch, epoch_export in ledger.export.epochs.items()
         ]
-        began = ledger.epochs[self.ledger.epoch]
+        started = ledger.epochs[self.ledger.epoch]
         return pb.Hello(
             version=codec.PROTOCOL_VERSION,
-            instance=began.instance,
-            epoch=began.epoch,
-            started_ms=began.started_ms,
-            durable=self.ledger.keeper is not None,
-            epochs=held,
+            instance=started.instance,
+            epoch=started.epoch,
+            started_ms=started.started_ms,
+            durable=self.ledger.store_writer is not None,
+            epochs=epochs,
         )
 
-    def read(self) -> None:
+    def read_frames(self) -> None:
         decoder, welcomed, sock = Decoder(pb.Frame, codec.MAX_FRAME_BYTES), False, self.sock
-        while not self.over:
+        while not self.stopping:
             try:
-                sock.settimeout(self.told.answer_ms / 2000)
+                sock.settimeout(self.settings.answer_ms / 2000)
                 data = sock.recv(65536)
             except TimeoutError as error:
                 if is_broken_off(error):
                     raise
-                if not welcomed or self.ledger.ask(
+                if not welcomed or self.ledger.run_in_actor(
                     lambda: self.ledger.ledger.export.answer_overdue(now_ms())
                 ):
                     raise OSError("no answer in time") from None
@@ -147,67 +161,75 @@
             if not data:
                 return
             for frame in decoder.feed(data):
-                what = frame.WhichOneof("said")
-                if what == "welcome" and not welcomed:
+                kind = frame.WhichOneof("said")
+                if kind == "welcome" and not welcomed:
                     if frame.welcome.version != codec.PROTOCOL_VERSION:
-                        raise WireError(f"version {frame.welcome.version}")
+                        raise WireError(f"unsupported protocol version {frame.welcome.version}")
                     welcomed = True
-                    held = {e.epoch: e.batches for e in frame.welcome.held}
-                    self.ledger.ask(partial(self.welcome, held))
-                    self.ready, self.pause = True, PAUSE_S
-                    self.log("collector-connected", self.told.address)
-                elif what == "answer" and welcomed:
-                    self.ledger.ask(partial(self.answer, frame.answer))
-                elif what == "sketch" and welcomed:
-                    if self.reconciler.heard(frame.sketch):
-                        self.runner.want("reconcile")
+                    held_batches = {epoch.epoch: epoch.batches for epoch in frame.welcome.held}
+                    self.ledger.run_in_actor(partial(self.handle_welcome, held_batches))
+                    self.connected, self.reconnect_delay_s = True, MIN_RECONNECT_S
+                    self.log("collector-connected", self.settings.address)
+                elif kind == "answer" and welcomed:
+                    self.ledger.run_in_actor(partial(self.handle_answer, frame.answer))
+                elif kind == "sketch" and welcomed:
+                    if self.reconciler.handle_sketch(frame.sketch):
+                        self.runner.request("reconcile")
                 else:
-                    raise WireError(f"an unexpected {what}")
-                self.runner.want("export")
+                    raise WireError(f"unexpected frame {kind}")
+                self.runner.request("export")
 
-    def welcome(self, held: dict[int, int]) -> None:
+    def handle_welcome(self, held: dict[int, int]) -> None:
         export = self.ledger.ledger.export
-        open_before = {id for id, b in export.batches.items() if b.state.value in ("waiting", "out")}
-        lost = len(export.lost_batches)
+        pending_before = {
+            batch_id for batch_id, batch in export.batches.items() if batch.state.value in ("waiting", "out")
+        }
+        lost_before = len(export.lost_batches)
         export.resume(held)
-        for id in sorted(open_before):
-            batch = export.batches.get(id)
+        for batch_id in sorted(pending_before):
+            batch = export.batches.get(batch_id)
             if batch is None or batch.state.value == "done":
-                self.ledger.batch_ended(id)
-        for epoch, first, last in export.lost_batches[lost:]:
-            self.log("collector-older", f"batches {first} to {last} of {epoch:x} are gone there and here")
+                self.ledger.record_batch_end(batch_id)
+        for epoch, first, last in export.lost_batches[lost_before:]:
+            self.log(
+                "collector-older",
+                f"batches {first} to {last} of epoch {epoch:x} are lost at the collector and no longer kept",
+            )
 
-    def answer(self, answer: pb.Answer) -> None:
-        export, id = self.ledger.ledger.export, BatchId(answer.epoch, answer.number)
+    def handle_answer(self, answer: pb.Answer) -> None:
+        export, batch_id = self.ledger.ledger.export, BatchId(answer.epoch, answer.number)
         if not answer.refused:
-            if export.record_acknowledgement(id, answer.digest):
-                self.ledger.batch_ended(id)
-            elif id in export.set_aside_batches and "digest" in export.set_aside_batches[id].reason:
-                self.ledger.batch_ended(id, export.set_aside_batches[id].reason)
+            if export.record_acknowledgement(batch_id, answer.digest):
+                self.ledger.record_batch_end(batch_id)
+            elif (
+                batch_id in export.set_aside_batches and "digest" in export.set_aside_batches[batch_id].reason
+            ):
+                self.ledger.record_batch_end(batch_id, export.set_aside_batches[batch_id].reason)
             return
-        export.record_refusal(id, answer.refused, answer.for_good)
-        if answer.for_good and id in export.set_aside_batches:
-            self.ledger.batch_ended(id, answer.refused)
-
-    def slice(self) -> Slice:
-        """One batch, if one may go. An entry that is not there sets its batch aside and blocks no other."""
-        if not self.ready:
-            return Slice()
-        batch = self.ledger.ask(self.ledger.next_batch)
+        export.record_refusal(batch_id, answer.refused, answer.for_good)
+        if answer.for_good and batch_id in export.set_aside_batches:
+            self.ledger.record_batch_end(batch_id, answer.refused)
+
+    def run_export_slice(self) -> SliceOutcome:
+        """Sends one batch if one may be sent. A batch with an unreadable entry is set aside, so that it does
+        not block the others."""
+        if not self.connected:
+            return SliceOutcome()
+        batch = self.ledger.run_in_actor(self.ledger.next_batch)
         if batch is None:
-            return Slice()
+            return SliceOutcome()
         try:
-            entries = [codec.encode_entry(entry) for entry in self.ledger.entries_of(batch)]
+            entries = [codec.encode_entry(entry) for entry in self.ledger.read_batch(batch)]
         except LookupError as error:
             reason = str(error)
 
-            def aside() -> None:
+            def set_aside() -> None:
                 self.ledger.ledger.export.set_aside(batch.id, reason)
-                self.ledger.batch_ended(batch.id, reason)
+                self.ledger.record_batch_end(batch.id, reason)
 
-            self.ledger.ask(aside)
-            return Slice(more=True)
-        made = pb.Batch(
+            self.ledger.run_in_actor(set_aside)
+            return SliceOutcome(has_more=True)
+        message = pb.Batch(
             epoch=batch.id.epoch,
             number=batch.id.number,
             first=batch.first_entry,
@@ -215,40 +237,40 @@
             digest=batch.digest,
             entries=entries,
         )
-        return Slice(more=True, size=self.send(pb.Frame(batch=made)))
+        return SliceOutcome(has_more=True, moved_bytes=self.send(pb.Frame(batch=message)))
 
     def send(self, frame: pb.Frame) -> int:
-        """Its bytes. Where they can't be sent the connection ends: its reader tells the ledger, and what is
-        out goes again."""
+        """Sends a frame and returns its size. If that fails, the connection is closed: its reader informs the
+        ledger, and batches in flight are sent again."""
         data, sock = encode(frame), self.sock
         try:
-            with self.sending:  # guards a frame against another in its midst
+            with self.send_lock:  # frames must not interleave
                 if sock is not None:
-                    sock.settimeout(WRITE_S)
+                    sock.settimeout(WRITE_TIMEOUT_S)
                     sock.sendall(data)
         except OSError:
-            self.drop()
+            self.disconnect()
         self.sent_bytes += len(data)
         return len(data)
 
-    def drop(self) -> None:
+    def disconnect(self) -> None:
         sock, self.sock = self.sock, None
         if sock is not None:
-            with suppress(OSError):  # it had ended
+            with suppress(OSError):  # it was closed already
                 sock.shutdown(socket.SHUT_RDWR)
             sock.close()
 
     def finish(self, timeout_s: float) -> None:
-        """What is left goes out, for so long; then the connection ends."""
+        """Exports what is left for at most that time, then disconnects."""
         with gevent.Timeout(timeout_s, False):
-            while self.ready and self.ledger.ask(lambda: self.unfinished()):
-                self.runner.want("export")
+            while self.connected and self.ledger.run_in_actor(lambda: self.has_unsent()):
+                self.runner.request("export")
                 gevent.sleep(0.02)
-        self.over = True
-        self.drop()
+        self.stopping = True
+        self.disconnect()
 
-    def unfinished(self) -> bool:
-        """Cuts what is left, at the end."""
+    def has_unsent(self) -> bool:
+        """Whether entries remain to be sent; from now on batches are created without delay."""
         ledger = self.ledger.ledger
         ledger.max_batch_delay_ms = 0.0
         return bool(ledger.unbatched or ledger.export.waiting or ledger.export.in_flight)
--- a/harrieryoke/ledger/part.py
+++ b/harrieryoke/ledger/part.py
@@ -1,4 +1,4 @@
-"""The ledger as the service sees it: actor, store, background work and the link, put together."""
+"""The ledger as the service sees it: actor, store, background jobs and collector link."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import gevent
 
 from .. import interface as i
-from ..background.runner import Runner
+from ..background.runner import JobRunner
 from ..background.settings import BackgroundSettings
 from ..checks import read_address
 from ..core.records import Call, Front
@@ -24,16 +24,16 @@
 from .reconciler import Turns
 from .settings import LedgerSettings
 
-STOP_S = 1.5
+STOP_TIMEOUT_S = 1.5
 
 
 class LedgerPart:
-    """Raises LedgerError or StoreError where it can't be made. `turns`: who says when a period may be
-    reconciled; None: each when it is sealed."""
+    """Raises LedgerError or StoreError if it can't be created. `turns` decides when a period may be
+    reconciled; None: as soon as it is sealed."""
 
     def __init__(
         self,
-        told: LedgerSettings,
+        ledger_settings: LedgerSettings,
         store: StoreSettings | None,
         background: BackgroundSettings,
         instance: str,
@@ -41,16 +41,16 @@
         limits: Limits,
         log: Log,
         seed: int,
-        busy: Callable[[], bool],
+        is_busy: Callable[[], bool],
         turns: Turns | None = None,
     ) -> None:
-        self.actor = LedgerActor(told, store, instance, settings, limits.module_mailbox, log)
-        self.runner = Runner(background, log, seed, busy)
+        self.actor = LedgerActor(ledger_settings, store, instance, settings, limits.module_mailbox, log)
+        self.runner = JobRunner(background, log, seed, is_busy)
         self.actor.add_jobs(self.runner)
         self.link: CollectorLink | None = None
-        if told.collector is not None:
-            where = read_address("ledger.collector.address", told.collector.address)
-            self.link = CollectorLink(told.collector, where, self.actor, self.runner, log, turns)
+        if ledger_settings.collector is not None:
+            address = read_address("ledger.collector.address", ledger_settings.collector.address)
+            self.link = CollectorLink(ledger_settings.collector, address, self.actor, self.runner, log, turns)
 
     def call_ended(self, call: Call, how: str) -> None:
         self.actor.call_ended(call, how)
@@ -71,8 +71,8 @@
         if self.link is not None:
             self.link.reload()
 
-    def stop(self, timeout_s: float = STOP_S) -> None:
-        """After the last answer: what is left is exported for a while, and all is brought to the disk."""
+    def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> None:
+        """After the last answer: exports what is left for a limited time and flushes everything to disk."""
         if self.link is not None:
             self.link.finish(timeout_s)
         self.runner.finished = True
@@ -80,11 +80,11 @@
         self.actor.stop(timeout_s)
 
     def answer(self, method: str, path: str, query: Mapping[str, str], timeout_ms: float) -> tuple[int, Any]:
-        """The operators' HTTP below /ledger."""
+        """Answers the operators' HTTP requests below /ledger."""
         try:
             if path == "/ledger":
-                status = self.actor.ask_status(timeout_ms)
-                return 200, status | {"jobs": self.runner.schedule.status()}
+                status = self.actor.request_status(timeout_ms)
+                return 200, status | {"jobs": self.runner.scheduler.status()}
             if path == "/ledger/reconcile" and self.link is not None:
                 if method == "POST":
                     self.link.reconcile(int(query["period"]))
@@ -92,14 +92,14 @@
             if path == "/ledger/close":
                 return 200, {"sealed": self.actor.close_period(int(query["period"]))}
             if path == "/ledger/again":
-                done = self.actor.try_again(BatchId(int(query["epoch"], 16), int(query["batch"])))
-                return (200, {"again": True}) if done else (404, {"error": "no such batch is set aside"})
+                found = self.actor.retry_batch(BatchId(int(query["epoch"], 16), int(query["batch"])))
+                return (200, {"again": True}) if found else (404, {"error": "no such batch is set aside"})
             if path == "/ledger/correct":
-                to = Amounts(*(int(query[key]) for key in ("calls", "worth", "took", "held")))
-                entry = self.actor.correct(EntryId.parse(query["id"]), to, query.get("reason", ""))
+                corrected = Amounts(*(int(query[key]) for key in ("calls", "worth", "took", "held")))
+                entry = self.actor.correct(EntryId.parse(query["id"]), corrected, query.get("reason", ""))
                 return 200, {"id": str(entry.id), "period": entry.period, "came": entry.original_period}
         except KeyError as error:
-            return 400, {"error": f"?{error.args[0]}= is wanted"}
+            return 400, {"error": f"parameter {error.args[0]!r} is missing"}
         except (ValueError, BookError, PeriodError) as error:
             return 400, {"error": str(error)}
         except gevent.Timeout:
--- a/harrieryoke/ledger/reconciler.py
+++ b/harrieryoke/ledger/reconciler.py
@@ -1,10 +1,10 @@
-"""Reconciles a period with the collector, a step a slice of background work.
+"""Reconciles a period with the collector, one step per slice of background work.
 
-    gather our ids -> ask for strata -> ask for a table -> settle: send what it lacks, report what we lack
-                                             ^    |
-                                             +----+ too small: twice the size
+    gather our ids -> request strata -> request a table -> resolve: send what it lacks, report what we lack
+                                              ^    |
+                                              +----+ table too small: twice the size
 
-When a period may be done `Turns` says. A turn that has ended stops it before its next message.
+`Turns` decides when a period may be reconciled. A run whose turn has ended stops before its next message.
 """
 
 from __future__ import annotations
@@ -15,52 +15,54 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from ..background.runner import Slice
+from ..background.runner import SliceOutcome
 from ..core.clock import now_ms
 from ..log import Log
 from .actor import LedgerActor
 from .decide.reconcile import ReconcileSession
 from .wire.codec import pb
 
-MOST_RESULTS = 64
-REPAIR_BYTES = 1 << 20  # entries of one message
+MAX_RESULTS = 64
+MAX_REPAIR_BYTES = 1 << 20  # per message
 
 
 class Turns(Protocol):
-    """Gives periods their turns. Nothing of it waits."""
+    """Decides when periods are reconciled. No method blocks."""
 
-    given: Callable[[], object]  # to be set: called when there may be something for `next`
+    given: Callable[[], object]  # callback to be set: called when `next` may return a period
 
     def want(self, period: int) -> None: ...
 
     def some(self) -> bool:
-        """Whether any period is wanted."""
+        """Whether any period is requested."""
         ...
 
     def next(self) -> tuple[int, int] | None:
-        """Called when a period could be done now: which, and under which token (0: none is needed)."""
+        """Called when a period could be reconciled now: its number and its fencing token (0: none needed), or
+        None."""
         ...
 
     def holds(self, period: int, token: int) -> bool:
-        """Whether it still has that turn."""
+        """Whether the turn is still held."""
         ...
 
     def done(self, period: int, token: int, entries: int, sent: int, foreign: int | None, size: int) -> None:
-        """`foreign`: entries that only the collector has; None: not found out. `size`: bytes."""
+        """The run is complete. `foreign`: entries that only the collector has; None: unknown. `size`:
+        bytes."""
         ...
 
     def lost(self) -> None:
-        """Nothing can be done until `next` is called again; what was begun is wanted anew."""
+        """Nothing can be reconciled until the next call of `next`; the current period is requested again."""
         ...
 
 
-class Alone:
-    """Without a council: each period when it comes, one after the other."""
+class LocalTurns:
+    """Turns without a council: periods in the order of their requests, one after the other."""
 
     def __init__(self) -> None:
         self.given: Callable[[], object] = lambda: None
         self.queue: deque[int] = deque()
-        self.begun: int | None = None
+        self.current: int | None = None
 
     def want(self, period: int) -> None:
         if period not in self.queue:
@@ -72,28 +74,30 @@
     def next(self) -> tuple[int, int] | None:
         if not self.queue:
             return None
-        self.begun = self.queue.popleft()
-        return self.begun, 0
+        self.current = self.queue.popleft()
+        return self.current, 0
 
     def holds(self, period: int, token: int) -> bool:
         return True
 
     def done(self, period: int, token: int, entries: int, sent: int, foreign: int | None, size: int) -> None:
-        self.begun = None
+        self.current = None
 
     def lost(self) -> None:
-        begun, self.begun = self.begun, None
-        if begun is not None:
-            self.want(begun)
+        interrupted, self.current = self.current, None
+        if interrupted is not None:
+            self.want(interrupted)
 
 
 @dataclass(slots=True)
-class Running:
+class ReconcileRun:
+    """The reconciliation of one period."""
+
     period: int
     token: int
     session: ReconcileSession
-    entries: dict[int, bytes]  # ours, by id, as they go over the wire
-    asked: float
+    entries: dict[int, bytes]  # our encoded entries, by id
+    requested_at: float
     reply: pb.Sketch | None = None
     all_bytes: int = 0
     settled: bool = False
@@ -101,115 +105,123 @@
 
 @dataclass(slots=True)
 class Reconciler:
-    """One period at a time. A connection that ends, or an answer that does not come, begins the period
-    anew."""
+    """Reconciles one period at a time. If the connection ends or an answer does not come, the period starts
+    over."""
 
     ledger: LedgerActor
     send: Callable[[pb.Frame], int]
-    ready: Callable[[], bool]
+    is_connected: Callable[[], bool]
     log: Log
-    answer_ms: float
-    turns: Turns = field(default_factory=Alone)
-    running: Running | None = None
-    stopped: int = 0  # whose turn ended before they were done
+    answer_timeout_ms: float
+    turns: Turns = field(default_factory=LocalTurns)
+    run: ReconcileRun | None = None
+    stopped_count: int = 0  # runs whose turn ended before they were done
     results: OrderedDict[int, dict[str, Any]] = field(default_factory=OrderedDict)
 
-    def want(self, period: int) -> None:
+    def request(self, period: int) -> None:
         self.turns.want(period)
 
-    def heard(self, sketch: pb.Sketch) -> bool:
-        """Whether it is what was asked for."""
-        run = self.running
+    def handle_sketch(self, sketch: pb.Sketch) -> bool:
+        """Whether the sketch answers the current request."""
+        run = self.run
         if run is None or run.period != sketch.period or run.settled:
             return False
-        # guards against what answers an earlier turn; a collector that knows no tokens says 0
+        # Rejects answers to an earlier turn; a collector without fencing tokens sends 0.
         if sketch.token not in (0, run.token):
             return False
         run.reply = sketch
         return True
 
-    def lost(self) -> None:
-        """The connection has ended: what the collector said on it may be true no more."""
-        self.running = None
+    def connection_lost(self) -> None:
+        """The connection ended: what the collector said on it may be outdated."""
+        self.run = None
         self.turns.lost()
 
-    def over(self, run: Running) -> bool:
-        """Whether its turn has ended: then it is stopped. To be asked before each message."""
+    def stop_if_turn_ended(self, run: ReconcileRun) -> bool:
+        """Stops the run if its turn has ended. Checked before each message."""
         if self.turns.holds(run.period, run.token) and (run.reply is None or not run.reply.newer):
             return False
-        self.running, self.stopped = None, self.stopped + 1
+        self.run, self.stopped_count = None, self.stopped_count + 1
         return True
 
-    def slice(self) -> Slice:
-        run = self.running
-        if run is not None and self.over(run):
+    def run_slice(self) -> SliceOutcome:
+        run = self.run
+        if run is not None and self.stop_if_turn_ended(run):
             run = None
         if run is not None and run.reply is None:
-            if self.ready() and now_ms() - run.asked <= 4 * self.answer_ms:
-                return Slice()
-            self.lost()
-        if self.running is not None:
-            return self.go_on(self.running)
-        # guards against sending in a repair what a batch is about to bring
-        calm = self.turns.some() and self.ready() and self.ledger.ask(self.ledger.all_sent)
-        turn = self.turns.next() if calm else None
-        return self.begin(*turn) if turn is not None else Slice()
-
-    def begin(self, period: int, token: int) -> Slice:
-        entries = self.ledger.period_bytes(period)
+            if self.is_connected() and now_ms() - run.requested_at <= 4 * self.answer_timeout_ms:
+                return SliceOutcome()
+            self.connection_lost()
+        if self.run is not None:
+            return self.continue_run(self.run)
+        # A repair would otherwise include entries that a pending batch is about to deliver.
+        may_start = (
+            self.turns.some()
+            and self.is_connected()
+            and self.ledger.run_in_actor(self.ledger.all_acknowledged)
+        )
+        turn = self.turns.next() if may_start else None
+        return self.start_run(*turn) if turn is not None else SliceOutcome()
+
+    def start_run(self, period: int, token: int) -> SliceOutcome:
+        entries = self.ledger.read_period(period)
         session = ReconcileSession(entries, secrets.randbits(32))
         all_bytes = sum(map(len, entries.values()))
-        self.running = run = Running(period, token, session, entries, now_ms(), None, all_bytes)
-        # the entries were read beside the loop, which may have taken long
-        return Slice() if self.over(run) else self.ask(run, 0)
+        self.run = run = ReconcileRun(period, token, session, entries, now_ms(), None, all_bytes)
+        # Reading the entries in the store's thread may have taken long.
+        return SliceOutcome() if self.stop_if_turn_ended(run) else self.request_sketch(run, 0)
 
-    def ask(self, run: Running, cells: int) -> Slice:
-        run.reply, run.asked = None, now_ms()
-        asked = pb.Reconcile(period=run.period, seed=run.session.seed, cells=cells, token=run.token)
-        return Slice(size=self.send(pb.Frame(reconcile=asked)))
+    def request_sketch(self, run: ReconcileRun, cells: int) -> SliceOutcome:
+        run.reply, run.requested_at = None, now_ms()
+        request = pb.Reconcile(period=run.period, seed=run.session.seed, cells=cells, token=run.token)
+        return SliceOutcome(moved_bytes=self.send(pb.Frame(reconcile=request)))
 
-    def go_on(self, run: Running) -> Slice:
+    def continue_run(self, run: ReconcileRun) -> SliceOutcome:
         reply, run.reply = run.reply, None
         assert reply is not None
         if not reply.cells:
-            return self.ask(run, run.session.cells_needed(reply.data))
-        found = run.session.resolve(reply.data)
-        if found is None and run.session.cells:
-            return self.ask(run, run.session.cells)
-        # past the largest table all is sent: the collector keeps what it lacks
-        lacking = list(run.entries) if found is None else sorted(found.only_here)
-        size, part, held = 0, list[bytes](), 0
-        for id in lacking:
-            part.append(run.entries[id])
-            held += len(part[-1])
-            if held >= REPAIR_BYTES:
-                size += self.repair(run, part)
-                part, held = [], 0
-                if self.over(run):  # a message may wait for the collector to read
-                    return Slice(size=size)
-        size += self.repair(run, part) if part else 0
-        self.finish(run, len(lacking), None if found is None else len(found.only_there), size)
-        return Slice(more=self.turns.some(), size=size)
-
-    def repair(self, run: Running, entries: list[bytes]) -> int:
+            return self.request_sketch(run, run.session.cells_needed(reply.data))
+        difference = run.session.resolve(reply.data)
+        if difference is None and run.session.cells:
+            return self.request_sketch(run, run.session.cells)
+        # Beyond the largest table all entries are sent; the collector keeps those it lacks.
+        missing_ids = list(run.entries) if difference is None else sorted(difference.only_here)
+        sent_bytes, message_entries, message_bytes = 0, list[bytes](), 0
+        for entry_id in missing_ids:
+            message_entries.append(run.entries[entry_id])
+            message_bytes += len(message_entries[-1])
+            if message_bytes >= MAX_REPAIR_BYTES:
+                sent_bytes += self.send_repair(run, message_entries)
+                message_entries, message_bytes = [], 0
+                if self.stop_if_turn_ended(run):  # sending may have blocked until the collector read
+                    return SliceOutcome(moved_bytes=sent_bytes)
+        sent_bytes += self.send_repair(run, message_entries) if message_entries else 0
+        self.finish_run(
+            run, len(missing_ids), None if difference is None else len(difference.only_there), sent_bytes
+        )
+        return SliceOutcome(has_more=self.turns.some(), moved_bytes=sent_bytes)
+
+    def send_repair(self, run: ReconcileRun, entries: list[bytes]) -> int:
         return self.send(pb.Frame(repair=pb.Repair(period=run.period, entries=entries, token=run.token)))
 
-    def finish(self, run: Running, sent: int, foreign: int | None, size: int) -> None:
-        run.settled, self.running = True, None
-        moved = run.session.transferred_bytes + size
-        self.turns.done(run.period, run.token, len(run.entries), sent, foreign, moved)
+    def finish_run(self, run: ReconcileRun, sent: int, foreign: int | None, sent_bytes: int) -> None:
+        run.settled, self.run = True, None
+        transferred_bytes = run.session.transferred_bytes + sent_bytes
+        self.turns.done(run.period, run.token, len(run.entries), sent, foreign, transferred_bytes)
         result = {
             "period": run.period,
             "entries": len(run.entries),
-            "sent": sent,  # entries that the collector had not
-            "not_here": foreign,  # entries that only the collector has; None: not found out
-            "bytes": moved,
+            "sent": sent,  # entries that the collector lacked
+            "not_here": foreign,  # entries that only the collector has; None: unknown
+            "bytes": transferred_bytes,
             "all_bytes": run.all_bytes,
         }
         self.results[run.period] = result
         self.results.move_to_end(run.period)
-        while len(self.results) > MOST_RESULTS:
+        while len(self.results) > MAX_RESULTS:
             self.results.popitem(last=False)
         if sent or foreign:
-            words = f"period {run.period}: {sent} entries were not there, {foreign} are only there"
-            self.log("reconciled", words, period=run.period)
+            summary = (
+                f"period {run.period}: the collector lacked {sent} entries and has {foreign} unknown here"
+            )
+            self.log("reconciled", summary, period=run.period)
--- a/harrieryoke/store/actor.py
+++ b/harrieryoke/store/actor.py
@@ -1,4 +1,4 @@
-"""The store beside the loop: one thread does all that blocks, one greenlet hands it the work."""
+"""Runs the store in one thread next to the event loop, fed by one greenlet."""
 
 from __future__ import annotations
 
@@ -19,155 +19,161 @@
 from .store import Recovery, Store
 
 T = TypeVar("T")
-HEAD = 40  # bytes of a record besides its key and payload
+RECORD_OVERHEAD_BYTES = 40  # bytes of a record in addition to its key and payload
 RETRY_S = 0.05
-SLOW_MS = 1000.0  # a disk that takes longer for one group is told of
+SLOW_WRITE_MS = 1000.0  # a group that takes longer is logged
 
 
-class StoreKeeper:
-    """`append` never waits: it gives a record its number and says whether there was room. Whoever must know
-    waits for `durable`. The store itself is touched by the thread alone."""
+class StoreWriter:
+    """Appends records without blocking: `append` assigns the sequence number and tells whether there was
+    room; callers that need durability use `wait_durable`. Only the thread touches the store."""
 
     def __init__(
         self,
-        told: StoreSettings,
+        settings: StoreSettings,
         log: Log,
         visit: Callable[[Record], object] | None = None,
         restore: Callable[[bytes], object] | None = None,
-        files: Directory | None = None,
+        directory: Directory | None = None,
     ) -> None:
-        """Opens the folder, here and now: recovery is part of the start. Raises StoreError."""
-        self.told, self.log = told, log
-        self.store = Store(files or DiskDirectory(told.folder), told, now_ms(), visit, restore)
-        # the bound is kept here, where it can be answered at once; the thread's own must never refuse
+        """Opens the store and recovers it, synchronously. Raises StoreError."""
+        self.settings, self.log = settings, log
+        self.store = Store(directory or DiskDirectory(settings.folder), settings, now_ms(), visit, restore)
+        # The limit is enforced here, where it is answered at once; the store in the thread must never refuse.
         self.store.commit.max_pending_bytes = 1 << 62
-        self.most = int(told.queue_mb * 2**20)
-        self.inbox: deque[tuple[float, int, bytes, bytes]] = deque()
-        self.sizes: deque[tuple[int, int]] = deque()  # of what is not durable: number, bytes
-        self.held = self.refused = self.groups = 0
+        self.max_pending_bytes = int(settings.queue_mb * 2**20)
+        self.queue: deque[tuple[float, int, bytes, bytes]] = deque()
+        # (sequence number, bytes) of records that are not yet durable
+        self.pending_sizes: deque[tuple[int, int]] = deque()
+        self.pending_bytes = self.refused_count = self.group_count = 0
         self.next_seq = self.store.commit.next_seq
-        self.durable = self.store.commit.durable_seq
-        self.failing = ""
-        self.moved, self.filled, self.ended = Event(), Event(), Event()
-        self.over = False
-        self.watch: Callable[[int], object] = lambda durable: None  # hears of what is durable now
-        self.ails: Callable[[str], object] = lambda why: None  # and why nothing gets there; "" is well
-        self.pool = ThreadPool(1)
-        self.tell_recovery(self.store.recovery)
-
-    def tell_recovery(self, r: Recovery) -> None:
+        self.durable_seq = self.store.commit.durable_seq
+        self.failure = ""
+        self.durable_advanced, self.work_available, self.ended = Event(), Event(), Event()
+        self.stopping = False
+        # called when more records are durable
+        self.on_durable: Callable[[int], object] = lambda durable_seq: None
+        # called with the reason when writes fail, with "" when they succeed again
+        self.on_failure_change: Callable[[str], object] = lambda reason: None
+        self.thread_pool = ThreadPool(1)
+        self.log_recovery(self.store.recovery)
+
+    def log_recovery(self, recovery: Recovery) -> None:
         self.log(
             "store-opened",
-            f"{r.records} records, the last is {r.last_seq}, snapshot {r.snapshot_seq}",
-            records=r.records,
-            cut=r.truncated_bytes,
+            f"{recovery.records} records, last {recovery.last_seq}, snapshot {recovery.snapshot_seq}",
+            records=recovery.records,
+            cut=recovery.truncated_bytes,
         )
-        if r.truncated_bytes:
-            words = ", as long as a whole record" if r.tail_is_record_sized else ""
-            self.log("store-cut", f"{r.truncated_bytes} bytes of a last write that was not finished{words}")
-        for name, fence in r.damaged:
-            lost = f"{fence.lost_count()} records" if fence.before else "unknown how many"
-            where = f"{name}: bytes {fence.begin} to {fence.end}"
-            self.log("store-damaged", f"{where}: {lost} after {fence.after}")
-        for name in r.bad_snapshots:
-            self.log("store-damaged", f"{name}: the one before it was taken")
+        if recovery.truncated_bytes:
+            note = ", which is as long as a record" if recovery.tail_is_record_sized else ""
+            self.log("store-cut", f"removed a torn tail of {recovery.truncated_bytes} bytes{note}")
+        for name, damage in recovery.damaged:
+            loss = f"{damage.lost_count()} records" if damage.before else "an unknown number of records"
+            where = f"{name}: bytes {damage.begin} to {damage.end}"
+            self.log("store-damaged", f"{where} are unreadable: {loss} lost after {damage.after}")
+        for name in recovery.bad_snapshots:
+            self.log("store-damaged", f"{name} is unreadable: using the previous snapshot")
 
     def start(self) -> None:
         spawn(self.log, "store", self.run, self.ended.set)
 
-    def append(self, at: float, kind: int, key: bytes, payload: bytes) -> int | None:
-        """The record's number; None at the bound, when it is not taken, and counted."""
-        size = HEAD + len(key) + len(payload)
-        if self.over or self.held + size > self.most:
-            self.refused += 1
+    def append(self, time_ms: float, kind: int, key: bytes, payload: bytes) -> int | None:
+        """Returns the sequence number of the record; None, counted, if the queue is full or the writer is
+        stopping."""
+        size = RECORD_OVERHEAD_BYTES + len(key) + len(payload)
+        if self.stopping or self.pending_bytes + size > self.max_pending_bytes:
+            self.refused_count += 1
             return None
         seq = self.next_seq
         self.next_seq += 1
-        self.held += size
-        self.sizes.append((seq, size))
-        self.inbox.append((at, kind, key, payload))
-        self.filled.set()
+        self.pending_bytes += size
+        self.pending_sizes.append((seq, size))
+        self.queue.append((time_ms, kind, key, payload))
+        self.work_available.set()
         return seq
 
-    def room(self, size: int) -> bool:
-        """Whether a record of that size would be taken, and some for what must be told besides."""
-        return not self.over and self.held + size + 4096 <= self.most
+    def has_room(self, size: int) -> bool:
+        """Whether a record of this size fits, with a reserve for the small records that accompany it."""
+        return not self.stopping and self.pending_bytes + size + 4096 <= self.max_pending_bytes
 
     def wait_durable(self, seq: int, timeout_s: float) -> bool:
-        """Whether all up to `seq` outlives a crash, by then at the latest."""
+        """Waits until all records up to `seq` are durable; False on timeout."""
         with gevent.Timeout(timeout_s, False):
-            while self.durable < seq:
-                self.moved.clear()
-                self.moved.wait()
-        return self.durable >= seq
+            while self.durable_seq < seq:
+                self.durable_advanced.clear()
+                self.durable_advanced.wait()
+        return self.durable_seq >= seq
 
-    def ask(self, what: Callable[[Store], T]) -> T:
-        """Runs it in the thread, between two writes, and waits for what it says."""
-        return self.pool.apply(lambda: what(self.store))  # type: ignore[no-any-return]
+    def run_in_thread(self, function: Callable[[Store], T]) -> T:
+        """Runs `function` in the store's thread, between two writes, and returns its result."""
+        return self.thread_pool.apply(lambda: function(self.store))  # type: ignore[no-any-return]
 
     def run(self) -> None:
         while True:
-            if not self.inbox and not self.unfinished():
-                if self.over:
+            if not self.queue and not self.has_unfinished_work():
+                if self.stopping:
                     break
-                self.filled.clear()
-                self.filled.wait(None if self.durable + 1 == self.next_seq else self.told.interval_ms / 1000)
-            group = list(self.inbox)
-            self.inbox.clear()
-            began = now_ms()
-            durable, failing = self.pool.apply(self.work, (group, self.over))
-            self.groups += 1
-            self.hear(durable, failing, now_ms() - began)
-            if failing:
-                if self.over:
+                self.work_available.clear()
+                self.work_available.wait(
+                    None if self.durable_seq + 1 == self.next_seq else self.settings.interval_ms / 1000
+                )
+            group = list(self.queue)
+            self.queue.clear()
+            started_at = now_ms()
+            durable_seq, failure = self.thread_pool.apply(self.process_group, (group, self.stopping))
+            self.group_count += 1
+            self.handle_progress(durable_seq, failure, now_ms() - started_at)
+            if failure:
+                if self.stopping:
                     break
                 gevent.sleep(RETRY_S)
-        if not self.pool.apply(self.store.close, (now_ms(),)):
-            missing = self.next_seq - 1 - self.durable
-            self.log("store-failing", f"at the end, {missing} records are not durable")
-        self.pool.kill()
+        if not self.thread_pool.apply(self.store.close, (now_ms(),)):
+            missing = self.next_seq - 1 - self.durable_seq
+            self.log("store-failing", f"on shutdown, {missing} records are not durable")
+        self.thread_pool.kill()
 
-    def unfinished(self) -> bool:
-        return bool(self.failing) or (self.over and self.durable + 1 < self.next_seq)
+    def has_unfinished_work(self) -> bool:
+        return bool(self.failure) or (self.stopping and self.durable_seq + 1 < self.next_seq)
 
-    def work(self, group: list[tuple[float, int, bytes, bytes]], closing: bool) -> tuple[int, str]:
-        """In the thread: takes the group and brings it as far as the policy says."""
+    def process_group(self, group: list[tuple[float, int, bytes, bytes]], closing: bool) -> tuple[int, str]:
+        """Runs in the thread: appends the group and advances as far as the sync policy requires."""
         for record in group:
             self.store.append(*record)
         while self.store.advance(now_ms(), closing):
             pass
         return self.store.commit.durable_seq, self.store.commit.failure
 
-    def hear(self, durable: int, failing: str, took: float) -> None:
-        if failing and failing != self.failing:
-            self.log("store-failing", f"{failing}: {self.next_seq - 1 - durable} records wait")
-        elif self.failing and not failing:
-            self.log("store-well", "the disk takes records again")
-        elif took > SLOW_MS:
-            self.log("store-slow", f"the disk took {took:.0f} ms")
-        changed, self.failing = failing != self.failing, failing
-        while self.sizes and self.sizes[0][0] <= durable:
-            self.held -= self.sizes.popleft()[1]
-        if durable > self.durable:
-            self.durable = durable
-            self.moved.set()
-            self.watch(durable)
+    def handle_progress(self, durable_seq: int, failure: str, elapsed_ms: float) -> None:
+        if failure and failure != self.failure:
+            self.log("store-failing", f"{failure}: {self.next_seq - 1 - durable_seq} records are waiting")
+        elif self.failure and not failure:
+            self.log("store-well", "the disk accepts records again")
+        elif elapsed_ms > SLOW_WRITE_MS:
+            self.log("store-slow", f"writing a group took {elapsed_ms:.0f} ms")
+        changed, self.failure = failure != self.failure, failure
+        while self.pending_sizes and self.pending_sizes[0][0] <= durable_seq:
+            self.pending_bytes -= self.pending_sizes.popleft()[1]
+        if durable_seq > self.durable_seq:
+            self.durable_seq = durable_seq
+            self.durable_advanced.set()
+            self.on_durable(durable_seq)
         if changed:
-            self.ails(failing)
+            self.on_failure_change(failure)
 
     def stop(self, timeout_s: float) -> None:
-        """All that was appended is brought to the disk, if it lets it in that time."""
-        self.over = True
-        self.filled.set()
+        """Flushes all appended records to disk, for at most that time."""
+        self.stopping = True
+        self.work_available.set()
         self.ended.wait(timeout_s)
 
     def status(self) -> dict[str, object]:
         return {
-            "durable": self.durable,
+            "durable": self.durable_seq,
             "appended": self.next_seq - 1,
-            "queue_bytes": self.held,
-            "refused": self.refused,
-            "groups": self.groups,
-            "failing": self.failing,
+            "queue_bytes": self.pending_bytes,
+            "refused": self.refused_count,
+            "groups": self.group_count,
+            "failing": self.failure,
             "damaged": len(self.store.recovery.damaged),
         }
--- a/tests/test_council_disk.py
+++ b/tests/test_council_disk.py
@@ -88,7 +88,7 @@
     def __init__(self, folder: Folder | None, told: StoreSettings = TOLD, name: str = "a") -> None:
         self.disk = Disk(told, name, Quiet(), folder)
         self.disk.keeper.store.commit.min_retry_ms = 0.0
-        self.pool: Any = self.disk.keeper.pool
+        self.pool: Any = self.disk.keeper.thread_pool
         self.told, self.numbered, self.failed = 0, 0, list[str]()
         self.disk.done, self.disk.failed = self.done, self.failed.append
         self.disk.start()
@@ -155,7 +155,9 @@
         room=st.booleans(),
     )
     def save(self, run: list[tuple[str, int]], room: bool) -> None:
-        self.life.disk.keeper.most = 1 << 20 if room else 5000  # of which the store keeps 4096 to itself
+        self.life.disk.keeper.max_pending_bytes = (
+            1 << 20 if room else 5000
+        )  # of which the store keeps 4096 to itself
         for what, size in run:
             now = kept(self.saved)
             last, base = now.log.last(), now.snapshot.index
@@ -222,8 +224,8 @@
 
     @invariant()
     def failing_is_told(self) -> None:
-        if self.life.disk.keeper.failing:
-            assert self.life.failed[-1] == self.life.disk.keeper.failing
+        if self.life.disk.keeper.failure:
+            assert self.life.failed[-1] == self.life.disk.keeper.failure
 
     def teardown(self) -> None:
         if hasattr(self, "life"):
@@ -280,7 +282,7 @@
     life.save(*entries(1, 60))
     folder.full_from = folder.operations + 9
     life.settle()
-    assert 0 < life.told == life.disk.keeper.durable < 60 and life.failed
+    assert 0 < life.told == life.disk.keeper.durable_seq < 60 and life.failed
     folder.full_from = None
     assert life.told <= Life(after_cut(life, folder)).disk.kept.log.last() < 60
 
@@ -288,7 +290,7 @@
 def test_a_snapshot_that_fails_midway_leaves_the_one_before_and_the_records() -> None:
     folder = Folder(1)
     life = Life(folder)
-    asked, tries = life.disk.keeper.ask, [True, True, True, False]
+    asked, tries = life.disk.keeper.run_in_thread, [True, True, True, False]
 
     def ask(what: Callable[[Store], None]) -> None:
         folder.failing_sync = tries.pop(0) if tries else True
@@ -298,7 +300,7 @@
             folder.failing_sync = False
             assert not [name for name in folder.names() if name.endswith(".new")]
 
-    life.disk.keeper.ask = ask  # type: ignore[method-assign, assignment]
+    life.disk.keeper.run_in_thread = ask  # type: ignore[method-assign, assignment]
     life.save(*entries(1, 9), Snapshot(5, 1, Members(), b"state"), *entries(10, 1))
     life.settle()
     assert life.told == 11 and not life.failed and not tries and not life.disk.wanted
@@ -315,13 +317,13 @@
 def test_what_follows_news_is_not_done_when_an_older_snapshot_is_written() -> None:
     folder = Folder(1)
     life = Life(folder)
-    asked, gate, heard = life.disk.keeper.ask, Event(), list[tuple[int, int]]()
+    asked, gate, heard = life.disk.keeper.run_in_thread, Event(), list[tuple[int, int]]()
 
     def ask(what: Callable[[Store], None]) -> None:
         gate.wait()
         asked(what)
 
-    life.disk.keeper.ask = ask  # type: ignore[method-assign, assignment]
+    life.disk.keeper.run_in_thread = ask  # type: ignore[method-assign, assignment]
     life.save(*entries(1, 3), Snapshot(2, 1, Members(), b"old"))
     life.settle()
     life.save(Snapshot(9, 2, Members(), b"news"), *entries(10, 1))
--- a/tests/test_council_ledger.py
+++ b/tests/test_council_ledger.py
@@ -10,7 +10,7 @@
 from harrieryoke.core.module import ModuleActor
 from harrieryoke.council.turns import TurnsActor
 from harrieryoke.ledger.part import LedgerPart
-from harrieryoke.ledger.reconciler import Alone
+from harrieryoke.ledger.reconciler import LocalTurns
 from harrieryoke.limits import Limits
 from harrieryoke.log import Log
 from harrieryoke.operator_file import read_operator
@@ -44,7 +44,7 @@
 
 def test_a_period_waits_for_its_turn_where_the_council_has_the_duty(tmp_path: Path) -> None:
     assert isinstance(turns(tmp_path, '"reconcile"'), TurnsActor)
-    assert isinstance(turns(tmp_path, '"calendar:kef"'), Alone)
+    assert isinstance(turns(tmp_path, '"calendar:kef"'), LocalTurns)
 
 
 def test_a_pace_that_can_not_be_kept_is_named(tmp_path: Path) -> None:
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger in a running invoker: killed at any moment, with a collector that fails in every way."""
+"""The ledger in a running invoker, with random kills and a faulty collector."""
 
 from __future__ import annotations
 
@@ -33,25 +33,25 @@
 from .scenario import Scene, free_address
 
 
-def until(done: Callable[[], object], seconds: float = 20.0) -> None:
+def until(condition: Callable[[], object], seconds: float = 20.0) -> None:
     end = time.monotonic() + seconds
-    while not done():
+    while not condition():
         assert time.monotonic() < end, "not done in time"
         gevent.sleep(0.01)
 
 
 class Rig:
-    """A ledger with its parts in this process, an emulated collector, and calls that have ended."""
+    """A ledger with its parts in this process, an emulated collector, and finished calls."""
 
-    def __init__(self, folder: Path | None, collector: EmulatedCollector | None, **told: Any) -> None:
+    def __init__(self, folder: Path | None, collector: EmulatedCollector | None, **options: Any) -> None:
         self.collector, self.rng, self.callers = collector, random.Random(1), list[Caller]()
         link, store = None, None
         if collector is not None:
             link = CollectorSettings(collector.address(), batch=20, batch_ms=20.0, answer_ms=500.0)
         if folder is not None:
-            store = StoreSettings(str(folder), segment_mb=0.01, **told.pop("store", {}))
+            store = StoreSettings(str(folder), segment_mb=0.01, **options.pop("store", {}))
         self.part = LedgerPart(
-            LedgerSettings(collector=link, **told),
+            LedgerSettings(collector=link, **options),
             store,
             BackgroundSettings(time_share=0.9),
             "n1",
@@ -63,7 +63,7 @@
         )
         self.part.start()
 
-    def ends(self, count: int, tenant: int = 0, how: str = "served") -> None:
+    def finish_calls(self, count: int, tenant: int = 0, how: str = "served") -> None:
         for _ in range(count):
             now = now_ms()
             call = Call(
@@ -85,12 +85,12 @@
                 front.served(call, b"")
 
     def settled(self) -> bool:
-        status = self.part.actor.ask_status(1000)
+        status = self.part.actor.request_status(1000)
         export = status["export"]
         return not (export["not_in_a_batch"] or export["unsent"] or self.part.actor.mailbox)
 
-    def settled_but_aside(self) -> bool:
-        export = self.part.actor.ask_status(1000)["export"]
+    def settled_except_set_aside(self) -> bool:
+        export = self.part.actor.request_status(1000)["export"]
         return not (export["not_in_a_batch"] or export["waiting"] or export["out"])
 
 
@@ -98,12 +98,12 @@
 
 
 @pytest.mark.parametrize("disk", [True, False])
-def test_whatever_the_collector_does_each_entry_is_there_once(disk: bool, tmp_path: Path) -> None:
+def test_each_entry_is_exported_exactly_once_to_a_faulty_collector(disk: bool, tmp_path: Path) -> None:
     collector = EmulatedCollector(random.Random(3), FAULTS)
     rig = Rig(tmp_path if disk else None, collector)
     step = 0
     while step < 12 or (step < 400 and not all(collector.counts[name] for name in (*FAULTS, "again"))):
-        rig.ends(37, tenant=step % 3)
+        rig.finish_calls(37, tenant=step % 3)
         gevent.sleep(0.03)
         step += 1
         if step == 3:
@@ -124,15 +124,15 @@
     assert collector.totals()["coop-sahel", "served"][0] == 37 * len(range(0, step, 3))
 
 
-def test_a_batch_refused_for_good_is_set_aside_shown_and_tried_again_on_request(tmp_path: Path) -> None:
+def test_a_permanently_refused_batch_is_set_aside_reported_and_retried_on_request(tmp_path: Path) -> None:
     collector = EmulatedCollector(random.Random(3), {"never": 1.0})
     rig = Rig(tmp_path, collector)
-    rig.ends(20)
-    until(lambda: rig.part.actor.ask_status(1000)["export"]["aside"])
+    rig.finish_calls(20)
+    until(lambda: rig.part.actor.request_status(1000)["export"]["aside"])
     collector.faults = {}
-    rig.ends(20)
+    rig.finish_calls(20)
     until(lambda: collector.figures()["entries"] == 20)
-    aside = rig.part.actor.ask_status(1000)["export"]["aside"]
+    aside = rig.part.actor.request_status(1000)["export"]["aside"]
     assert [a["batch"] for a in aside] == [1] and "never" in aside[0]["reason"]
     code, _ = rig.part.answer("POST", "/ledger/again", {"epoch": aside[0]["epoch"], "batch": "1"}, 1000)
     assert code == 200
@@ -142,16 +142,17 @@
 
 
 @pytest.mark.parametrize("step_ms", [-3_600_000, 3_600_000])
-def test_a_step_of_the_wall_clock_moves_what_entries_say_and_no_wait(
+def test_a_wall_clock_step_changes_entry_times_but_no_wait(
     step_ms: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Entries and periods are of the wall clock; what a call took, held answers and batches are not."""
+    """Entry times and periods follow the wall clock; call durations, held answers and batch delays do
+    not."""
     collector = EmulatedCollector(random.Random(3))
     rig = Rig(tmp_path, collector, hold_ms=200, period_s=3600)
-    rig.ends(5)
+    rig.finish_calls(5)
     until(rig.settled)
     monkeypatch.setattr("harrieryoke.ledger.actor.wall_ms", lambda: wall_ms() + step_ms)
-    rig.ends(5)
+    rig.finish_calls(5)
     until(lambda: len(collector.entries()) == 10, seconds=5)
     rig.part.stop()
     collector.down()
@@ -163,14 +164,14 @@
 
 
 @pytest.mark.parametrize("disk", [True, False])
-def test_entries_that_the_collector_lost_are_found_and_sent_again(disk: bool, tmp_path: Path) -> None:
+def test_reconciliation_resends_entries_that_the_collector_lost(disk: bool, tmp_path: Path) -> None:
     collector = EmulatedCollector(random.Random(3))
     rig = Rig(tmp_path if disk else None, collector)
-    rig.ends(400)
+    rig.finish_calls(400)
     until(rig.settled)
     collector.lose_entries(7)
     assert collector.figures()["entries"] == 393
-    (period,) = rig.part.actor.ask_status(1000)["periods"]
+    (period,) = rig.part.actor.request_status(1000)["periods"]
     query = {"period": str(period["period"])}
     assert rig.part.answer("POST", "/ledger/reconcile", query, 1000)[0] == 200
     until(lambda: collector.counts["repaired"])
@@ -184,7 +185,7 @@
 
 def test_a_correction_of_a_correction_is_found_after_a_restart(tmp_path: Path) -> None:
     rig = Rig(tmp_path, None)
-    rig.ends(3)
+    rig.finish_calls(3)
     until(lambda: rig.part.actor.ledger.book.last_number == 3)
     epoch = rig.part.actor.epoch
     first = rig.part.actor.correct(EntryId("n1", epoch, 2), Amounts(1, 0, 10, 4000), "measured wrong")
@@ -196,65 +197,67 @@
         rig.part.actor.correct(EntryId("n1", epoch, 2), Amounts(), "again")
     with pytest.raises(BookError, match="not in the store"):
         rig.part.actor.correct(EntryId("n1", epoch, 99), Amounts(), "none")
-    code, told = rig.part.answer("POST", "/ledger/correct", {"id": "x"}, 1000)
-    assert code == 400 and "calls" in told["error"]
-    totals = rig.part.actor.ask_status(1000)["totals"]
-    assert sum(line["calls"] for line in totals) == 2
+    code, answer = rig.part.answer("POST", "/ledger/correct", {"id": "x"}, 1000)
+    assert code == 400 and "calls" in answer["error"]
+    totals = rig.part.actor.request_status(1000)["totals"]
+    assert sum(row["calls"] for row in totals) == 2
     rig.part.stop()
 
 
-def test_periods_close_by_themselves_and_a_snapshot_carries_them_over_a_restart(tmp_path: Path) -> None:
+def test_periods_are_sealed_automatically_and_survive_a_restart_in_a_snapshot(tmp_path: Path) -> None:
     rig = Rig(tmp_path, None, period_s=1, grace_s=0, store={"snapshot_every": 100})
-    rig.ends(150)
+    rig.finish_calls(150)
     until(lambda: rig.part.actor.ledger.book.last_number == 150)
-    until(lambda: all(p["sealed"] for p in rig.part.actor.ask_status(1000)["periods"]), 30)
-    rig.part.runner.want("snapshot")
+    until(lambda: all(p["sealed"] for p in rig.part.actor.request_status(1000)["periods"]), 30)
+    rig.part.runner.request("snapshot")
     until(lambda: rig.part.actor.snapshot_seq > 0)
-    before = rig.part.actor.ask_status(1000)
+    before = rig.part.actor.request_status(1000)
     rig.part.stop()
     again = Rig(tmp_path, None, period_s=1, grace_s=0)
-    after = again.part.actor.ask_status(1000)
+    after = again.part.actor.request_status(1000)
     assert after["periods"] == before["periods"] and after["totals"] == before["totals"]
-    assert not after["damaged"] and again.part.actor.keeper.store.recovery.snapshot_seq > 0  # type: ignore[union-attr]
+    assert not after["damaged"] and again.part.actor.store_writer.store.recovery.snapshot_seq > 0  # type: ignore[union-attr]
     again.part.stop()
 
 
-def test_what_finds_no_room_is_counted_and_told_in_a_gap() -> None:
+def test_entries_without_room_are_counted_and_reported_in_a_gap() -> None:
     rig = Rig(None, None, memory_entries=10)
-    rig.ends(25)
-    until(lambda: rig.part.actor.missed == 15)
-    rig.part.actor.memory.clear()
-    until(lambda: not rig.part.actor.missed)
-    (period,) = rig.part.actor.ask_status(1000)["periods"]
+    rig.finish_calls(25)
+    until(lambda: rig.part.actor.missed_count == 15)
+    rig.part.actor.entries_in_memory.clear()
+    until(lambda: not rig.part.actor.missed_count)
+    (period,) = rig.part.actor.request_status(1000)["periods"]
     assert period["gaps"] == 1 and period["entries"] == 11
     rig.part.stop()
 
 
-def test_beyond_the_disks_budget_the_oldest_go_and_totals_say_so(tmp_path: Path) -> None:
-    """A collector that is down for longer than the disk can wait."""
+def test_beyond_the_disk_budget_the_oldest_records_are_removed_and_reported(tmp_path: Path) -> None:
+    """The collector is unreachable for longer than the disk budget lasts."""
     collector = EmulatedCollector(random.Random(1))
     collector.down()
-    told = {"snapshot_every": 100, "budget_mb": 0.03}
-    rig = Rig(tmp_path, collector, store=told)
+    store_options = {"snapshot_every": 100, "budget_mb": 0.03}
+    rig = Rig(tmp_path, collector, store=store_options)
     for _ in range(6):
-        rig.ends(100)
+        rig.finish_calls(100)
         until(lambda: not rig.part.actor.mailbox)
         gevent.sleep(0.05)
-        rig.part.actor.ask(rig.part.actor.next_batch)  # cut, though nothing can be sent
+        rig.part.actor.run_in_actor(rig.part.actor.next_batch)  # creates a batch, though nothing can be sent
     actor = rig.part.actor
-    actor.ask(actor.ledger.export.connection_lost)
-    assert actor.keeper is not None and actor.keeper.wait_durable(actor.keeper.next_seq - 1, 5)
-    rig.part.runner.schedule.jobs["snapshot"].next_run_at = 0.0
-    rig.part.runner.want("snapshot")
+    actor.run_in_actor(actor.ledger.export.connection_lost)
+    assert actor.store_writer is not None and actor.store_writer.wait_durable(
+        actor.store_writer.next_seq - 1, 5
+    )
+    rig.part.runner.scheduler.jobs["snapshot"].next_run_at = 0.0
+    rig.part.runner.request("snapshot")
     until(lambda: actor.snapshot_seq > 500)
-    rig.part.runner.want("compact")
-    until(lambda: actor.ask_status(1000)["export"]["aside"])
-    status = actor.ask_status(1000)
-    assert sum(p["gaps"] for p in status["periods"]) == 1
+    rig.part.runner.request("compact")
+    until(lambda: actor.request_status(1000)["export"]["aside"])
+    status = actor.request_status(1000)
+    assert sum(period["gaps"] for period in status["periods"]) == 1
     assert all("want of room" in batch["reason"] for batch in status["export"]["aside"])
-    assert sum(line["calls"] for line in status["totals"]) == 600  # the snapshot has all of them
+    assert sum(row["calls"] for row in status["totals"]) == 600  # the snapshot covers all of them
     collector.listen()
-    until(rig.settled_but_aside)
+    until(rig.settled_except_set_aside)
     figures = collector.figures()
     assert figures["duplicates"] == 0 and 0 < figures["entries"] < 600 and collector.gaps() == 1
     rig.part.stop()
@@ -262,10 +265,10 @@
 
 
 @pytest.mark.parametrize("case", ["kills-disk", "kills-memory"])
-def test_killed_at_random_each_answer_has_its_entry_or_lies_in_a_named_gap(case: str, tmp_path: Path) -> None:
+def test_after_random_kills_each_answer_has_its_entry_or_lies_in_a_gap(case: str, tmp_path: Path) -> None:
     out = tmp_path / "figures.json"
-    told = [sys.executable, "-B", "-m", "harrieryoke.lab.case", "ledger", case, "3", "8", "60"]
-    subprocess.run([*told, str(tmp_path), str(out)], check=True, timeout=180)
+    command = [sys.executable, "-B", "-m", "harrieryoke.lab.case", "ledger", case, "3", "8", "60"]
+    subprocess.run([*command, str(tmp_path), str(out)], check=True, timeout=180)
     figures = json.loads(out.read_text())
     assert figures["kills"] >= 2 and figures["truth"] > 100 and figures["duplicates"] == 0
     assert figures["answered_once"] == figures["taken"] and figures["exit_codes"] == [0, 0, 0]
@@ -281,21 +284,21 @@
     operator = f'[ops]\nlisten = "{ops}"\n[store]\nfolder = "{folder}"\n[ledger]\nperiod_s = 3600\n'
 
     def command(*words: str) -> tuple[int, str]:
-        told = [sys.executable, "-B", "-m", "harrieryoke", *words]
-        done = subprocess.run(told, capture_output=True, text=True, check=False, timeout=60)
+        arguments = [sys.executable, "-B", "-m", "harrieryoke", *words]
+        done = subprocess.run(arguments, capture_output=True, text=True, check=False, timeout=60)
         return done.returncode, done.stdout + done.stderr
 
-    seen: dict[str, tuple[int, str]] = {}
+    results: dict[str, tuple[int, str]] = {}
 
     def probe() -> None:
-        seen["totals"] = command("ledger", "totals", "--ops", ops, "--json")
-        seen["beside"] = command("store", "check", str(folder), "--json")
+        results["totals"] = command("ledger", "totals", "--ops", ops, "--json")
+        results["beside"] = command("store", "check", str(folder), "--json")
         dumped = command("store", "dump", str(folder), "--from", "2")[1].splitlines()
         instance, epoch, number = json.loads(dumped[0])["payload"][0]
         id = f"{instance}/{epoch:x}/{number}"
-        seen["correct"] = command("ledger", "correct", id, "--reason", "a test", "--ops", ops)
-        seen["close"] = command("ledger", "close", str(10**9), "--ops", ops)
-        seen["none"] = command("ledger", "correct", "x/1/9", "--reason", "a test", "--ops", ops)
+        results["correct"] = command("ledger", "correct", id, "--reason", "a test", "--ops", ops)
+        results["close"] = command("ledger", "close", str(10**9), "--ops", ops)
+        results["none"] = command("ledger", "correct", "x/1/9", "--reason", "a test", "--ops", ops)
 
     scene = Scene(tmp_path, operator=operator)
     try:
@@ -310,14 +313,14 @@
     finally:
         log = scene.end()
     assert "greenlet-died" not in log, log
-    (line,) = json.loads(seen["totals"][1])
-    assert (line["calls"], line["tenant"], line["outcome"]) == (1, "coop-kef", "served")
-    assert seen["beside"][0] == 0 and json.loads(seen["beside"][1])["records"] == 2
-    assert seen["correct"][0] == 0 and "in period" in seen["correct"][1]
-    assert seen["close"][0] == 2 and "is not over" in seen["close"][1]
-    assert seen["none"][0] == 2 and "not in the store" in seen["none"][1]
+    (row,) = json.loads(results["totals"][1])
+    assert (row["calls"], row["tenant"], row["outcome"]) == (1, "coop-kef", "served")
+    assert results["beside"][0] == 0 and json.loads(results["beside"][1])["records"] == 2
+    assert results["correct"][0] == 0 and "in period" in results["correct"][1]
+    assert results["close"][0] == 2 and "is not over" in results["close"][1]
+    assert results["none"][0] == 2 and "not in the store" in results["none"][1]
     code, text = command("ledger", "totals", "--folder", str(folder), "--period-s", "3600", "--json")
-    assert code == 0 and sum(line["calls"] for line in json.loads(text)) == 0  # corrected to nothing
+    assert code == 0 and sum(row["calls"] for row in json.loads(text)) == 0  # corrected to zero
     assert command("ledger", "verify", str(folder), "--period-s", "3600")[0] == 0
     assert command("ledger", "verify", str(tmp_path / "none"))[0] == 2
     assert json.loads(command("store", "repair", str(folder))[1])["damaged"] == []
@@ -328,32 +331,32 @@
     assert command("store", "check", str(folder))[0] == 1
 
 
-def test_a_disk_that_fails_holds_no_answer_and_what_found_no_room_becomes_a_gap(
+def test_a_failing_disk_holds_no_answer_and_missed_entries_become_a_gap(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     disk = Disk(1)
     monkeypatch.setattr("harrieryoke.store.actor.DiskDirectory", lambda folder: disk)
     rig = Rig(tmp_path, None, store={"queue_mb": 0.03}, hold_ms=1000)
-    rig.ends(5)
+    rig.finish_calls(5)
     until(lambda: all(caller.answers for caller in rig.callers))
     disk.failing_sync = True
-    rig.ends(200)
-    until(lambda: all(caller.answers for caller in rig.callers))  # none waits for the disk
-    status = rig.part.actor.ask_status(1000)
+    rig.finish_calls(200)
+    until(lambda: all(caller.answers for caller in rig.callers))  # no answer waits for the disk
+    status = rig.part.actor.request_status(1000)
     assert "ENOSPC" in status["store"]["failing"] and status["counts"]["unsure"] > 0
     assert 0 < status["missed_open"] < 200
-    code, told = rig.part.answer("POST", "/ledger/close", {"period": "1"}, 1000)
-    assert code == 400 and "takes nothing" in told["error"]
+    code, answer = rig.part.answer("POST", "/ledger/close", {"period": "1"}, 1000)
+    assert code == 400 and "accepts no records" in answer["error"]
     disk.failing_sync = False
-    until(lambda: rig.part.actor.ask_status(1000)["missed_open"] == 0)
-    status = rig.part.actor.ask_status(1000)
-    assert sum(p["gaps"] for p in status["periods"]) == 1 and not status["store"]["failing"]
+    until(lambda: rig.part.actor.request_status(1000)["missed_open"] == 0)
+    status = rig.part.actor.request_status(1000)
+    assert sum(period["gaps"] for period in status["periods"]) == 1 and not status["store"]["failing"]
     assert status["counts"]["missed"] + status["entries"] - 1 == 205
     rig.part.stop()
     disk.crash()
     again = Rig(tmp_path, None)
-    entries = sum(p["entries"] for p in again.part.actor.ask_status(1000)["periods"])
-    assert entries == status["entries"]  # and the gap with them
+    entries = sum(period["entries"] for period in again.part.actor.request_status(1000)["periods"])
+    assert entries == status["entries"]  # including the gap
     again.part.stop()
 
 
@@ -366,7 +369,7 @@
     name = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, "collector")])
     now = datetime.datetime.now(datetime.UTC)
     names = x509.SubjectAlternativeName([x509.DNSName("collector")])
-    made = x509.CertificateBuilder(
+    builder = x509.CertificateBuilder(
         name,
         name,
         key.public_key(),
@@ -374,8 +377,8 @@
         now - datetime.timedelta(days=3),
         now + datetime.timedelta(days=days),
     )
-    made = made.add_extension(x509.BasicConstraints(True, None), True).add_extension(names, False)
-    signed = made.sign(key, hashes.SHA256())
+    builder = builder.add_extension(x509.BasicConstraints(True, None), True).add_extension(names, False)
+    signed = builder.sign(key, hashes.SHA256())
     (folder / "cert.pem").write_bytes(signed.public_bytes(serialization.Encoding.PEM))
     (folder / "key.pem").write_bytes(
         key.private_bytes(
@@ -384,12 +387,12 @@
     )
 
 
-def test_tls_files_are_named_when_wrong_and_the_export_runs_over_tls(tmp_path: Path) -> None:
+def test_bad_tls_files_are_named_and_the_export_runs_over_tls(tmp_path: Path) -> None:
     for name in ("good", "other", "old"):
         (tmp_path / name).mkdir()
         make_certificates(tmp_path / name, days=-1 if name == "old" else 2)
     good, other = tmp_path / "good", tmp_path / "other"
-    wrong: tuple[tuple[dict[str, Any], str], ...] = (
+    bad_files: tuple[tuple[dict[str, Any], str], ...] = (
         ({"ca": "missing.pem"}, "ca: .*missing"),
         ({"ca": str(tmp_path / "old" / "cert.pem")}, "ca: .*expired"),
         ({"ca": str(good / "key.pem")}, "ca: .*key.pem"),
@@ -402,8 +405,8 @@
             "is not the key of",
         ),
     )
-    for files, words in wrong:
-        with pytest.raises(LedgerError, match=words):
+    for files, pattern in bad_files:
+        with pytest.raises(LedgerError, match=pattern):
             create_context(CollectorSettings("127.0.0.1:1", **files))
     from gevent.ssl import SSLContext
 
@@ -411,11 +414,11 @@
     server.load_cert_chain(good / "cert.pem", good / "key.pem")
     collector = EmulatedCollector(random.Random(1), {}, server)
     log = Quiet()
-    told = CollectorSettings(
+    settings = CollectorSettings(
         collector.address(), ca=str(good / "cert.pem"), server_name="collector", batch_ms=10
     )
     part = LedgerPart(
-        LedgerSettings(collector=told),
+        LedgerSettings(collector=settings),
         None,
         BackgroundSettings(),
         "n1",
@@ -429,7 +432,7 @@
     part.call_ended(Call("1" * 16, 0, "f" * 16, now_ms() + 100, received_at=now_ms()), "served")
     until(lambda: collector.figures()["entries"] == 1)
     (good / "cert.pem").write_text("nonsense")
-    part.reload()  # the old files stay in force, also for a new connection
+    part.reload()  # the old files stay in use, also for a new connection
     collector.cut()
     part.call_ended(Call("2" * 16, 0, "f" * 16, now_ms() + 100, received_at=now_ms()), "served")
     until(lambda: collector.figures()["entries"] == 2)
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -125,11 +125,11 @@
             call = Call(f"{number:016x}", 0, "f" * 16, now + 1000, memory=400, received_at=now - 50)
             self.part.call_ended(call, "served")
         until(self.settled)
-        (period,) = self.part.actor.ask_status(1000)["periods"]
+        (period,) = self.part.actor.request_status(1000)["periods"]
         return int(period["period"])
 
     def settled(self) -> bool:
-        export = self.part.actor.ask_status(1000)["export"]
+        export = self.part.actor.request_status(1000)["export"]
         return not (export["not_in_a_batch"] or export["unsent"] or self.part.actor.mailbox)
 
     def result(self) -> object:
@@ -173,7 +173,7 @@
     period = member.ends(40)
     collector.fences["a", period] = fence = Fence(10**9)
     member.want(period)
-    until(lambda: member.part.link is not None and member.part.link.reconciler.stopped)
+    until(lambda: member.part.link is not None and member.part.link.reconciler.stopped_count)
     assert collector.counts["older"] and not collector.counts["repaired"] and not member.result()
     until(lambda: not member.turns.own.wishes)  # given up as often as the pace has it
     assert member.turns.status()["failed"] == 1
