--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -1,4 +1,5 @@
-"""Files that fail: a disk in memory that knows what was synced, and can crash, tear, lose and refuse."""
+"""Fault injection for files: an in-memory disk that knows what was synced, and can crash, tear, lose and
+refuse writes."""
 
 from __future__ import annotations
 
@@ -7,68 +8,70 @@
 
 
 class Crash(Exception):
-    """The machine ended in the middle of an operation."""
+    """The machine crashed in the middle of an operation."""
 
 
 class Killed(Exception):
-    """The process ended; the machine, and what it holds in memory, goes on."""
+    """The process was killed; the machine and its page cache live on."""
 
 
 class Disk:
-    """What is on the disk and what is only in the system's memory. `fail` maps the number of an operation to
-    what happens there: "crash", "kill", "short", or the number of an error."""
+    """A directory on a disk and its contents in the page cache. `fail` maps the number of an operation to its
+    fault: "crash", "kill", "short", or an errno."""
 
     def __init__(self, seed: int = 0) -> None:
         self.rng = random.Random(seed)
-        self.durable: dict[str, bytes] = {}  # by name, as of the last sync of file and folder
+        self.durable: dict[str, bytes] = {}  # by name, as of the last sync of file and directory
         self.volatile: dict[str, bytearray] = {}
-        self.synced: dict[str, bytes] = {}  # contents that a sync has brought to the disk, by name
+        self.synced: dict[str, bytes] = {}  # contents that a sync has written, by name
         self.fail: dict[int, str | int] = {}
         self.operations, self.locked = 0, False
-        self.failing_sync = False  # all syncs and writes say ENOSPC
-        self.full_from: int | None = None  # from that operation on all of them say ENOSPC, until this is None
+        self.failing_sync = False  # all syncs and writes fail with ENOSPC
+        self.full_from: int | None = None  # from this operation on all fail with ENOSPC, until this is None
 
     def operation(self) -> str | None:
         self.operations += 1
         if self.full_from is not None and self.operations >= self.full_from:
             raise OSError(errno.ENOSPC, "ENOSPC")
-        told = self.fail.pop(self.operations, None)
-        if told == "crash":
+        fault = self.fail.pop(self.operations, None)
+        if fault == "crash":
             raise Crash
-        if told == "kill":
+        if fault == "kill":
             raise Killed
-        if isinstance(told, int):
-            raise OSError(told, errno.errorcode[told])
-        return told
+        if isinstance(fault, int):
+            raise OSError(fault, errno.errorcode[fault])
+        return fault
 
     def crash(self) -> None:
-        """The machine loses what was not synced, or keeps any part of it, torn and out of order."""
+        """Loses what was not synced, or keeps any part of it, torn and out of order."""
         self.locked = False
         names: dict[str, bytes] = {}
         for name in self.durable.keys() | self.volatile.keys():
-            # a name that was made or removed and whose folder was not synced since may be there or not
-            here = name in self.volatile if self.rng.random() < 0.5 else name in self.durable
-            if here:
+            # A name created or removed since the last sync of the directory may exist or not.
+            exists = name in self.volatile if self.rng.random() < 0.5 else name in self.durable
+            if exists:
                 names[name] = self.torn(name)
         self.volatile = {name: bytearray(data) for name, data in names.items()}
         self.durable, self.synced = dict(names), dict(names)
 
     def torn(self, name: str) -> bytes:
-        safe = self.synced.get(name, b"")
-        now = bytes(self.volatile.get(name, safe))
-        how = self.rng.randrange(4)
-        if how == 0 or len(now) <= len(safe):
-            return safe
-        rest = bytearray(now[len(safe) : len(safe) + self.rng.randrange(len(now) - len(safe) + 1)])
-        if how == 2 and rest:  # a later block came to the disk, an earlier one did not
+        synced = self.synced.get(name, b"")
+        current = bytes(self.volatile.get(name, synced))
+        outcome = self.rng.randrange(4)
+        if outcome == 0 or len(current) <= len(synced):
+            return synced
+        rest = bytearray(
+            current[len(synced) : len(synced) + self.rng.randrange(len(current) - len(synced) + 1)]
+        )
+        if outcome == 2 and rest:  # a later block was written, an earlier one was not
             begin = self.rng.randrange(len(rest))
-            for at in range(begin, min(len(rest), begin + 40)):
-                rest[at] = 0
-        if how == 3:  # the length came to the disk, the data did not
+            for position in range(begin, min(len(rest), begin + 40)):
+                rest[position] = 0
+        if outcome == 3:  # the length was written, the data was not
             rest = bytearray(len(rest))
-        return safe + bytes(rest)
+        return synced + bytes(rest)
 
-    # --- the interface of one folder ---
+    # --- the store's Directory protocol ---
 
     def lock(self) -> None:
         if self.locked:
@@ -122,10 +125,10 @@
     def write(self, data: bytes) -> int:
         if self.disk.failing_sync:
             raise OSError(errno.ENOSPC, "ENOSPC")
-        told = self.disk.operation()
-        take = len(data) if told != "short" else self.disk.rng.randrange(1, len(data) + 1)
-        self.disk.volatile[self.name] += data[:take]
-        return take
+        fault = self.disk.operation()
+        taken = len(data) if fault != "short" else self.disk.rng.randrange(1, len(data) + 1)
+        self.disk.volatile[self.name] += data[:taken]
+        return taken
 
     def sync(self) -> None:
         if self.disk.failing_sync:
@@ -133,7 +136,7 @@
         try:
             self.disk.operation()
         except OSError:
-            # what a failed sync leaves is anybody's guess; a second one would say yes to nothing
+            # After a failed sync the contents are undefined, and a second sync would succeed without writing.
             self.disk.volatile[self.name][:] = self.disk.torn(self.name)
             self.disk.synced[self.name] = bytes(self.disk.volatile[self.name])
             raise
