--- a/harrieryoke/ledger/actor.py
+++ b/harrieryoke/ledger/actor.py
@@ -12,12 +12,12 @@
 import msgspec
 from gevent.event import AsyncResult
 
-from .. import interface as i
 from ..background.decide.schedule import Job
 from ..background.runner import JobRunner, SliceOutcome
 from ..core.actor import Actor, wait_for_reply
 from ..core.clock import now_ms, wall_ms
 from ..core.records import Call, CallEnded, Front, SettingsChanged, StatusRequested
+from ..interface import Settings
 from ..log import Log
 from ..state import Bucket
 from ..store.actor import StoreWriter
@@ -103,7 +103,7 @@
         ledger_settings: LedgerSettings,
         store: StoreSettings | None,
         instance: str,
-        settings: i.Settings,
+        settings: Settings,
         mailbox: int,
         log: Log,
     ) -> None:
--- a/harrieryoke/ledger/part.py
+++ b/harrieryoke/ledger/part.py
@@ -7,11 +7,11 @@
 
 import gevent
 
-from .. import interface as i
 from ..background.runner import JobRunner
 from ..background.settings import BackgroundSettings
 from ..checks import read_address
 from ..core.records import Call, Front
+from ..interface import Settings
 from ..limits import Limits
 from ..log import Log
 from ..store.settings import StoreSettings
@@ -37,7 +37,7 @@
         store: StoreSettings | None,
         background: BackgroundSettings,
         instance: str,
-        settings: i.Settings,
+        settings: Settings,
         limits: Limits,
         log: Log,
         seed: int,
