--- a/harrieryoke/admin/__init__.py
+++ b/harrieryoke/admin/__init__.py
@@ -1,1 +1,2 @@
-"""The admin interface: one line, one answer. It listens only if an address is configured for it."""
+"""The admin interface: one command line and one answer for each connection. It listens only if it has an
+address."""
--- a/harrieryoke/admin/commands.py
+++ b/harrieryoke/admin/commands.py
@@ -11,14 +11,14 @@
 
 
 class Command(msgspec.Struct, frozen=True):
-    """One admin command: its name, the names of its arguments, and what it does."""
+    """One admin command: its name, the names of its arguments, and a summary."""
 
     name: str
     arguments: tuple[str, ...]
     does: str
 
     def usage(self) -> str:
-        """Return the command's line as an operator writes it."""
+        """Return the syntax of the command's line."""
         return " ".join((self.name, *self.arguments))
 
 
@@ -52,7 +52,7 @@
 
 
 def format_metrics(metrics: Metrics) -> list[str]:
-    """Return a line for each metric; counters are since the start of the process."""
+    """Return a line for each metric. Counters begin at the start of the process."""
     lines = []
     for name, counters in metrics.classes.items():
         label = msgspec.json.encode(name).decode()
--- a/harrieryoke/admin/server.py
+++ b/harrieryoke/admin/server.py
@@ -19,12 +19,14 @@
 from ..net.listening import wait_for_listener
 from .commands import COMMANDS, format_metrics, parse_command
 
-BACKLOG = 128  # callers that the machine accepts ahead of the listener
+BACKLOG = 128  # connections that the kernel accepts ahead of the listener
+ACCEPT_RETRY_S = 0.05
+READ_BYTES = 4096
 
 
 class Caller(msgspec.Struct, eq=False):
     """One connection. `last_received` is when data last came from it. It is `idle` while the server waits for
-    the remainder of its line, or for it to close."""
+    the rest of its line, or for it to close."""
 
     sock: socket.socket
     last_received: float = msgspec.field(default_factory=now_ms)
@@ -68,9 +70,9 @@
             try:
                 sock, _ = listening.accept()
             except OSError as error:
-                # out of descriptors, for example: wait for some to be closed, then accept again
+                # Out of file descriptors, for example: some may be closed by the next attempt.
                 self.log("accept-failed", f"management: {error}")
-                gevent.sleep(0.05)
+                gevent.sleep(ACCEPT_RETRY_S)
                 continue
             if len(self.callers) >= self.limits.management_callers:
                 self.evict_idle()
@@ -79,10 +81,11 @@
             spawn(self.log, "management caller", lambda caller=caller: self.serve(caller))  # type: ignore[misc]
 
     def evict_idle(self) -> None:
-        """Close the connection that has been silent for longest; those with a command at work end soon."""
+        """Close the connection that has been idle for longest. Those that run a command end soon anyway."""
         if not any(c.idle for c in self.callers):
-            # some may have a line waiting unread: let all run first. Not for each new connection: a busy
-            # process takes 15 ms for it, and whoever stands behind eighty of them would wait a second
+            # Let the other greenlets run: some connections may have an unread line. Not for each new
+            # connection: in a busy process one round of all greenlets takes 15 ms, and the last of eighty
+            # new connections would wait a second.
             gevent.sleep(0)
         if idle := [c for c in self.callers if c.idle]:
             longest_silent = min(idle, key=lambda c: c.last_received)
@@ -92,16 +95,16 @@
     def serve(self, caller: Caller) -> None:
         """Run one connection's greenlet."""
         try:
-            # descriptors are bounded: callers that do not send, do not read or do not close are cut off
+            # Connections that do not send, do not read or do not close must not use up the file descriptors.
             with gevent.Timeout(self.limits.management_ms / 1000, TimeoutError), caller.sock as sock:
                 sock.sendall(self.answer(caller))
                 caller.idle = True
                 sock.shutdown(socket.SHUT_WR)
-                # closing with unread data would reset the connection and lose the answer: read the rest first
-                while sock.recv(4096):
+                # Closing with unread data would reset the connection and lose the answer.
+                while sock.recv(READ_BYTES):
                     pass
         except OSError:
-            pass  # it left, or its time is over, or another needed the room
+            pass  # closed by the peer, timed out, or evicted
         finally:
             self.callers.pop(caller, None)
 
@@ -152,15 +155,15 @@
         """Put a drained model host back into use."""
         return self.ban(id, False)
 
-    def ban(self, id: str, on: bool) -> list[str]:
-        """Answer once the ban is in force. After Busy it may still come into force later."""
-        listed: AsyncResult = AsyncResult()
-        if not self.send_to_host_list(Ban(id, on, listed)):
+    def ban(self, id: str, banned: bool) -> list[str]:
+        """Set or lift a ban and return once it is in force. After Busy it may still come into force."""
+        reply: AsyncResult = AsyncResult()
+        if not self.send_to_host_list(Ban(id, banned, reply)):
             raise Busy
         try:
-            known = listed.get(timeout=self.limits.ban_ms / 1000)
+            listed = reply.get(timeout=self.limits.ban_ms / 1000)
         except gevent.Timeout:
             raise Busy from None
-        if not known:
+        if not listed:
             raise UnknownServer(repr(id[:64]))
-        return [f"done {id} is {'left out' if on else 'as the list has it'}"]
+        return [f"done {id} is {'left out' if banned else 'as the list has it'}"]
--- a/harrieryoke/cli.py
+++ b/harrieryoke/cli.py
@@ -1,4 +1,4 @@
-"""The command line, for all but the platform's lean start."""
+"""The command line. The platform's start doesn't load this module."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 app.add_typer(plugin, name="plugin")
 app.add_typer(ledger, name="ledger")
 app.add_typer(store, name="store")
-council = typer.Typer(no_args_is_help=True, help="Duties that one invoker has at a time (docs/duties.md).")
+council = typer.Typer(no_args_is_help=True, help="Duties that one invoker holds at a time (docs/duties.md).")
 app.add_typer(council, name="council")
 OperatorOption = Annotated[
     str | None, typer.Option("--operator", metavar="FILE", help="the operator's TOML file")
@@ -48,68 +48,68 @@
 
 @app.command("check-config")
 def check_config(operator: OperatorOption = None) -> None:
-    """Read and check the configuration, and load the plug-ins."""
+    """Check the configuration and load the plug-ins."""
     from .serve import load_config, patch
     from .service import Service
 
     patch(operator)
     config = load_config(operator)
     service = Service(config, Log(config.name))
-    told: Any = config.operator
-    mqtt = None if told is None else told.mqtt
+    file: Any = config.operator
+    mqtt = None if file is None else file.mqtt
     triggers = "MQTT is off" if mqtt is None else f"{len(mqtt.trigger)} MQTT triggers"
-    plugins = 0 if service.gate is None else len(told.plugins.use)
-    where = f"{config.listen[0]}:{config.listen[1]}"
+    plugins = 0 if service.gate is None else len(file.plugins.use)
+    address = f"{config.listen[0]}:{config.listen[1]}"
     print(
-        f"{config.name}: {len(config.settings.classes)} classes, listens on {where}, {triggers}, "
+        f"{config.name}: {len(config.settings.classes)} classes, listens on {address}, {triggers}, "
         f"{plugins} plug-ins"
     )
 
 
 @app.command()
 def describe(operator: OperatorOption = None) -> None:
-    """Print the AsyncAPI and OpenAPI documents of what is served."""
+    """Print the AsyncAPI and OpenAPI documents of this configuration."""
     from .descriptions import asyncapi, openapi
     from .serve import load_config
 
-    told: Any = load_config(operator).operator
-    triggers = [] if told is None or told.mqtt is None else told.mqtt.trigger
-    both = {"asyncapi": asyncapi(triggers), "openapi": openapi()}
-    print(msgspec.json.format(msgspec.json.encode(both)).decode())
+    file: Any = load_config(operator).operator
+    triggers = [] if file is None or file.mqtt is None else file.mqtt.trigger
+    documents = {"asyncapi": asyncapi(triggers), "openapi": openapi()}
+    print(msgspec.json.format(msgspec.json.encode(documents)).decode())
 
 
 @council.command()
 def found(
     operator: Annotated[str, typer.Option("--operator", metavar="FILE", help="the operator's TOML file")],
     base: Annotated[
-        int, typer.Option(min=0, max=1 << 62, help="above every token of a council that was lost")
+        int, typer.Option(min=0, max=1 << 62, help="greater than every token of a lost council")
     ] = 0,
 ) -> None:
-    """Found a council in this invoker's empty folder: once, and at one invoker alone."""
+    """Found a council in this invoker's empty folder: once, and at one invoker only."""
     from .council.disk import Disk
     from .serve import load_config
 
     config = load_config(operator)
-    told: Any = config.operator
-    if told.council is None:
-        raise ConfigError("council: the operator's file has no such table")
-    name = told.council.member(config.name)
-    if name not in told.council.voters:
-        raise ConfigError(f"council.voters: {name} founds, and is none of them")
-    seat = Disk.found(told.council.store_settings(), name, base)
-    print(f"{told.council.installation}: founded by {seat.name}, disk {seat.disk}, after {base}")
+    file: Any = config.operator
+    if file.council is None:
+        raise ConfigError("council: the operator's file has no [council] table")
+    name = file.council.member(config.name)
+    if name not in file.council.voters:
+        raise ConfigError(f"council.voters: {name} is not a voter and can't found the council")
+    member = Disk.found(file.council.store_settings(), name, base)
+    print(f"{file.council.installation}: founded by {member.name}, disk {member.disk}, after {base}")
 
 
 @app.command()
 def lab(
     name: Annotated[str, typer.Argument(help="the experiment: plugins, door, rounds, ledger or fleet")],
     seed: Annotated[int, typer.Option()] = 1,
-    seconds: Annotated[float, typer.Option(help="for each case")] = 20.0,
-    rate: Annotated[float, typer.Option(help="calls a second")] = 250.0,
-    case: Annotated[list[str] | None, typer.Option(help="only this case; as often as wanted")] = None,
-    json: Annotated[str | None, typer.Option("--json", metavar="FILE", help="where the figures go")] = None,
+    seconds: Annotated[float, typer.Option(help="duration of each case")] = 20.0,
+    rate: Annotated[float, typer.Option(help="calls per second")] = 250.0,
+    case: Annotated[list[str] | None, typer.Option(help="run only this case; may be repeated")] = None,
+    json: Annotated[str | None, typer.Option("--json", metavar="FILE", help="file for the results")] = None,
 ) -> None:
-    """Play an experiment against emulated hosts and write its figures."""
+    """Run an experiment against emulated hosts and write its results."""
     from .lab.experiments import run
 
     raise typer.Exit(run(name, seed, seconds, json, rate, case))
@@ -128,12 +128,12 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """The exit code: 0, or 2 for what can't be used."""
+    """Run the command line and return the exit code: 2 for invalid arguments or configuration."""
     try:
         app(arguments)
         return 0
-    except SystemExit as ended:  # the library's own way out, with its code
-        return int(ended.code or 0)
+    except SystemExit as error:  # typer exits with a code
+        return int(error.code or 0)
     except (ConfigError, CouncilError) as error:
         print(f"harrieryoke: configuration: {error}", file=sys.stderr)
     except PluginError as error:
--- a/harrieryoke/descriptions.py
+++ b/harrieryoke/descriptions.py
@@ -1,4 +1,5 @@
-"""AsyncAPI for the triggers, in and out, and OpenAPI for the operators' HTTP."""
+"""AsyncAPI documents of the triggers, read and written, and the OpenAPI document of the operators' HTTP
+interface."""
 
 from __future__ import annotations
 
@@ -7,11 +8,12 @@
 
 import msgspec
 
-from .mqtt.triggers import PLACE, Trigger
+from .mqtt.triggers import PLACEHOLDER, Trigger
 from .ops import ROUTES
 
 EXTENSION = "x-harrieryoke"
-OUTCOME = {
+MAX_REF_DEPTH = 32
+OUTCOME_SCHEMA = {
     "type": "object",
     "required": ["outcome", "topic"],
     "additionalProperties": False,
@@ -26,13 +28,13 @@
 
 
 class DescriptionError(ValueError):
-    """The document can't be used; the message names the place."""
+    """An invalid document; the message names the place."""
 
 
 def resolve(document: Any, node: Any, depth: int = 0) -> Any:
-    """Follows `$ref`s within the document, also inside schemas; none may lead in a circle."""
-    if depth > 32:
-        raise DescriptionError("$ref: too deep, or in a circle")
+    """Return the node with its `$ref`s replaced, also inside schemas. Raises DescriptionError."""
+    if depth > MAX_REF_DEPTH:
+        raise DescriptionError("$ref: nested too deep, or in a circle")
     if isinstance(node, dict):
         if (ref := node.get("$ref")) is not None:
             target = document
@@ -47,13 +49,14 @@
 
 
 def read_asyncapi(path: str) -> list[Trigger]:
-    """A trigger for each operation that receives from a channel with an `x-harrieryoke` part."""
+    """Return a trigger for each operation that receives from a channel with an `x-harrieryoke` extension.
+    Raises DescriptionError."""
     try:
         document = msgspec.yaml.decode(Path(path).read_bytes())
     except (OSError, msgspec.MsgspecError, ValueError) as error:
         raise DescriptionError(f"{path}: {error}") from None
     if not isinstance(document, dict) or not str(document.get("asyncapi", "")).startswith("3."):
-        raise DescriptionError(f"{path}: asyncapi: a document of version 3 is wanted")
+        raise DescriptionError(f"{path}: asyncapi: must be a document of version 3")
     triggers = []
     for name, operation in (document.get("operations") or {}).items():
         where = f"{path}: operations.{name}"
@@ -68,40 +71,44 @@
 
 
 def read_operation(operation: dict[str, Any]) -> Trigger:
+    """Return the trigger of one operation without references."""
     channel = operation["channel"]
     messages = operation.get("messages") or list(channel.get("messages", {}).values())
     schemas = [m["payload"] for m in messages if m.get("payload") is not None]
-    told = dict(channel[EXTENSION]) | {"topic": channel["address"]}
+    fields = dict(channel[EXTENSION]) | {"topic": channel["address"]}
     if schemas:
-        told["schema"] = schemas[0] if len(schemas) == 1 else {"anyOf": schemas}
+        fields["schema"] = schemas[0] if len(schemas) == 1 else {"anyOf": schemas}
     reply = (operation.get("reply") or {}).get("channel") or {}
     if reply.get("address"):
-        told["response"] = reply["address"]
-    return msgspec.convert(told, Trigger)
+        fields["response"] = reply["address"]
+    return msgspec.convert(fields, Trigger)
 
 
 def asyncapi(triggers: list[Trigger]) -> dict[str, Any]:
-    """What the MQTT front takes and answers."""
+    """Return the document of the messages that the MQTT front takes and publishes."""
     channels: dict[str, Any] = {}
     operations: dict[str, Any] = {}
-    for n, t in enumerate(triggers):
+    for n, trigger in enumerate(triggers):
         extension = {
             k: v
-            for k, v in msgspec.to_builtins(t).items()
+            for k, v in msgspec.to_builtins(trigger).items()
             if k not in ("topic", "schema", "response") and v is not None
         }
         channels[f"trigger{n}"] = {
-            "address": t.topic,
-            "parameters": {name: {} for name in PLACE.findall(t.topic)},
-            "messages": {"reading": {} if t.schema is None else {"payload": t.schema}},
+            "address": trigger.topic,
+            "parameters": {name: {} for name in PLACEHOLDER.findall(trigger.topic)},
+            "messages": {"reading": {} if trigger.schema is None else {"payload": trigger.schema}},
             EXTENSION: extension,
         }
-        channels[f"outcome{n}"] = {"address": t.response, "messages": {"outcome": {"payload": OUTCOME}}}
+        channels[f"outcome{n}"] = {
+            "address": trigger.response,
+            "messages": {"outcome": {"payload": OUTCOME_SCHEMA}},
+        }
         reply: dict[str, Any] = {"channel": {"$ref": f"#/channels/outcome{n}"}}
-        if t.response is None:
+        if trigger.response is None:
             reply["address"] = {"location": "$message.header#/responseTopic"}
-        taken = {"$ref": f"#/channels/trigger{n}"}
-        operations[f"take{n}"] = {"action": "receive", "channel": taken, "reply": reply}
+        source = {"$ref": f"#/channels/trigger{n}"}
+        operations[f"take{n}"] = {"action": "receive", "channel": source, "reply": reply}
     return {
         "asyncapi": "3.0.0",
         "info": {"title": "harrieryoke triggers", "version": "1"},
@@ -111,10 +118,10 @@
 
 
 def openapi() -> dict[str, Any]:
-    """The operators' HTTP, from the table that serves it."""
+    """Return the document of the operators' HTTP interface, from the table that serves it."""
     paths = {}
-    for path, (method, summary, statuses, schema) in ROUTES.items():
-        content = {"application/json": {"schema": schema}}
-        answers = {str(s): {"description": summary, "content": content} for s in statuses}
-        paths[path] = {method.lower(): {"summary": summary, "responses": answers}}
+    for path, route in ROUTES.items():
+        content = {"application/json": {"schema": route.schema}}
+        responses = {str(s): {"description": route.summary, "content": content} for s in route.statuses}
+        paths[path] = {route.method.lower(): {"summary": route.summary, "responses": responses}}
     return {"openapi": "3.1.0", "info": {"title": "harrieryoke operations", "version": "1"}, "paths": paths}
--- a/harrieryoke/door/actor.py
+++ b/harrieryoke/door/actor.py
@@ -1,5 +1,5 @@
-"""The door's actor: takes calls from the fronts, hands them to the module in fair order, and refuses in
-time."""
+"""The door's actor: takes calls from the fronts, hands them to the decision module in fair order, and refuses
+those that would wait too long."""
 
 from __future__ import annotations
 
@@ -27,39 +27,43 @@
 from ..core.timing_wheel import TimingWheel
 from ..limits import Limits
 from ..log import Log
-from .decide.calendar import Calendar, Rate
-from .decide.fair import FairQueue, Item
-from .decide.limit import InsideLimit
+from .decide.calendar import ReservationBook, ServiceRate
+from .decide.fair import FairQueue, QueuedCall
+from .decide.limit import ConcurrencyLimit
 from .settings import DoorSettings
 
 NO_TENANT = "\0none"
-STOP_MS = 300.0  # before the end: what still waits is refused then
+DEFAULT_TENANT_WEIGHT = 1.0  # of a tenant without an allowance
+STOP_MARGIN_MS = 300.0  # before the process ends: calls that still wait are refused then
+MAX_SLEEP_MS = 1000.0
+INITIAL_COST_DIVISOR = 4  # of the latency target: a class's cost before any of its calls has ended
+COST_SMOOTHING = 0.02  # weight of the newest call in a class's mean duration
 
 
 @dataclass(slots=True, eq=False)
-class Waiting:
-    """A call that has its place in the queue."""
+class WaitingCall:
+    """A call in the queue."""
 
     call: Call
     front: Front
-    item: Item
+    entry: QueuedCall
 
 
 @dataclass(slots=True)
-class Inside:
-    """A call that was handed on."""
+class InFlightCall:
+    """A call that was handed on and has not ended."""
 
-    since: float
+    started_at: float
     cost: float
 
 
 class DoorActor(Actor):
-    """Owns what waits, what is inside, and the promises. Each call that comes leaves it once: handed on,
-    refused or withdrawn; a call that was handed on is the module's to answer."""
+    """Owns the queue, the calls in flight and the reservations. Each call leaves the door once: handed on,
+    refused or withdrawn. The decision module answers a call that was handed on."""
 
     def __init__(
         self,
-        told: DoorSettings,
+        door_settings: DoorSettings,
         settings: i.Settings,
         core: ModuleActor,
         limits: Limits,
@@ -67,45 +71,51 @@
         seed: int,
         clock: Callable[[], float] = now_ms,
     ) -> None:
-        # the reserve is for the ends of what is inside: they must find room, or the limit would leak
+        # The reserve is for the ends of calls in flight: a lost one would occupy the limit for good.
         super().__init__("door", limits.module_mailbox + limits.open_calls, log, reserve=limits.open_calls)
-        self.told, self.settings, self.core, self.limits, self.clock = told, settings, core, limits, clock
-        self.queue = FairQueue({t.name: t.allowance_per_s or 1.0 for t in settings.tenants}, told.queue, seed)
-        self.limit = InsideLimit(float(told.inside_least), float(told.inside_most), float(told.inside_first))
-        self.calendar = Calendar(most=told.promises)
-        self.costs: dict[int, float] = {}  # mean time inside of each class, learned
-        self.rate = Rate(per_ms=float(told.inside_first))
-        self.waiting: dict[Call, Waiting] = {}
-        self.inside: dict[Call, Inside] = {}
-        self.times: TimingWheel[Call] = TimingWheel(clock())
-        self.stop_at = float("inf")
+        self.door_settings, self.settings = door_settings, settings
+        self.core, self.limits, self.clock = core, limits, clock
+        weights = {t.name: t.allowance_per_s or DEFAULT_TENANT_WEIGHT for t in settings.tenants}
+        self.queue = FairQueue(weights, door_settings.queue, seed)
+        self.concurrency_limit = ConcurrencyLimit(
+            float(door_settings.inside_least),
+            float(door_settings.inside_most),
+            float(door_settings.inside_first),
+        )
+        self.reservations = ReservationBook(max_clients=door_settings.promises)
+        self.costs: dict[int, float] = {}  # mean duration of each class's calls
+        self.service_rate = ServiceRate(work_per_ms=float(door_settings.inside_first))
+        self.waiting: dict[Call, WaitingCall] = {}
+        self.in_flight: dict[Call, InFlightCall] = {}
+        self.queue_deadlines: TimingWheel[Call] = TimingWheel(clock())
+        self.refuse_all_at = float("inf")
         self.counts: Counter[str] = Counter()
 
-    # --- the fronts' and the module's side ---
+    # --- called by the fronts and the module ---
 
     def offer(self, call: Call, front: Front) -> bool:
-        # guards the call against a door that has ended: it goes straight on
+        # If this actor has ended, the call goes straight to the module.
         return self.blocking_send(CallReceived(call, front)) or self.core.admit(call, front)
 
     def withdraw(self, call: Call) -> bool:
         return self.blocking_send(CallWithdrawn(call)) or self.core.drop(call)
 
     def call_ended(self, call: Call, how: str) -> None:
-        """What was never handed on here is passed over."""
+        """Report the end of a call. Calls that were not handed on by the door are ignored."""
         if call.watched_by_door and not self.try_send(CallEnded(call, how)):
-            self.log("door-behind", "an end could not be told to the door")
+            self.log("door-behind", "mailbox full; the end of a call was not reported to the door")
 
     # --- the loop ---
 
     def run(self) -> None:
         while not self.finished:
-            self.wait_for_message(min(self.times.next_time() - self.clock(), 1000.0))
+            self.wait_for_message(min(self.queue_deadlines.next_time() - self.clock(), MAX_SLEEP_MS))
             self.process_mailbox()
-            self.expire(self.clock())
-            self.pump(self.clock())
+            self.refuse_expired(self.clock())
+            self.dispatch(self.clock())
 
     def finish(self) -> None:
-        """Guards what waits against a fault of this actor: it goes on to the module."""
+        """Hand the waiting calls to the module, so that a fault of this actor loses none."""
         waiting, self.finished = list(self.waiting.values()), True
         super().finish()
         for each in waiting:
@@ -120,9 +130,9 @@
         now = self.clock()
         match message:
             case CallReceived(call, front):
-                self.enter(call, front, now)
+                self.accept(call, front, now)
             case CallEnded(call, how):
-                self.out(call, how, now)
+                self.record_end(call, how, now)
             case CallWithdrawn(call):
                 if self.remove(call) is None:
                     self.core.drop(call)
@@ -130,113 +140,125 @@
                     self.counts["withdrawn"] += 1
                     self.core.table.tell_watchers(call, "withdrawn")
             case Stopping(by):
-                self.stop_at = by - STOP_MS
+                self.refuse_all_at = by - STOP_MARGIN_MS
                 for call in self.waiting:
-                    self.times.schedule(call, self.leaves_at(call))
+                    self.queue_deadlines.schedule(call, self.queue_deadline(call))
             case SettingsChanged(settings):
                 self.settings, self.reserve = settings, self.limits.open_calls
                 self.capacity = self.limits.module_mailbox + self.reserve
-                self.queue.reweigh({t.name: t.allowance_per_s or 1.0 for t in settings.tenants})
-            case StatusRequested(tell):
-                tell(self.status())
+                self.queue.set_weights(
+                    {t.name: t.allowance_per_s or DEFAULT_TENANT_WEIGHT for t in settings.tenants}
+                )
+            case StatusRequested(reply):
+                reply(self.status())
         if not self.mailbox:
-            self.pump(now)
+            self.dispatch(now)
 
-    # --- in ---
+    # --- arrivals and dispatch ---
 
-    def tenant(self, call: Call) -> str:
+    def tenant_name(self, call: Call) -> str:
         return NO_TENANT if call.tenant is None else self.settings.tenants[call.tenant].name
 
-    def client(self, call: Call) -> str:
+    def client_name(self, call: Call) -> str:
         return call.label or call.client or call.topic
 
-    def leaves_at(self, call: Call) -> float:
-        """When a call that still waits is refused: before half of its time, so that it can be asked again."""
-        return min(call.received_at + self.told.wait_share * (call.deadline - call.received_at), self.stop_at)
+    def queue_deadline(self, call: Call) -> float:
+        """Return when a waiting call is refused: before half of its time, so that the client can retry."""
+        return min(
+            call.received_at + self.door_settings.wait_share * (call.deadline - call.received_at),
+            self.refuse_all_at,
+        )
 
-    def enter(self, call: Call, front: Front, now: float) -> None:
+    def accept(self, call: Call, front: Front, now: float) -> None:
+        """Queue a call, or refuse it at once if it would wait too long."""
         self.counts["came"] += 1
-        tenant, client, kind = self.tenant(call), self.client(call), self.settings.classes[call.class_index]
-        first = self.calendar.returns((tenant, client), now)
-        cost = self.costs.setdefault(call.class_index, kind.latency_target / 4)
-        item = Item(call, tenant, client, cost, kind.worth / cost, call.deadline, first)
-        each = Waiting(call, front, item)
-        # who was told to come later and comes now takes no place from those that wait
-        early = self.calendar.waits((tenant, client), now)
-        late = early or now + self.wait_for(tenant) > self.leaves_at(call)
-        late = late and not first and not self.limit.room()
-        if late or self.leaves_at(call) <= now:
-            # it can't make its time: it leaves at once
+        tenant, client = self.tenant_name(call), self.client_name(call)
+        settings = self.settings.classes[call.class_index]
+        reserved = self.reservations.redeem((tenant, client), now)
+        cost = self.costs.setdefault(call.class_index, settings.latency_target / INITIAL_COST_DIVISOR)
+        entry = QueuedCall(call, tenant, client, cost, settings.worth / cost, call.deadline, reserved)
+        arrival = WaitingCall(call, front, entry)
+        # A client that comes before its reserved time takes no place from those that wait.
+        early = self.reservations.is_early((tenant, client), now)
+        hopeless = early or now + self.estimated_wait(tenant) > self.queue_deadline(call)
+        hopeless = hopeless and not reserved and not self.concurrency_limit.available()
+        if hopeless or self.queue_deadline(call) <= now:
             self.counts["hopeless"] += 1
-            return self.refuse(each, now)
-        self.waiting[call] = each
-        self.times.schedule(call, self.leaves_at(call))
-        victim = self.queue.add(item, now)
+            return self.refuse(arrival, now)
+        self.waiting[call] = arrival
+        self.queue_deadlines.schedule(call, self.queue_deadline(call))
+        victim = self.queue.add(entry, now)
         if victim is not None:
             self.counts["pushed-out"] += 1
-            out = self.waiting.pop(victim.key)  # type: ignore[call-overload]
-            self.times.cancel(out.call)
-            self.refuse(out, now)
-
-    def pump(self, now: float) -> None:
-        """Hands on as many as there is room for."""
-        while self.limit.room() and (item := self.queue.take()) is not None:
-            each = self.waiting.pop(item.key)  # type: ignore[call-overload]
-            self.times.cancel(each.call)
-            self.limit.enter()
+            evicted = self.waiting.pop(victim.key)  # type: ignore[call-overload]
+            self.queue_deadlines.cancel(evicted.call)
+            self.refuse(evicted, now)
+
+    def dispatch(self, now: float) -> None:
+        """Hand on as many calls as the concurrency limit allows."""
+        while self.concurrency_limit.available() and (entry := self.queue.pop()) is not None:
+            each = self.waiting.pop(entry.key)  # type: ignore[call-overload]
+            self.queue_deadlines.cancel(each.call)
+            self.concurrency_limit.begin()
             self.counts["handed"] += 1
             each.call.watched_by_door = True
-            self.inside[each.call] = Inside(now, item.cost)
+            self.in_flight[each.call] = InFlightCall(now, entry.cost)
             self.core.admit(each.call, each.front)
 
-    # --- out ---
+    # --- departures ---
 
-    def out(self, call: Call, how: str, now: float) -> None:
-        if (was := self.inside.pop(call, None)) is None:
+    def record_end(self, call: Call, how: str, now: float) -> None:
+        """Count the end of a call in flight and learn from its duration."""
+        if (ended := self.in_flight.pop(call, None)) is None:
             return
-        took, kind = now - was.since, self.settings.classes[call.class_index]
-        # guards the limit against cold hosts and a slow store: a load's time is no sign of too many inside
-        self.limit.ended(
-            now, took, kind.latency_target, how in ("served", "failed") and not call.waited_for_load
+        duration, settings = now - ended.started_at, self.settings.classes[call.class_index]
+        # A load's duration (cold hosts, a slow store) says nothing about the number of calls in flight.
+        self.concurrency_limit.end(
+            now, duration, settings.latency_target, how in ("served", "failed") and not call.waited_for_load
         )
-        self.rate.ended(now, was.cost, bool(len(self.queue)))
+        self.service_rate.record(now, ended.cost, bool(len(self.queue)))
         if how == "served" and not call.waited_for_load:
-            self.costs[call.class_index] += 0.02 * (max(1.0, took) - self.costs[call.class_index])
+            self.costs[call.class_index] += COST_SMOOTHING * (
+                max(1.0, duration) - self.costs[call.class_index]
+            )
 
-    def remove(self, call: Call) -> Waiting | None:
+    def remove(self, call: Call) -> WaitingCall | None:
         each = self.waiting.pop(call, None)
         if each is not None:
-            self.queue.drop(call)
-            self.times.cancel(call)
+            self.queue.remove(call)
+            self.queue_deadlines.cancel(call)
         return each
 
-    def expire(self, now: float) -> None:
-        for call in self.times.expired(now):
+    def refuse_expired(self, now: float) -> None:
+        for call in self.queue_deadlines.expired(now):
             if (each := self.remove(call)) is not None:
                 self.counts["waited-out"] += 1
                 self.refuse(each, now)
 
     # --- refusals ---
 
-    def wait_for(self, tenant: str) -> float:
-        """How long a newcomer of the tenant would wait, in ms."""
-        return self.queue.ahead(tenant) / max(self.rate.per_ms, 1e-6)
+    def estimated_wait(self, tenant: str) -> float:
+        """Return how many ms a new call of the tenant would wait."""
+        return self.queue.work_ahead(tenant) / max(self.service_rate.work_per_ms, 1e-6)
 
-    def refuse(self, each: Waiting, now: float) -> None:
-        call, tenant = each.call, each.item.tenant
+    def refuse(self, each: WaitingCall, now: float) -> None:
+        """Refuse a call, with advice on when to retry if the settings ask for it."""
+        call, tenant = each.call, each.entry.tenant
         self.counts["refused"] += 1
-        hint = None
+        advice = None
         if self.settings.sends_retry_after:
             weights = {n: t.weight for n, t in self.queue.tenants.items() if t.waiting or n == tenant}
             share = (
-                self.rate.per_ms * weights.get(tenant, self.queue.usual) / max(sum(weights.values()), 1e-9)
+                self.service_rate.work_per_ms
+                * weights.get(tenant, self.queue.default_weight)
+                / max(sum(weights.values()), 1e-9)
             )
-            true = self.calendar.promise(
-                (tenant, each.item.client), tenant, each.item.cost, self.wait_for(tenant), share, now
+            retry_after = self.reservations.reserve(
+                (tenant, each.entry.client), tenant, each.entry.cost, self.estimated_wait(tenant), share, now
             )
-            hint = min(true, self.settings.max_retry_after)
-            self.counts["hint-cut"] += true > hint  # the truth is longer than may be told
-        each.front.refused(call, hint or None)
+            advice = min(retry_after, self.settings.max_retry_after)
+            self.counts["hint-cut"] += retry_after > advice
+        each.front.refused(call, advice or None)
         self.core.table.tell_watchers(call, "refused")
 
     # --- for the operators ---
@@ -245,20 +267,20 @@
         self.blocking_send(Stopping(by))
 
     def ask_status(self, timeout_ms: float) -> dict[str, Any]:
-        told: AsyncResult = AsyncResult()
-        self.blocking_send(StatusRequested(told.set))
-        return wait_for_reply(told, timeout_ms)
+        reply: AsyncResult = AsyncResult()
+        self.blocking_send(StatusRequested(reply.set))
+        return wait_for_reply(reply, timeout_ms)
 
     def status(self) -> dict[str, Any]:
         waiting = {name: t.waiting for name, t in self.queue.tenants.items() if name != NO_TENANT}
         return {
             "waiting": waiting,
-            "inside": len(self.inside),
-            "limit": round(self.limit.limit, 1),
-            "late": round(self.limit.late, 3),
-            "stalls": self.limit.stalls,
+            "inside": len(self.in_flight),
+            "limit": round(self.concurrency_limit.limit, 1),
+            "late": round(self.concurrency_limit.late_share, 3),
+            "stalls": self.concurrency_limit.stalls,
             "counts": dict(self.counts),
-            "promises": dict(self.calendar.counts),
-            "open_promises": len(self.calendar.promises),
-            "work_per_ms": round(self.rate.per_ms, 3),
+            "promises": dict(self.reservations.counts),
+            "open_promises": len(self.reservations.by_client),
+            "work_per_ms": round(self.service_rate.work_per_ms, 3),
         }
--- a/harrieryoke/door/decide/__init__.py
+++ b/harrieryoke/door/decide/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions and the state of the door. No I/O, no clock: times come in as milliseconds."""
+"""Decisions and state of the door. No I/O and no clock: times come in as milliseconds."""
--- a/harrieryoke/door/decide/fair.py
+++ b/harrieryoke/door/decide/fair.py
@@ -1,11 +1,11 @@
-"""Hierarchical start-time fair queueing: tenants by their shares, then clients, then calls by worth and
-time left.
-
-Goyal, Vin and Cheng, "Start-time fair queuing" (1996): each flow has a finish tag; what it sends next
-starts at the later of that tag and the virtual time, which is the start tag of what is in service; the
-least start tag goes first. An idle flow saves up no credit, and a backlogged one is at most one largest
-call per flow behind an ideal fluid server. Shares of idle tenants go to whoever waits, in proportion, by
-the same rule.
+"""Hierarchical start-time fair queueing: tenants by their weights, then clients, then calls by worth and
+deadline.
+
+Goyal, Vin and Cheng, "Start-time fair queuing" (1996): each flow has a finish tag; its next call starts at
+the later of that tag and the virtual time, which is the start tag of the call in service; the least start
+tag goes first. An idle flow saves up no credit, and a backlogged one is at most one largest call per flow
+behind an ideal fluid server. By the same rule the shares of idle tenants go to the waiting ones in
+proportion to their weights.
 """
 
 from __future__ import annotations
@@ -14,180 +14,197 @@
 from dataclasses import dataclass, field
 from heapq import heapify, heappop, heappush
 
-from .sketch import FinishSketch, Seen
+from .sketch import FinishTagSketch, RecentIds
 
-NEWCOMERS = "\0newcomers"  # ids that nobody knows yet share one flow: changing one's id gains nothing
+# Ids not seen before share one flow, so that a client gains nothing by changing its id.
+UNKNOWN_CLIENTS = "\0newcomers"
+MIN_WEIGHT = 1e-6
+COMPACTION_THRESHOLD = 32  # heap size above which entries that were removed are cleared out
 
 
 @dataclass(slots=True, eq=False)
-class Item:
-    """One waiting call. `cost` is its expected work; `worth` a unit of work orders calls of one client."""
+class QueuedCall:
+    """A waiting call. `cost` is its expected work; calls of one client are ordered by `worth_per_work`."""
 
     key: Hashable
     tenant: str
     client: str
     cost: float
-    worth: float
-    due: float
-    first: bool = False  # it returned when it was told to: ahead of its tenant's newcomers
-    gone: bool = False
-    flow: str = ""  # the client, or NEWCOMERS
+    worth_per_work: float
+    deadline: float
+    reserved: bool = False  # it returned at its reserved time and goes ahead of its tenant's other calls
+    removed: bool = False
+    flow: str = ""  # the client, or UNKNOWN_CLIENTS
 
 
 @dataclass(slots=True, eq=False)
 class Flow:
-    """A client that has calls waiting."""
+    """A client with waiting calls."""
 
     name: str
-    start: float
-    calls: list[tuple[float, float, int, Item]] = field(default_factory=list)  # a heap
+    start_tag: float
+    calls: list[tuple[float, float, int, QueuedCall]] = field(default_factory=list)  # heap
 
 
 @dataclass(slots=True, eq=False)
-class Tenant:
+class TenantQueue:
+    """The waiting calls of one tenant."""
+
     weight: float
-    finish: float = 0.0
-    clock: float = 0.0  # the virtual time among its clients
+    finish_tag: float = 0.0
+    virtual_time: float = 0.0  # among its clients
     waiting: int = 0
     backlog: float = 0.0  # work
     flows: dict[str, Flow] = field(default_factory=dict)
-    order: list[tuple[float, int, Flow]] = field(default_factory=list)  # a heap of flows by start tag
-    firsts: list[tuple[float, int, Item]] = field(default_factory=list)  # those with a promise, by time left
+    flow_heap: list[tuple[float, int, Flow]] = field(default_factory=list)  # by start tag
+    reserved_calls: list[tuple[float, int, QueuedCall]] = field(default_factory=list)  # heap by deadline
 
 
 class FairQueue:
-    """`add`, `take` and `drop` are O(log n) in what waits for one tenant; tenants are few. At `most` calls
-    the victim is the least worth of the tenant that holds most work for its weight, which may be the
-    newcomer."""
-
-    def __init__(self, weights: dict[str, float], most: int, seed: int, usual: float = 0.01) -> None:
-        self.most, self.usual, self.seed = most, usual, seed
-        self.tenants: dict[str, Tenant] = {}
-        self.reweigh(weights)
-        self.clock, self.serial = 0.0, 0
-        self.items: dict[Hashable, Item] = {}
-        self.sketches: dict[str, FinishSketch] = {}
-        self.seen: dict[str, Seen] = {}
+    """`add`, `pop` and `remove` are O(log n) in the calls that wait for one tenant; tenants are few.
+
+    At `max_calls` an addition evicts a call of least worth of the tenant with the most work for its weight.
+    The evicted call may be the one just added.
+    """
+
+    def __init__(
+        self, weights: dict[str, float], max_calls: int, seed: int, default_weight: float = 0.01
+    ) -> None:
+        self.max_calls, self.default_weight, self.seed = max_calls, default_weight, seed
+        self.tenants: dict[str, TenantQueue] = {}
+        self.set_weights(weights)
+        self.virtual_time, self.sequence = 0.0, 0
+        self.calls: dict[Hashable, QueuedCall] = {}
+        self.finish_tags: dict[str, FinishTagSketch] = {}
+        self.recent_clients: dict[str, RecentIds] = {}
 
     def __len__(self) -> int:
-        return len(self.items)
+        return len(self.calls)
 
-    def reweigh(self, weights: dict[str, float]) -> None:
-        """Weights from here on; what waits keeps its place."""
+    def set_weights(self, weights: dict[str, float]) -> None:
+        """Set the weights for calls taken from now on; waiting calls keep their place."""
         for name, weight in weights.items():
-            self.tenant(name).weight = max(weight, 1e-6)
+            self.tenant_queue(name).weight = max(weight, MIN_WEIGHT)
 
-    def tenant(self, name: str) -> Tenant:
-        return self.tenants.setdefault(name, Tenant(self.usual))
+    def tenant_queue(self, name: str) -> TenantQueue:
+        return self.tenants.setdefault(name, TenantQueue(self.default_weight))
 
-    def sketch(self, name: str) -> FinishSketch:
-        """One for each tenant, made when first wanted: their number is bounded by the settings."""
-        if name not in self.sketches:
-            self.sketches[name] = FinishSketch(self.seed)
-        return self.sketches[name]
+    def finish_tag_sketch(self, name: str) -> FinishTagSketch:
+        """Return the tenant's sketch, created on first use. The settings bound the number of tenants."""
+        if name not in self.finish_tags:
+            self.finish_tags[name] = FinishTagSketch(self.seed)
+        return self.finish_tags[name]
 
-    def flow_name(self, item: Item, now: float) -> str:
-        if item.tenant not in self.seen:
-            self.seen[item.tenant] = Seen(self.seed)
-        return item.client if self.seen[item.tenant].add(item.client, now) else NEWCOMERS
+    def flow_name(self, call: QueuedCall, now: float) -> str:
+        if call.tenant not in self.recent_clients:
+            self.recent_clients[call.tenant] = RecentIds(self.seed)
+        return call.client if self.recent_clients[call.tenant].add(call.client, now) else UNKNOWN_CLIENTS
 
-    def add(self, item: Item, now: float) -> Item | None:
-        """The victim, where there was no room: the item itself or another, which is dropped."""
-        item.flow = self.flow_name(item, now)
+    def add(self, call: QueuedCall, now: float) -> QueuedCall | None:
+        """Queue the call. Return the evicted call if the queue was full: this one or another."""
+        call.flow = self.flow_name(call, now)
         victim = None
-        if len(self.items) >= self.most:
-            victim = self.victim(item)
-            if victim is item:
-                return item
-            self.drop(victim.key)
-        t = self.tenant(item.tenant)
-        self.serial += 1
-        self.items[item.key] = item
-        if not t.waiting:
-            t.finish = max(t.finish, self.clock)
-        t.waiting += 1
-        t.backlog += item.cost
-        if item.first:
-            heappush(t.firsts, (item.due, self.serial, item))
+        if len(self.calls) >= self.max_calls:
+            victim = self.choose_victim(call)
+            if victim is call:
+                return call
+            self.remove(victim.key)
+        tenant = self.tenant_queue(call.tenant)
+        self.sequence += 1
+        self.calls[call.key] = call
+        if not tenant.waiting:
+            tenant.finish_tag = max(tenant.finish_tag, self.virtual_time)
+        tenant.waiting += 1
+        tenant.backlog += call.cost
+        if call.reserved:
+            heappush(tenant.reserved_calls, (call.deadline, self.sequence, call))
             return victim
-        flow = t.flows.get(item.flow)
+        flow = tenant.flows.get(call.flow)
         if flow is None:
-            start = max(t.clock, self.sketch(item.tenant).get(item.flow))
-            flow = t.flows[item.flow] = Flow(item.flow, start)
-            heappush(t.order, (start, self.serial, flow))
-        heappush(flow.calls, (-item.worth, item.due, self.serial, item))
+            start_tag = max(tenant.virtual_time, self.finish_tag_sketch(call.tenant).get(call.flow))
+            flow = tenant.flows[call.flow] = Flow(call.flow, start_tag)
+            heappush(tenant.flow_heap, (start_tag, self.sequence, flow))
+        heappush(flow.calls, (-call.worth_per_work, call.deadline, self.sequence, call))
         return victim
 
-    def victim(self, newcomer: Item) -> Item:
+    def choose_victim(self, newcomer: QueuedCall) -> QueuedCall:
+        """Choose the call to evict: of the tenant with the most work for its weight, of that tenant's busiest
+        client, so that a client that floods evicts its own calls."""
         loads = {name: t.backlog / t.weight for name, t in self.tenants.items() if t.waiting}
-        own = self.tenant(newcomer.tenant)
+        own = self.tenant_queue(newcomer.tenant)
         loads[newcomer.tenant] = (own.backlog + newcomer.cost) / own.weight
-        worst = max(loads, key=loads.__getitem__)
-        held = [i for i in self.items.values() if i.tenant == worst and not i.first]
-        if worst == newcomer.tenant:
-            held.insert(0, newcomer)  # among equals the newcomer leaves, not one that has waited
-        # of its busiest client: one that floods pushes out its own
+        busiest = max(loads, key=loads.__getitem__)
+        candidates = [c for c in self.calls.values() if c.tenant == busiest and not c.reserved]
+        if busiest == newcomer.tenant:
+            candidates.insert(0, newcomer)  # among equals the newcomer is evicted, not a call that has waited
         counts: dict[str, int] = {}
-        for each in held:
-            counts[each.flow] = counts.get(each.flow, 0) + 1
-        return min(held or [newcomer], key=lambda i: (-counts.get(i.flow, 0), i.worth, -i.due))
-
-    def drop(self, key: Hashable) -> Item | None:
-        """It waits no longer: withdrawn, or answered. What is left of it in a heap is passed over."""
-        if (item := self.items.pop(key, None)) is None:
+        for candidate in candidates:
+            counts[candidate.flow] = counts.get(candidate.flow, 0) + 1
+        return min(
+            candidates or [newcomer], key=lambda c: (-counts.get(c.flow, 0), c.worth_per_work, -c.deadline)
+        )
+
+    def remove(self, key: Hashable) -> QueuedCall | None:
+        """Take a call out of the queue. Its heap entry is marked and skipped later."""
+        if (call := self.calls.pop(key, None)) is None:
             return None
-        t = self.tenants[item.tenant]
-        item.gone = True
-        t.waiting -= 1
-        t.backlog = t.backlog - item.cost if t.waiting else 0.0
-        flow = t.flows.get(item.flow)
-        if flow is not None and not item.first and len(flow.calls) > 32 and flow.calls[0][3].gone:
-            flow.calls = [c for c in flow.calls if not c[3].gone]
+        tenant = self.tenants[call.tenant]
+        call.removed = True
+        tenant.waiting -= 1
+        tenant.backlog = tenant.backlog - call.cost if tenant.waiting else 0.0
+        flow = tenant.flows.get(call.flow)
+        if (
+            flow is not None
+            and not call.reserved
+            and len(flow.calls) > COMPACTION_THRESHOLD
+            and flow.calls[0][3].removed
+        ):
+            flow.calls = [c for c in flow.calls if not c[3].removed]
             heapify(flow.calls)
-        return item
+        return call
 
-    def take(self) -> Item | None:
-        """The call that goes next, taken out."""
-        if not self.items:
+    def pop(self) -> QueuedCall | None:
+        """Take out the call that is served next."""
+        if not self.calls:
             return None
-        backlogged = [(max(t.finish, 0.0), name) for name, t in self.tenants.items() if t.waiting]
-        start, name = min(backlogged)
-        t = self.tenants[name]
-        item = self.first_of(t) or self.of_clients(name, t)
-        self.clock = max(self.clock, start)
-        t.finish = start + item.cost / t.weight
-        self.drop(item.key)
-        return item
-
-    def first_of(self, t: Tenant) -> Item | None:
-        while t.firsts:
-            item = heappop(t.firsts)[2]
-            if not item.gone:
-                return item
+        backlogged = [(max(t.finish_tag, 0.0), name) for name, t in self.tenants.items() if t.waiting]
+        start_tag, name = min(backlogged)
+        tenant = self.tenants[name]
+        call = self.pop_reserved(tenant) or self.pop_from_flows(name, tenant)
+        self.virtual_time = max(self.virtual_time, start_tag)
+        tenant.finish_tag = start_tag + call.cost / tenant.weight
+        self.remove(call.key)
+        return call
+
+    def pop_reserved(self, tenant: TenantQueue) -> QueuedCall | None:
+        while tenant.reserved_calls:
+            call = heappop(tenant.reserved_calls)[2]
+            if not call.removed:
+                return call
         return None
 
-    def of_clients(self, name: str, t: Tenant) -> Item:
-        """The client that has had least, and of its calls the one worth most."""
+    def pop_from_flows(self, name: str, tenant: TenantQueue) -> QueuedCall:
+        """Take the call of most worth from the client with the least start tag."""
         while True:
-            start, _, flow = heappop(t.order)
-            while flow.calls and flow.calls[0][3].gone:
+            start_tag, _, flow = heappop(tenant.flow_heap)
+            while flow.calls and flow.calls[0][3].removed:
                 heappop(flow.calls)
             if not flow.calls:
-                del t.flows[flow.name]
+                del tenant.flows[flow.name]
                 continue
-            item = heappop(flow.calls)[3]
-            t.clock = max(t.clock, start)
-            flow.start = start + item.cost
-            self.sketch(name).rise(flow.name, flow.start)
-            self.serial += 1
+            call = heappop(flow.calls)[3]
+            tenant.virtual_time = max(tenant.virtual_time, start_tag)
+            flow.start_tag = start_tag + call.cost
+            self.finish_tag_sketch(name).raise_to(flow.name, flow.start_tag)
+            self.sequence += 1
             if flow.calls:
-                heappush(t.order, (flow.start, self.serial, flow))
+                heappush(tenant.flow_heap, (flow.start_tag, self.sequence, flow))
             else:
-                del t.flows[flow.name]
-            return item
-
-    def ahead(self, tenant: str) -> float:
-        """Work that is served before a newcomer of the tenant could be, at its share of what waits."""
-        t = self.tenant(tenant)
-        weights = sum(o.weight for name, o in self.tenants.items() if o.waiting or name == tenant)
-        return t.backlog * weights / t.weight
+                del tenant.flows[flow.name]
+            return call
+
+    def work_ahead(self, name: str) -> float:
+        """Work served before a new call of the tenant, at its share among the waiting tenants."""
+        tenant = self.tenant_queue(name)
+        weights = sum(other.weight for n, other in self.tenants.items() if other.waiting or n == name)
+        return tenant.backlog * weights / tenant.weight
--- a/harrieryoke/door/decide/sketch.py
+++ b/harrieryoke/door/decide/sketch.py
@@ -1,10 +1,4 @@
-"""What is remembered of clients in fixed memory, however many there are.
-
-A table of a few rows of cells; a client has one cell in each row, by a seeded hash, and its value is the
-least of them (as in a count-min sketch with conservative update, Estan and Varghese 2002). The value only
-ever rises, and what lies behind the scheduler's virtual time is worth as much as nothing: that is its
-aging.
-"""
+"""Probabilistic records of clients in fixed memory, whatever their number."""
 
 from __future__ import annotations
 
@@ -13,48 +7,58 @@
 import xxhash
 
 
-class Seen:
-    """Which ids came lately, in two generations of a Bloom filter (Bloom 1970): one that is filled, and the
-    one before it. An id is known for one to two `ages`."""
+class RecentIds:
+    """Recently seen ids, in two generations of a Bloom filter (Bloom 1970): the one being filled, and the one
+    before it. An id is remembered for one to two generations."""
 
-    def __init__(self, seed: int, age_ms: float = 60_000.0, bits: int = 1 << 19) -> None:
-        self.seed, self.age, self.bits = seed, age_ms, bits
-        self.young, self.old, self.since = bytearray(bits // 8), bytearray(bits // 8), 0.0
+    def __init__(self, seed: int, generation_ms: float = 60_000.0, bits: int = 1 << 19) -> None:
+        self.seed, self.generation_ms, self.bits = seed, generation_ms, bits
+        self.current, self.previous, self.current_start = bytearray(bits // 8), bytearray(bits // 8), 0.0
 
-    def places(self, id: str) -> list[int]:
+    def bit_positions(self, id: str) -> list[int]:
         hashed = xxhash.xxh3_128_intdigest(id.encode("utf-8", "replace"), self.seed ^ 1)
         return [(hashed >> (40 * n)) % self.bits for n in range(3)]
 
     def add(self, id: str, now: float) -> bool:
-        """Whether it was known."""
-        if not 0 <= now - self.since < self.age:
-            gap = not 0 <= now - self.since < 2 * self.age
-            self.old = bytearray(self.bits // 8) if gap else self.young
-            self.young, self.since = bytearray(self.bits // 8), now
-        places = self.places(id)
-        known = all(self.young[p >> 3] >> (p & 7) & 1 or self.old[p >> 3] >> (p & 7) & 1 for p in places)
-        for p in places:
-            self.young[p >> 3] |= 1 << (p & 7)
+        """Add the id and return whether it was there before."""
+        if not 0 <= now - self.current_start < self.generation_ms:
+            gap = not 0 <= now - self.current_start < 2 * self.generation_ms
+            self.previous = bytearray(self.bits // 8) if gap else self.current
+            self.current, self.current_start = bytearray(self.bits // 8), now
+        positions = self.bit_positions(id)
+        known = all(
+            self.current[p >> 3] >> (p & 7) & 1 or self.previous[p >> 3] >> (p & 7) & 1 for p in positions
+        )
+        for p in positions:
+            self.current[p >> 3] |= 1 << (p & 7)
         return known
 
 
-class FinishSketch:
-    """The virtual time up to which each client has had its service. A client that shares all its cells with
-    busier ones may be told too much, never too little: it waits a little longer, and gains nothing."""
+class FinishTagSketch:
+    """Upper bounds of the clients' finish tags: a count-min sketch with conservative update (Estan and
+    Varghese 2002).
+
+    Each row has one cell for a client, chosen by a seeded hash; the client's value is the least of its cells.
+    A client that shares all its cells with busier ones gets too high a tag, never too low a one: it waits a
+    little longer and gains nothing. Values only rise and need no aging, because a tag behind the scheduler's
+    virtual time has no effect.
+    """
 
     def __init__(self, seed: int, cells: int = 1 << 14, rows: int = 3) -> None:
         self.seed, self.cells, self.rows = seed, cells, rows
         self.values = [array("d", bytes(8 * cells)) for _ in range(rows)]
 
-    def places(self, client: str) -> list[int]:
-        """Seeded: who does not know the seed can't choose ids that meet in one cell."""
+    def cell_indexes(self, client: str) -> list[int]:
+        """Return the client's cell in each row. The seed is secret, so that nobody can choose ids that
+        collide."""
         hashed = xxhash.xxh3_128_intdigest(client.encode("utf-8", "replace"), self.seed)
         return [(hashed >> (40 * row)) % self.cells for row in range(self.rows)]
 
     def get(self, client: str) -> float:
-        return min(row[place] for row, place in zip(self.values, self.places(client), strict=True))
+        return min(row[cell] for row, cell in zip(self.values, self.cell_indexes(client), strict=True))
 
-    def rise(self, client: str, value: float) -> None:
-        for row, place in zip(self.values, self.places(client), strict=True):
-            if row[place] < value:
-                row[place] = value
+    def raise_to(self, client: str, value: float) -> None:
+        """Raise the client's cells to the value; higher cells stay."""
+        for row, cell in zip(self.values, self.cell_indexes(client), strict=True):
+            if row[cell] < value:
+                row[cell] = value
--- a/harrieryoke/door/settings.py
+++ b/harrieryoke/door/settings.py
@@ -1,4 +1,4 @@
-"""The operator's [door] table."""
+"""The [door] table of the operator's file."""
 
 from __future__ import annotations
 
@@ -6,21 +6,22 @@
 
 
 class DoorError(ValueError):
-    """A key that can't be used; the message begins with its name."""
+    """An invalid value; the message begins with the key's name."""
 
 
 class DoorSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """Fair queues before the module. Times are milliseconds."""
+    """Fair queues before the decision module. Times are milliseconds."""
 
-    queue: int = 2048  # calls that wait; at the bound the least worth of the busiest leaves
-    inside_first: int = 64  # calls handed on and not ended: at the start, and its bounds
+    queue: int = 2048  # waiting calls; at the bound the least worth of the busiest tenant is evicted
+    inside_first: int = 64  # initial limit on the calls in flight; the next two are its bounds
     inside_least: int = 8
     inside_most: int = 4096
-    wait_share: float = 0.45  # of a call's time that it may wait here
-    promises: int = 20_000  # clients that were told when to come back
+    wait_share: float = 0.45  # of the time to a call's deadline that it may wait in the queue
+    promises: int = 20_000  # clients with a reservation to return
 
     def check(self) -> None:
-        for key, least, most in (
+        """Check all values. Raises DoorError."""
+        for key, minimum, maximum in (
             ("queue", 1, 1_000_000),
             ("inside_least", 1, 100_000),
             ("inside_first", self.inside_least, self.inside_most),
@@ -28,5 +29,5 @@
             ("wait_share", 0.01, 0.5),
             ("promises", 0, 1_000_000),
         ):
-            if not least <= getattr(self, key) <= most:
-                raise DoorError(f"door.{key}: {least:g} to {most:g} is wanted")
+            if not minimum <= getattr(self, key) <= maximum:
+                raise DoorError(f"door.{key}: must be between {minimum:g} and {maximum:g}")
--- a/harrieryoke/lab/structures.py
+++ b/harrieryoke/lab/structures.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from ..core.timing_wheel import TimingWheel
-from ..door.decide.fair import FairQueue, Item
+from ..door.decide.fair import FairQueue, QueuedCall
 from .world import TENANTS, resident_mb
 
 IDS, WAITING, OPS = 1_000_000, 1000, 100_000
@@ -31,11 +31,11 @@
     """One add and one take with 1000 waiting: fair queues, a FIFO, a heap by worth."""
     shares = {t.name: t.part for t in TENANTS}
     names, clients = [rng.choices(list(shares), list(shares.values()))[0] for _ in range(997)], 50
-    queue, fifo = FairQueue(shares, 10 * WAITING, 1), deque[Item]()
-    heap = list[tuple[float, float, Item]]()
+    queue, fifo = FairQueue(shares, 10 * WAITING, 1), deque[QueuedCall]()
+    heap = list[tuple[float, float, QueuedCall]]()
 
-    def made(n: int) -> Item:
-        return Item(n, names[n % 997], f"c{n % clients}", 1.0 + n % 3, 1.0, 1e9)
+    def made(n: int) -> QueuedCall:
+        return QueuedCall(n, names[n % 997], f"c{n % clients}", 1.0 + n % 3, 1.0, 1e9)
 
     serial = 0
 
@@ -44,7 +44,7 @@
         serial += 1
         queue.add(made(serial), 0.0)
         if len(queue) > WAITING:
-            queue.take()
+            queue.pop()
 
     def plain(n: int) -> None:
         fifo.append(made(n))
@@ -102,10 +102,10 @@
     """Resident MB of this process after each quarter of a million ids, each with one call."""
     queue, held = FairQueue({t.name: t.part for t in TENANTS}, 1000, 7), list[float]()
     for n in range(IDS):
-        queue.add(Item(n, TENANTS[n % 5].name, f"id-{n:x}", 1.0, 1.0, 1e9), n * 3.6)
+        queue.add(QueuedCall(n, TENANTS[n % 5].name, f"id-{n:x}", 1.0, 1.0, 1e9), n * 3.6)
         if n % 2:
-            queue.take()
-            queue.take()
+            queue.pop()
+            queue.pop()
         if n % (IDS // 4) == IDS // 4 - 1:
             held.append(round(resident_mb(pid), 1))
     return held
--- a/harrieryoke/mqtt/front.py
+++ b/harrieryoke/mqtt/front.py
@@ -1,4 +1,5 @@
-"""The broker's actor: takes triggers, answers each once, and acknowledges only what has its final answer."""
+"""The MQTT front: takes triggers from a broker, answers each once, and acknowledges a message only after its
+final answer."""
 
 from __future__ import annotations
 
@@ -26,12 +27,18 @@
 from ..core.records import Call, CountersRequested
 from ..limits import Limits
 from ..log import Log
-from .memory import Final, KeyMemory
+from .memory import FinalAnswer, KeyCache
 from .triggers import Message, Trigger, TriggerReader
 
+MQTT_5 = "5"
+AT_LEAST_ONCE = 1  # QoS
+LOOP_TIMEOUT_S = 0.2
+MAX_BACKOFF_FACTOR = 5  # a broker is retried less often than the event bus: times its longest back-off
+FLUSH_POLL_S = 0.01
+
 
 class MqttSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The operator's [mqtt] table."""
+    """The [mqtt] table of the operator's file."""
 
     broker: str
     client_id: str = "harrieryoke"
@@ -48,68 +55,78 @@
 
 
 @dataclass(slots=True, eq=False)
-class Taken:
-    """One trigger that was taken. It owes one outcome, and its message one acknowledgement."""
+class ReceivedTrigger:
+    """A message that was taken: it is owed one outcome and one acknowledgement."""
 
     message: Message
     digest: str
-    life: int  # the connection on which it was delivered last
+    connection: int  # number of the connection that delivered it last
     key: str | None = None
     answered: bool = False
-    acked: bool = False
+    acknowledged: bool = False
 
 
 @dataclass(slots=True)
 class Connected:
-    life: int
-    session: bool
+    """The broker accepted a connection."""
+
+    connection: int
+    session_present: bool
 
 
 @dataclass(slots=True)
 class Delivered:
+    """The broker delivered a message."""
+
     message: Message
-    life: int
+    connection: int
 
 
 @dataclass(slots=True)
-class Answered:
+class CallAnswered:
+    """The module gave a call its final answer."""
+
     call: Call
-    final: Final
+    answer: FinalAnswer
 
 
 @dataclass(slots=True)
-class Received:
-    number: int
+class PublishAcknowledged:
+    """The broker confirmed the receipt of an outcome."""
 
+    message_id: int
 
-class Stop:
-    """Take no more; what was taken is answered."""
+
+class StopRequested:
+    """Take no more messages, answer those that were taken, and disconnect."""
 
 
 class BrokerActor(Actor):
-    """The front of one broker. paho is driven by a greenlet of its own, which only posts to the mailbox."""
+    """The front of one broker. A greenlet of its own drives paho and only posts to the mailbox."""
 
     def __init__(
         self,
-        told: MqttSettings,
-        where: tuple[str, int],
+        mqtt_settings: MqttSettings,
+        address: tuple[str, int],
         maker: CallMaker,
         core: ModuleActor,
         limits: Limits,
         log: Log,
     ) -> None:
-        room = told.receive_maximum
-        super().__init__("broker", 2 * room + 64, log, reserve=room + 32)
-        self.told, self.where, self.core, self.limits = told, where, core, limits
-        self.reader = TriggerReader(told.trigger, maker)
-        self.memory: KeyMemory[Taken] = KeyMemory(told.remember_s * 1000, told.remember_bytes, limits.keys)
-        self.credits = Semaphore(room)  # backpressure: so many deliveries are in hand, and no more
-        self.by_mid: dict[int, Taken] = {}
-        self.calls: dict[Call, Taken] = {}
-        self.sent: set[int] = set()  # outcomes that the broker has not confirmed
-        self.life = 0
-        self.lives = 0  # written by the connection's greenlet alone
-        self.inherited = False  # this connection's session comes from an earlier life of the process
+        receive_maximum = mqtt_settings.receive_maximum
+        super().__init__("broker", 2 * receive_maximum + 64, log, reserve=receive_maximum + 32)
+        self.mqtt_settings, self.address, self.core, self.limits = mqtt_settings, address, core, limits
+        self.reader = TriggerReader(mqtt_settings.trigger, maker)
+        self.key_cache: KeyCache[ReceivedTrigger] = KeyCache(
+            mqtt_settings.remember_s * 1000, mqtt_settings.remember_bytes, limits.keys
+        )
+        self.delivery_credits = Semaphore(receive_maximum)  # backpressure: bounds the unanswered deliveries
+        self.by_message_id: dict[int, ReceivedTrigger] = {}
+        self.calls: dict[Call, ReceivedTrigger] = {}
+        self.unconfirmed_outcomes: set[int] = set()  # message ids
+        self.connection = 0
+        self.latest_connection = 0  # written by the connection's greenlet alone
+        self.session_predates_process = False  # the broker kept it from an earlier process
         self.stopping, self.gone = False, Event()
         self.counts = dict.fromkeys(
             ("taken", "served", "refused", "failed", "malformed", "redelivered", "joined", "retained"), 0
@@ -117,90 +134,96 @@
         self.client = self.make_client()
 
     def make_client(self) -> paho.Client:
-        """paho acknowledges nothing by itself: `manual_ack`."""
-        v5 = self.told.version == "5"
-        made = paho.Client(
+        """`manual_ack`: paho acknowledges nothing by itself."""
+        v5 = self.mqtt_settings.version == MQTT_5
+        client = paho.Client(
             CallbackAPIVersion.VERSION2,
-            self.told.client_id,
+            self.mqtt_settings.client_id,
             clean_session=None if v5 else False,
             protocol=paho.MQTTv5 if v5 else paho.MQTTv311,
             reconnect_on_failure=False,
             manual_ack=True,
         )
-        if self.told.username is not None:
-            file = self.told.password_file
-            made.username_pw_set(self.told.username, Path(file).read_text().strip() if file else None)
-        if self.told.ca_file is not None:
-            made.tls_set_context(ssl.create_default_context(cafile=self.told.ca_file))
-        made.max_queued_messages_set(0)
-        made.max_inflight_messages_set(self.told.receive_maximum)
-        made.on_connect, made.on_message, made.on_publish = self.on_connect, self.on_message, self.on_publish
-        return made
-
-    # --- the core's side ---
+        if self.mqtt_settings.username is not None:
+            file = self.mqtt_settings.password_file
+            client.username_pw_set(
+                self.mqtt_settings.username, Path(file).read_text().strip() if file else None
+            )
+        if self.mqtt_settings.ca_file is not None:
+            client.tls_set_context(ssl.create_default_context(cafile=self.mqtt_settings.ca_file))
+        client.max_queued_messages_set(0)
+        client.max_inflight_messages_set(self.mqtt_settings.receive_maximum)
+        client.on_connect, client.on_message, client.on_publish = (
+            self.on_connect,
+            self.on_message,
+            self.on_publish,
+        )
+        return client
+
+    # --- called by the module ---
 
     def served(self, call: Call, body: bytes) -> None:
-        self.try_send(Answered(call, Final("served", body)))
+        self.try_send(CallAnswered(call, FinalAnswer("served", body)))
 
     def refused(self, call: Call, retry_after: float | None) -> None:
-        self.try_send(Answered(call, Final("refused", retry_after=retry_after)))
+        self.try_send(CallAnswered(call, FinalAnswer("refused", retry_after=retry_after)))
 
     def failed(self, call: Call, reason: str) -> None:
-        self.try_send(Answered(call, Final("failed", reason=reason)))
+        self.try_send(CallAnswered(call, FinalAnswer("failed", reason=reason)))
 
     # --- the connection: paho's greenlet ---
 
     def start(self) -> None:
         super().start()
-        spawn(self.log, "broker connection", self.follow, self.gone.set)
+        spawn(self.log, "broker connection", self.run_connection, self.gone.set)
 
-    def follow(self) -> None:
-        """Connects over and over, with growing pauses, until the actor stops."""
-        pause = self.limits.bus_backoff_ms
+    def run_connection(self) -> None:
+        """Keep a connection, with exponential back-off between attempts, until the actor stops."""
+        backoff = self.limits.bus_backoff_ms
         while not self.finished:
-            self.lives += 1
+            self.latest_connection += 1
             try:
                 self.connect()
-                while self.client.loop(0.2) == paho.MQTT_ERR_SUCCESS and not self.finished:
-                    pause = self.limits.bus_backoff_ms
+                while self.client.loop(LOOP_TIMEOUT_S) == paho.MQTT_ERR_SUCCESS and not self.finished:
+                    backoff = self.limits.bus_backoff_ms
                 reason = "lost"
-            except Exception as error:  # paho raises of many kinds on what a broker should not send
+            except Exception as error:  # paho raises many kinds of errors on malformed packets
                 reason = f"{type(error).__name__}: {error}"
             if not self.finished:
-                self.log("broker-lost", f"{self.where[0]}:{self.where[1]}: {reason}")
-                gevent.sleep(pause / 1000)
-                pause = min(2 * pause, 5 * self.limits.bus_backoff_most_ms)
+                self.log("broker-lost", f"{self.address[0]}:{self.address[1]}: {reason}")
+                gevent.sleep(backoff / 1000)
+                backoff = min(2 * backoff, MAX_BACKOFF_FACTOR * self.limits.bus_backoff_most_ms)
 
     def connect(self) -> None:
-        """A session that outlives connections; the broker keeps to the receive maximum."""
-        if self.told.version != "5":
-            self.client.connect(*self.where, keepalive=self.told.keepalive_s)
+        """Connect with a session that outlives the connection, and a receive maximum for the broker."""
+        if self.mqtt_settings.version != MQTT_5:
+            self.client.connect(*self.address, keepalive=self.mqtt_settings.keepalive_s)
             return
         properties = Properties(PacketTypes.CONNECT)  # type: ignore[no-untyped-call]
-        properties.SessionExpiryInterval = self.told.session_expiry_s
-        properties.ReceiveMaximum = self.told.receive_maximum
+        properties.SessionExpiryInterval = self.mqtt_settings.session_expiry_s
+        properties.ReceiveMaximum = self.mqtt_settings.receive_maximum
         self.client.connect(
-            *self.where, keepalive=self.told.keepalive_s, clean_start=False, properties=properties
+            *self.address, keepalive=self.mqtt_settings.keepalive_s, clean_start=False, properties=properties
         )
 
     def on_connect(self, client: paho.Client, data: Any, flags: Any, code: Any, properties: Any) -> None:
         if code.is_failure:
             return self.log("broker-refused", str(code))
-        self.blocking_send(Connected(self.lives, bool(flags.session_present)))
-        if self.told.version == "5":
-            options = SubscribeOptions(qos=1, retainHandling=SubscribeOptions.RETAIN_DO_NOT_SEND)
-            client.subscribe([(f, options) for f in self.reader.filters()])
+        self.blocking_send(Connected(self.latest_connection, bool(flags.session_present)))
+        if self.mqtt_settings.version == MQTT_5:
+            options = SubscribeOptions(qos=AT_LEAST_ONCE, retainHandling=SubscribeOptions.RETAIN_DO_NOT_SEND)
+            client.subscribe([(f, options) for f in self.reader.topic_filters()])
         else:
-            client.subscribe([(f, 1) for f in self.reader.filters()])
+            client.subscribe([(f, AT_LEAST_ONCE) for f in self.reader.topic_filters()])
 
     def on_publish(self, client: paho.Client, data: Any, mid: int, code: Any, properties: Any) -> None:
-        self.blocking_send(Received(mid))
+        self.blocking_send(PublishAcknowledged(mid))
 
     def on_message(self, client: paho.Client, data: Any, m: paho.MQTTMessage) -> None:
-        """Waits for a credit: while the table is full nothing more is read, and the broker keeps it."""
-        self.credits.acquire()
-        told = m.properties
-        named = dict(getattr(told, "UserProperty", []))
+        """Wait for a credit: without one nothing more is read, and the messages stay with the broker."""
+        self.delivery_credits.acquire()
+        properties = m.properties
+        user_properties = dict(getattr(properties, "UserProperty", []))
         message = Message(
             m.topic,
             bytes(m.payload),
@@ -208,158 +231,168 @@
             m.qos,
             m.dup,
             m.retain,
-            getattr(told, "ResponseTopic", None),
-            getattr(told, "CorrelationData", None),
-            getattr(told, "MessageExpiryInterval", None),
-            named,
+            getattr(properties, "ResponseTopic", None),
+            getattr(properties, "CorrelationData", None),
+            getattr(properties, "MessageExpiryInterval", None),
+            user_properties,
             now_ms(),
         )
-        self.blocking_send(Delivered(message, self.lives))
+        self.blocking_send(Delivered(message, self.latest_connection))
 
     # --- the actor ---
 
     def receive(self, message: Any) -> None:
         match message:
-            case Connected(life, session):
-                self.connected(life, session)
-            case Delivered(m, life):
-                self.delivered(m, life)
-            case Answered(call, final):
-                self.answered(call, final)
-            case Received(number):
-                self.sent.discard(number)
-            case CountersRequested(tell):
-                tell(self.counts | {"open": len(self.calls)})
-            case Stop():
+            case Connected(connection, session_present):
+                self.handle_connected(connection, session_present)
+            case Delivered(delivered, connection):
+                self.handle_delivered(delivered, connection)
+            case CallAnswered(call, answer):
+                self.handle_answer(call, answer)
+            case PublishAcknowledged(message_id):
+                self.unconfirmed_outcomes.discard(message_id)
+            case CountersRequested(reply):
+                reply(self.counts | {"open": len(self.calls)})
+            case StopRequested():
                 self.stopping = True
-        # guards against a reset that takes the last outcomes with it: a close with receipts unread is one
-        if self.stopping and not self.calls and not self.sent and not self.mailbox:
-            self.leave()
-
-    def connected(self, life: int, session: bool) -> None:
-        kind = "kept" if session else "new"
-        self.log("broker-connected", f"{self.where[0]}:{self.where[1]}, {kind} session")
-        self.inherited = session and self.life == 0
-        self.life = life
-        if not session:
-            # the broker knows nothing of what it delivered before: its numbers start anew
-            self.by_mid.clear()
-
-    def delivered(self, m: Message, life: int) -> None:
-        """One delivery. It returns its credit at once unless a new call waits for its answer."""
-        digest = m.digest()
-        before = self.by_mid.get(m.mid) if m.qos else None
+        # Closing with unread confirmations would reset the connection, and the last outcomes could be lost.
+        if self.stopping and not self.calls and not self.unconfirmed_outcomes and not self.mailbox:
+            self.disconnect()
+
+    def handle_connected(self, connection: int, session_present: bool) -> None:
+        kind = "kept" if session_present else "new"
+        self.log("broker-connected", f"{self.address[0]}:{self.address[1]}, {kind} session")
+        self.session_predates_process = session_present and self.connection == 0
+        self.connection = connection
+        if not session_present:
+            # A new session numbers its messages from the start.
+            self.by_message_id.clear()
+
+    def handle_delivered(self, message: Message, connection: int) -> None:
+        """Take one delivery. Its credit returns at once unless a new call waits for its answer."""
+        digest = message.digest()
+        earlier = self.by_message_id.get(message.message_id) if message.qos else None
         if self.stopping:
-            self.credits.release()  # not taken and not acknowledged: the broker gives it to the next session
-        elif m.retain:
-            # guards against a call for an old message at every new subscription
+            self.delivery_credits.release()  # unacknowledged: the broker delivers it in the next session
+        elif message.retain:
+            # A retained message would cause a call at every new subscription.
             self.counts["retained"] += 1
-            self.acknowledge(Taken(m, digest, life))
-            self.credits.release()
-        elif m.dup and before is not None and before.digest == digest:
-            # guards against a second answer to what the broker delivers again after a lost connection
+            self.acknowledge(ReceivedTrigger(message, digest, connection))
+            self.delivery_credits.release()
+        elif message.dup and earlier is not None and earlier.digest == digest:
+            # Redelivered after a lost connection: it must not be answered a second time.
             self.counts["redelivered"] += 1
-            before.life, before.acked = life, False
-            if before.answered:
-                self.acknowledge(before)
-            self.credits.release()
+            earlier.connection, earlier.acknowledged = connection, False
+            if earlier.answered:
+                self.acknowledge(earlier)
+            self.delivery_credits.release()
         else:
-            self.take_trigger(Taken(m, digest, life))
+            self.accept_trigger(ReceivedTrigger(message, digest, connection))
 
-    def take_trigger(self, taken: Taken) -> None:
-        m = taken.message
+    def accept_trigger(self, trigger: ReceivedTrigger) -> None:
+        """Turn a new message into a call, or answer it from the cache or with an error."""
+        message = trigger.message
         self.counts["taken"] += 1
-        if m.qos:
-            self.by_mid[m.mid] = taken
+        if message.qos:
+            self.by_message_id[message.message_id] = trigger
         try:
-            call = self.reader.read(m)
+            call = self.reader.read(message)
         except Exception as error:
-            # beside BadCall, guards the actor against what a schema or a payload may raise in its libraries
+            # Not BadCall alone: libraries may raise other errors on a schema or a payload.
             self.counts["malformed"] += 1
-            self.log("bad-trigger", f"{m.topic[:80]}: {type(error).__name__}: {str(error)[:200]}")
-            return self.finish_trigger(taken, Final("failed", reason=str(error)))
-        if call.key is not None and self.known_key(taken, call):
+            self.log("bad-trigger", f"{message.topic[:80]}: {type(error).__name__}: {str(error)[:200]}")
+            return self.finish_trigger(trigger, FinalAnswer("failed", reason=str(error)))
+        if call.key is not None and self.answer_from_cache(trigger, call):
             return
         if call.key is not None:
-            taken.key = self.key_of(call)
-            self.memory.begin(taken.key, now_ms(), taken)
-        self.calls[call] = taken
-        kind = self.reader.maker.settings.classes[call.class_index]
-        if m.dup and self.inherited and kind.effect is not i.Effect.SAFE:
-            # guards against a second effect: an earlier life of this process may have called it, and by now
-            # the rack's window may have passed
-            return self.answered(call, Final("failed", reason="delivered before this start: it may have run"))
+            trigger.key = self.cache_key(call)
+            self.key_cache.begin(trigger.key, now_ms(), trigger)
+        self.calls[call] = trigger
+        settings = self.reader.maker.settings.classes[call.class_index]
+        if message.dup and self.session_predates_process and settings.effect is not i.Effect.SAFE:
+            # An earlier process may have called it, and the rack's deduplication window may have passed.
+            return self.handle_answer(
+                call, FinalAnswer("failed", reason="delivered before this start: it may have run")
+            )
         self.core.offer(call, self)
 
-    def key_of(self, call: Call) -> str:
-        """Under the class's name: a class that was changed is still the gateway's same class."""
+    def cache_key(self, call: Call) -> str:
+        """Prefix the key with the class's name, which stays the same when the class's settings change."""
         return f"{self.reader.maker.settings.classes[call.class_index].name} {call.key}"
 
-    def known_key(self, taken: Taken, call: Call) -> bool:
-        """A key that was called joins its call or gets its answer; after a plain refusal it may be called."""
-        known = self.memory.find(self.key_of(call), now_ms())
-        if known is None:
+    def answer_from_cache(self, trigger: ReceivedTrigger, call: Call) -> bool:
+        """Join the open call of the same key or send its answer, and return whether there was one. A key that
+        was refused may be called again, except by a redelivery."""
+        record = self.key_cache.find(self.cache_key(call), now_ms())
+        if record is None:
             return False
-        if known.final is None:
+        if record.answer is None:
             self.counts["joined"] += 1
-            known.waiting.append(taken)
+            record.waiters.append(trigger)
             return True
-        if known.final.outcome == "refused" and not taken.message.dup:
+        if record.answer.outcome == "refused" and not trigger.message.dup:
             return False
         self.counts["joined"] += 1
-        self.finish_trigger(taken, known.final)
+        self.finish_trigger(trigger, record.answer)
         return True
 
-    def answered(self, call: Call, final: Final) -> None:
-        taken = self.calls.pop(call)
-        for each in [taken] if taken.key is None else self.memory.end(taken.key, now_ms(), final):
-            self.finish_trigger(each, final)
-
-    def finish_trigger(self, taken: Taken, final: Final) -> None:
-        """The one final answer of a taken trigger: told first, acknowledged then."""
-        self.counts[final.outcome] += 1
-        taken.answered = True
-        self.publish(taken.message, final)
-        self.acknowledge(taken)
-        self.credits.release()
-
-    def publish(self, m: Message, final: Final) -> None:
-        topic = self.reader.response_topic(m)
+    def handle_answer(self, call: Call, answer: FinalAnswer) -> None:
+        trigger = self.calls.pop(call)
+        for each in (
+            [trigger] if trigger.key is None else self.key_cache.complete(trigger.key, now_ms(), answer)
+        ):
+            self.finish_trigger(each, answer)
+
+    def finish_trigger(self, trigger: ReceivedTrigger, answer: FinalAnswer) -> None:
+        """Publish the trigger's final answer, then acknowledge its message."""
+        self.counts[answer.outcome] += 1
+        trigger.answered = True
+        self.publish_outcome(trigger.message, answer)
+        self.acknowledge(trigger)
+        self.delivery_credits.release()
+
+    def publish_outcome(self, message: Message, answer: FinalAnswer) -> None:
+        topic = self.reader.response_topic(message)
         if topic is None:
             return
-        told: dict[str, Any] = {"outcome": final.outcome, "topic": m.topic}
-        if final.outcome == "served":
-            told["body"] = base64.b64encode(final.body).decode()
-        if final.reason:
-            told["reason"] = final.reason
-        if final.retry_after:
-            told["retry_after_ms"] = round(final.retry_after)
+        outcome: dict[str, Any] = {"outcome": answer.outcome, "topic": message.topic}
+        if answer.outcome == "served":
+            outcome["body"] = base64.b64encode(answer.body).decode()
+        if answer.reason:
+            outcome["reason"] = answer.reason
+        if answer.retry_after:
+            outcome["retry_after_ms"] = round(answer.retry_after)
         properties = None
-        if self.told.version == "5":
+        if self.mqtt_settings.version == MQTT_5:
             properties = Properties(PacketTypes.PUBLISH)  # type: ignore[no-untyped-call]
-            if m.correlation is not None:
-                properties.CorrelationData = m.correlation
+            if message.correlation_data is not None:
+                properties.CorrelationData = message.correlation_data
         try:
-            self.sent.add(self.client.publish(topic, msgspec.json.encode(told), 1, properties=properties).mid)
+            self.unconfirmed_outcomes.add(
+                self.client.publish(
+                    topic, msgspec.json.encode(outcome), AT_LEAST_ONCE, properties=properties
+                ).mid
+            )
         except ValueError as error:
             self.log("bad-response-topic", f"{topic[:80]}: {error}")
 
-    def acknowledge(self, taken: Taken) -> None:
-        """On the connection that delivered it; else the broker delivers it again and is answered then."""
-        if taken.message.qos and taken.life == self.lives and not taken.acked:
-            taken.acked = True
-            self.client.ack(taken.message.mid, taken.message.qos)
+    def acknowledge(self, trigger: ReceivedTrigger) -> None:
+        """Acknowledge on the connection that delivered the message. If that is lost, the broker delivers it
+        again, and the redelivery is acknowledged."""
+        if trigger.message.qos and trigger.connection == self.latest_connection and not trigger.acknowledged:
+            trigger.acknowledged = True
+            self.client.ack(trigger.message.message_id, trigger.message.qos)
 
-    # --- the end ---
+    # --- shutdown ---
 
     def push_stop(self) -> None:
-        """Takes nothing more, answers what was taken, and leaves the broker in order; `gone` tells."""
-        self.blocking_send(Stop())
-
-    def leave(self) -> None:
-        """Lets what paho still holds go out before the connection ends."""
-        until = now_ms() + self.limits.write_ms
-        while self.client.want_write() and now_ms() < until:
-            gevent.sleep(0.01)
+        """Take no more messages, answer those that were taken, and disconnect; `gone` is set at the end."""
+        self.blocking_send(StopRequested())
+
+    def disconnect(self) -> None:
+        """Wait until paho has sent what it still holds, then end the connection."""
+        deadline = now_ms() + self.limits.write_ms
+        while self.client.want_write() and now_ms() < deadline:
+            gevent.sleep(FLUSH_POLL_S)
         self.finished = True
         self.client.disconnect()
--- a/harrieryoke/mqtt/memory.py
+++ b/harrieryoke/mqtt/memory.py
@@ -1,4 +1,4 @@
-"""Which keys were called, and how that ended: a key redelivered is never called a second time."""
+"""Cache of the final answers of idempotency keys: a redelivered key is never called a second time."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Final:
-    """One final answer."""
+class FinalAnswer:
+    """The final answer of a trigger."""
 
     outcome: str  # served, refused or failed
     body: bytes = b""
@@ -20,49 +20,55 @@
 
 
 @dataclass(slots=True)
-class Known(Generic[W]):
+class KeyRecord(Generic[W]):
     """A key that was called: who waits for its answer, or the answer."""
 
-    at: float
-    waiting: list[W] = field(default_factory=list)
-    final: Final | None = None
+    updated_at: float
+    waiters: list[W] = field(default_factory=list)
+    answer: FinalAnswer | None = None
 
 
-class KeyMemory(Generic[W]):
-    """Answers are kept for `keep_ms` within `most_bytes`; of those beyond, that they were given is kept."""
+class KeyCache(Generic[W]):
+    """Keeps answers for `retention_ms`, and their bodies up to `max_body_bytes`. A key whose body was dropped
+    stays known as answered."""
 
-    def __init__(self, keep_ms: float, most_bytes: int, most: int) -> None:
-        self.keep_ms, self.most_bytes, self.most = keep_ms, most_bytes, most
-        self.known: OrderedDict[str, Known[W]] = OrderedDict()
-        self.bodies: OrderedDict[str, int] = OrderedDict()
-        self.held = 0
+    def __init__(self, retention_ms: float, max_body_bytes: int, max_keys: int) -> None:
+        self.retention_ms, self.max_body_bytes, self.max_keys = retention_ms, max_body_bytes, max_keys
+        self.records: OrderedDict[str, KeyRecord[W]] = OrderedDict()  # least recently updated first
+        self.body_sizes: OrderedDict[str, int] = OrderedDict()
+        self.body_bytes = 0
 
-    def find(self, key: str, now: float) -> Known[W] | None:
-        while self.known:
-            oldest, known = next(iter(self.known.items()))
-            if known.final is None or (now - known.at < self.keep_ms and len(self.known) <= self.most):
+    def find(self, key: str, now: float) -> KeyRecord[W] | None:
+        """Return the key's record, after the expired ones are removed."""
+        while self.records:
+            oldest, record = next(iter(self.records.items()))
+            if record.answer is None or (
+                now - record.updated_at < self.retention_ms and len(self.records) <= self.max_keys
+            ):
                 break
-            self.forget(oldest)
-        return self.known.get(key)
+            self.remove(oldest)
+        return self.records.get(key)
 
     def begin(self, key: str, now: float, waiter: W) -> None:
-        self.forget(key)
-        self.known[key] = Known(now, [waiter])
-
-    def end(self, key: str, now: float, final: Final) -> list[W]:
-        """Keeps the answer; returns those who waited for it."""
-        known = self.known[key]
-        self.known.move_to_end(key)
-        waiting, known.waiting, known.final, known.at = known.waiting, [], final, now
-        self.bodies[key] = len(final.body)
-        self.held += len(final.body)
-        while self.held > self.most_bytes:
-            # guards the process's memory: the oldest body goes, and its key is still not called again
-            old, size = self.bodies.popitem(last=False)
-            self.held -= size
-            self.known[old].final = Final("failed", reason="answered before; that answer is no longer kept")
-        return waiting
-
-    def forget(self, key: str) -> None:
-        if self.known.pop(key, None) is not None:
-            self.held -= self.bodies.pop(key, 0)
+        self.remove(key)
+        self.records[key] = KeyRecord(now, [waiter])
+
+    def complete(self, key: str, now: float, answer: FinalAnswer) -> list[W]:
+        """Keep the answer and return who waited for it."""
+        record = self.records[key]
+        self.records.move_to_end(key)
+        waiters, record.waiters, record.answer, record.updated_at = record.waiters, [], answer, now
+        self.body_sizes[key] = len(answer.body)
+        self.body_bytes += len(answer.body)
+        while self.body_bytes > self.max_body_bytes:
+            # Drops the oldest body to bound the memory; its key stays and is not called again.
+            oldest, size = self.body_sizes.popitem(last=False)
+            self.body_bytes -= size
+            self.records[oldest].answer = FinalAnswer(
+                "failed", reason="answered before; that answer is no longer kept"
+            )
+        return waiters
+
+    def remove(self, key: str) -> None:
+        if self.records.pop(key, None) is not None:
+            self.body_bytes -= self.body_sizes.pop(key, 0)
--- a/harrieryoke/mqtt/triggers.py
+++ b/harrieryoke/mqtt/triggers.py
@@ -1,4 +1,4 @@
-"""What an operator says of triggers, and how a message becomes a call."""
+"""The triggers of the operator's file, and how an MQTT message becomes a call."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from ..core.calls import BadCall, CallMaker
 from ..core.records import Call
 
-PLACE = re.compile(r"\{(\w+)\}")
+PLACEHOLDER = re.compile(r"\{(\w+)\}")
 
 
 class Trigger(msgspec.Struct, forbid_unknown_fields=True, rename={"class_": "class"}):
-    """One kind of trigger. `{name}` in the topic stands for one level; the other texts may use it."""
+    """One kind of trigger. `{name}` in the topic matches one level; the other texts may refer to it."""
 
     topic: str
     class_: str
     function: str = ""  # empty: the plug-in's on_request names it
     tenant: str | None = None
     key: str = "digest"  # "digest", "json NAME" or "property NAME"; used in keyed classes
-    response: str | None = None  # where the outcome goes if the message does not say
+    response: str | None = None  # topic of the outcome if the message names none
     memory_mb: float = 0.0
     lanes: int = 1
     load_ms: float | None = None
@@ -35,51 +35,54 @@
 
 @dataclass(slots=True)
 class Message:
-    """One delivery, as far as the front needs it."""
+    """One delivery of an MQTT message."""
 
     topic: str
     payload: bytes
-    mid: int = 0
+    message_id: int = 0
     qos: int = 0
     dup: bool = False
     retain: bool = False
-    response: str | None = None
-    correlation: bytes | None = None
+    response_topic: str | None = None
+    correlation_data: bytes | None = None
     expiry_s: int | None = None
-    properties: dict[str, str] = field(default_factory=dict)
-    taken: float = 0.0
+    user_properties: dict[str, str] = field(default_factory=dict)
+    received_at: float = 0.0
 
     def digest(self) -> str:
         return blake2b(self.topic.encode() + b"\0" + self.payload, digest_size=16).hexdigest()
 
 
-class Matcher:
-    """A trigger made ready: its topic filter, its pattern and its schema."""
+class TriggerMatcher:
+    """A compiled trigger: its topic filter, topic pattern and payload schema. Raises ValueError; the message
+    begins with the name of the invalid field."""
 
     def __init__(self, trigger: Trigger) -> None:
         self.trigger = trigger
         levels = trigger.topic.split("/")
         if not trigger.topic or any(c in trigger.topic for c in "+#\0"):
-            raise ValueError(f"topic: {trigger.topic!r}: levels are texts or {{name}}")
-        if any("{" in n and not PLACE.fullmatch(n) for n in levels):
-            raise ValueError(f"topic: {trigger.topic!r}: {{name}} stands for a whole level")
-        self.filter = "/".join("+" if PLACE.fullmatch(n) else n for n in levels)
+            raise ValueError(f"topic: {trigger.topic!r}: each level must be a text or {{name}}")
+        if any("{" in n and not PLACEHOLDER.fullmatch(n) for n in levels):
+            raise ValueError(f"topic: {trigger.topic!r}: {{name}} must be a whole level")
+        self.filter = "/".join("+" if PLACEHOLDER.fullmatch(n) else n for n in levels)
         self.pattern = re.compile(
-            "/".join(f"(?P<{m[1]}>[^/]+)" if (m := PLACE.fullmatch(n)) else re.escape(n) for n in levels)
+            "/".join(
+                f"(?P<{m[1]}>[^/]+)" if (m := PLACEHOLDER.fullmatch(n)) else re.escape(n) for n in levels
+            )
         )
-        known = set(PLACE.findall(trigger.topic))
-        for key in ("function", "tenant", "response"):
-            if missing := set(PLACE.findall(getattr(trigger, key) or "")) - known:
-                raise ValueError(f"{key}: the topic has no {{{missing.pop()}}}")
-        how, _, self.key_name = trigger.key.partition(" ")
+        names = set(PLACEHOLDER.findall(trigger.topic))
+        for field_name in ("function", "tenant", "response"):
+            if missing := set(PLACEHOLDER.findall(getattr(trigger, field_name) or "")) - names:
+                raise ValueError(f"{field_name}: the topic has no {{{missing.pop()}}}")
+        key_source, _, self.key_name = trigger.key.partition(" ")
         readers: dict[str, Callable[[Message], str]] = {
             "digest": Message.digest,
-            "json": self.json_key,
-            "property": self.property_key,
+            "json": self.key_from_json,
+            "property": self.key_from_property,
         }
-        if how not in readers or (how == "digest") == bool(self.key_name):
-            raise ValueError(f"key: {trigger.key!r}: 'digest', 'json NAME' or 'property NAME' is wanted")
-        self.key = readers[how]
+        if key_source not in readers or (key_source == "digest") == bool(self.key_name):
+            raise ValueError(f"key: must be 'digest', 'json NAME' or 'property NAME', not {trigger.key!r}")
+        self.read_key = readers[key_source]
         try:
             if trigger.schema is not None:
                 jsonschema.Draft7Validator.check_schema(trigger.schema)
@@ -87,35 +90,38 @@
             raise ValueError(f"schema: {error.message}") from None
         self.validator = None if trigger.schema is None else jsonschema.Draft7Validator(trigger.schema)
 
-    def json_key(self, m: Message) -> str:
+    def key_from_json(self, message: Message) -> str:
         try:
-            fields: dict[str, Any] = msgspec.json.decode(m.payload, type=dict[str, Any])
+            fields: dict[str, Any] = msgspec.json.decode(message.payload, type=dict[str, Any])
             value = fields[self.key_name]
         except (msgspec.MsgspecError, KeyError):
             raise BadCall(f"payload: no field {self.key_name!r} for the key") from None
         return str(value)
 
-    def property_key(self, m: Message) -> str:
-        if self.key_name not in m.properties:
+    def key_from_property(self, message: Message) -> str:
+        if self.key_name not in message.user_properties:
             raise BadCall(f"no user property {self.key_name!r} for the key")
-        return m.properties[self.key_name]
+        return message.user_properties[self.key_name]
 
-    def fill(self, text: str, places: dict[str, str]) -> str:
-        return PLACE.sub(lambda found: places[found[1]], text)
+    def substitute(self, text: str, values: dict[str, str]) -> str:
+        """Return the text with its placeholders replaced by the topic's levels."""
+        return PLACEHOLDER.sub(lambda found: values[found[1]], text)
 
-    def check(self, m: Message) -> None:
+    def validate_payload(self, message: Message) -> None:
+        """Check the payload against the trigger's schema. Raises BadCall."""
         if self.validator is None:
             return
         try:
-            payload = msgspec.json.decode(m.payload)
+            payload = msgspec.json.decode(message.payload)
         except (msgspec.MsgspecError, RecursionError) as error:
             raise BadCall(f"payload: {error}") from None
-        if (wrong := next(self.validator.iter_errors(payload), None)) is not None:
-            raise BadCall(f"payload: {wrong.message[:200]}")
+        if (violation := next(self.validator.iter_errors(payload), None)) is not None:
+            raise BadCall(f"payload: {violation.message[:200]}")
 
 
 class TriggerReader:
-    """All triggers of the operator's file."""
+    """All triggers of the operator's file. Raises ValueError for an invalid one; the message begins with its
+    key."""
 
     def __init__(self, triggers: list[Trigger], maker: CallMaker) -> None:
         self.maker, self.matchers = maker, []
@@ -123,46 +129,51 @@
             try:
                 if trigger.class_ not in maker.classes:
                     raise ValueError(f"class: no class {trigger.class_!r}")
-                self.matchers.append(Matcher(trigger))
+                self.matchers.append(TriggerMatcher(trigger))
             except ValueError as error:
                 raise ValueError(f"mqtt.trigger[{n}].{error}") from None
 
-    def filters(self) -> list[str]:
+    def topic_filters(self) -> list[str]:
         return list(dict.fromkeys(m.filter for m in self.matchers))
 
-    def response_topic(self, m: Message) -> str | None:
-        """Where the outcome goes: as the message says, else as its trigger says."""
-        if m.response:
-            return m.response
+    def response_topic(self, message: Message) -> str | None:
+        """Return the topic of the outcome: the message's response topic, else the one of its trigger."""
+        if message.response_topic:
+            return message.response_topic
         for matcher in self.matchers:
-            if (found := matcher.pattern.fullmatch(m.topic)) and matcher.trigger.response:
-                return matcher.fill(matcher.trigger.response, found.groupdict())
+            if (found := matcher.pattern.fullmatch(message.topic)) and matcher.trigger.response:
+                return matcher.substitute(matcher.trigger.response, found.groupdict())
         return None
 
-    def read(self, m: Message) -> Call:
-        """The call that a message asks for; its deadline is its class's or its own expiry, if sooner."""
+    def read(self, message: Message) -> Call:
+        """Return the call for a message. Raises BadCall."""
         for matcher in self.matchers:
-            if found := matcher.pattern.fullmatch(m.topic):
-                return self.make(matcher, found.groupdict(), m)
+            if found := matcher.pattern.fullmatch(message.topic):
+                return self.make_call(matcher, found.groupdict(), message)
         raise BadCall("no trigger has this topic")
 
-    def make(self, matcher: Matcher, places: dict[str, str], m: Message) -> Call:
-        t = matcher.trigger
-        matcher.check(m)
-        kind = self.maker.settings.classes[self.maker.classes[t.class_]]
-        budget = kind.deadline if m.expiry_s is None else min(kind.deadline, m.expiry_s * 1000.0)
-        extras = {"memory_mb": t.memory_mb, "lanes": float(t.lanes)}
-        extras |= {} if t.load_ms is None else {"load_ms": t.load_ms}
-        keyed = self.maker.keyed(t.class_)
+    def make_call(self, matcher: TriggerMatcher, values: dict[str, str], message: Message) -> Call:
+        """The deadline is that of the class, or the message's expiry if that is sooner."""
+        trigger = matcher.trigger
+        matcher.validate_payload(message)
+        settings = self.maker.settings.classes[self.maker.classes[trigger.class_]]
+        budget = (
+            settings.deadline
+            if message.expiry_s is None
+            else min(settings.deadline, message.expiry_s * 1000.0)
+        )
+        extras = {"memory_mb": trigger.memory_mb, "lanes": float(trigger.lanes)}
+        extras |= {} if trigger.load_ms is None else {"load_ms": trigger.load_ms}
+        keyed = self.maker.keyed(trigger.class_)
         return self.maker.make(
-            t.class_,
+            trigger.class_,
             os.urandom(8).hex(),
-            matcher.fill(t.function, places),
+            matcher.substitute(trigger.function, values),
             budget,
-            m.taken,
-            m.payload,
-            matcher.key(m) if keyed else None,
-            None if t.tenant is None else matcher.fill(t.tenant, places),
+            message.received_at,
+            message.payload,
+            matcher.read_key(message) if keyed else None,
+            None if trigger.tenant is None else matcher.substitute(trigger.tenant, values),
             extras,
-            topic=m.topic,
+            topic=message.topic,
         )
--- a/harrieryoke/operator_file.py
+++ b/harrieryoke/operator_file.py
@@ -1,4 +1,5 @@
-"""The operator's file: read, checked, and what it turns on. The platform gives none and loads none of it."""
+"""The operator's file: reading, checking, and the parts that it enables. The platform's start has no such
+file and loads none of these parts."""
 
 from __future__ import annotations
 
@@ -34,11 +35,11 @@
 from .store.settings import StoreError, StoreSettings
 from .structured import FORMATS, LogSettings, StructuredLog
 
-BUSY = 64  # messages that wait for the module: background work waits too
+BUSY_MAILBOX_MESSAGES = 64  # above so many waiting for the module, background work pauses
 
 
 class OperatorFile(msgspec.Struct, forbid_unknown_fields=True):
-    """What an operator may add; without it only the platform's front is there."""
+    """The tables of the operator's file. Without any, only the platform's front is served."""
 
     mqtt: MqttSettings | None = None
     plugins: PluginsSettings | None = None
@@ -49,11 +50,11 @@
     background: BackgroundSettings = msgspec.field(default_factory=BackgroundSettings)
     ledger: LedgerSettings | None = None
     council: CouncilSettings | None = None
-    asyncapi: str | None = None  # a document that adds triggers
+    asyncapi: str | None = None  # path of a document with more triggers
     limits: dict[str, float] = {}
 
     def check(self, settings: i.Settings, limits: Limits) -> None:
-        """What can only be checked against the platform's configuration."""
+        """Check the tables against the platform's configuration. Raises ConfigError."""
         if self.mqtt is not None:
             check_mqtt(self.mqtt, settings, limits)
         classes = [c.name for c in settings.classes]
@@ -72,7 +73,7 @@
         except (PluginError, DoorError, StoreError, BackgroundError, LedgerError, CouncilError) as error:
             raise ConfigError(str(error)) from None
         if self.log is not None and self.log.format not in FORMATS:
-            raise ConfigError(f"log.format: one of {', '.join(FORMATS)} is wanted, not {self.log.format!r}")
+            raise ConfigError(f"log.format: must be one of {', '.join(FORMATS)}, not {self.log.format!r}")
 
     def make_log(self, name: str, lines_per_s: int) -> Log:
         return Log(name, lines_per_s) if self.log is None else StructuredLog(name, lines_per_s, self.log)
@@ -86,29 +87,29 @@
         log: Log,
         answer: Callable[[str, str, Mapping[str, str]], tuple[int, Any]],
     ) -> Parts:
-        """What the file turns on, made ready. Plug-ins are loaded."""
-        made = Parts()
+        """Return the parts that the file enables, with plug-ins loaded. Raises ConfigError."""
+        parts = Parts()
         if self.mqtt is not None:
-            where = read_address("mqtt.broker", self.mqtt.broker)
-            made.broker = BrokerActor(self.mqtt, where, maker, core, limits, log)
+            address = read_address("mqtt.broker", self.mqtt.broker)
+            parts.broker = BrokerActor(self.mqtt, address, maker, core, limits, log)
         if self.door is not None:
-            made.door = DoorActor(self.door, settings, core, limits, log, secrets.randbits(62))
+            parts.door = DoorActor(self.door, settings, core, limits, log, secrets.randbits(62))
         if self.plugins is not None and self.plugins.use:
             try:
-                made.gate = gate = PluginGate(self.plugins, settings, core, limits, log)
+                parts.gate = gate = PluginGate(self.plugins, settings, core, limits, log)
                 gate.load_all()
             except PluginError as error:
                 raise ConfigError(str(error)) from None
-        turns = None
+        duty_turns = None
         if self.council is not None:
             try:
-                made.council = council = CouncilPart(self.council, log.name, log, secrets.randbits(62))
+                parts.council = council = CouncilPart(self.council, log.name, log, secrets.randbits(62))
             except CouncilError as error:
                 raise ConfigError(str(error)) from None
-            turns = council.turns if DUTY in self.council.duties else None
+            duty_turns = council.turns if DUTY in self.council.duties else None
         if self.ledger is not None:
             try:
-                made.ledger = LedgerPart(
+                parts.ledger = LedgerPart(
                     self.ledger,
                     self.store,
                     self.background,
@@ -117,62 +118,67 @@
                     limits,
                     log,
                     secrets.randbits(62),
-                    lambda: len(core.mailbox) > BUSY,
-                    turns,
+                    lambda: len(core.mailbox) > BUSY_MAILBOX_MESSAGES,
+                    duty_turns,
                 )
             except (LedgerError, StoreError) as error:
                 raise ConfigError(str(error)) from None
         if self.ops is not None:
-            made.ops = OpsServer(read_address("ops.listen", self.ops.listen), answer, limits, log)
-        return made
+            parts.ops = OpsServer(read_address("ops.listen", self.ops.listen), answer, limits, log)
+        return parts
 
-    def renew(self, new: OperatorFile, name: str, made: Parts) -> None:
-        """Of the council's table the members, voters, duties and weight."""
-        if self.council is None or new.council is None or made.council is None:
+    def renew(self, new: OperatorFile, name: str, parts: Parts) -> None:
+        """Apply the reloadable keys: the council's members, voters, duties and weight. Raises ConfigError."""
+        if self.council is None or new.council is None or parts.council is None:
             return
         try:
             self.council = self.council.renewed(new.council, name)
         except CouncilError as error:
             raise ConfigError(str(error)) from None
-        made.council.reload(self.council)
+        parts.council.reload(self.council)
 
 
 def read_operator(path: str) -> OperatorFile:
-    """The operator's TOML file; paths in it are taken from its own folder."""
+    """Read the operator's TOML file. Paths in it are relative to its folder. Raises ConfigError."""
     try:
-        told = msgspec.convert(tomllib.loads(Path(path).read_text()), OperatorFile, strict=False)
+        file = msgspec.convert(tomllib.loads(Path(path).read_text()), OperatorFile, strict=False)
         folder = Path(path).parent
-        for use in [] if told.plugins is None else told.plugins.use:
-            use.path = str(folder / use.path)
-        if told.store is not None:
-            told.store.folder = str(folder / told.store.folder)
-        if told.council is not None:
-            told.council.folder = str(folder / told.council.folder)
-        if told.ledger is not None and (collector := told.ledger.collector) is not None:
+        for plugin in [] if file.plugins is None else file.plugins.use:
+            plugin.path = str(folder / plugin.path)
+        if file.store is not None:
+            file.store.folder = str(folder / file.store.folder)
+        if file.council is not None:
+            file.council.folder = str(folder / file.council.folder)
+        if file.ledger is not None and (collector := file.ledger.collector) is not None:
             for key in ("ca", "certificate", "key"):
                 if getattr(collector, key):
                     setattr(collector, key, str(folder / getattr(collector, key)))
-        if told.asyncapi is not None:
-            if told.mqtt is None:
-                raise ConfigError("asyncapi: triggers need an [mqtt] table")
-            told.mqtt.trigger = told.mqtt.trigger + read_asyncapi(str(folder / told.asyncapi))
+        if file.asyncapi is not None:
+            if file.mqtt is None:
+                raise ConfigError("asyncapi: an [mqtt] table is required")
+            file.mqtt.trigger = file.mqtt.trigger + read_asyncapi(str(folder / file.asyncapi))
     except (OSError, ValueError, msgspec.MsgspecError, DescriptionError) as error:
         raise ConfigError(f"{path}: {error}") from None
-    if told.ops is not None:
-        read_address("ops.listen", told.ops.listen)
-    return told
-
-
-def check_mqtt(told: MqttSettings, settings: i.Settings, limits: Limits) -> None:
-    read_address("mqtt.broker", told.broker)
-    if told.version not in ("5", "3.1.1"):
-        raise ConfigError(f"mqtt.version: '5' or '3.1.1' is wanted, not {told.version!r}")
-    for key, least, most in (("receive_maximum", 1, 4096), ("keepalive_s", 5, 65535), ("remember_s", 7, 1e6)):
-        if not least <= getattr(told, key) <= most:
-            raise ConfigError(f"mqtt.{key}: {least} to {most} is wanted")
-    if not told.trigger:
-        raise ConfigError("mqtt.trigger: at least one is needed")
+    if file.ops is not None:
+        read_address("ops.listen", file.ops.listen)
+    return file
+
+
+def check_mqtt(mqtt: MqttSettings, settings: i.Settings, limits: Limits) -> None:
+    """Raises ConfigError."""
+    read_address("mqtt.broker", mqtt.broker)
+    if mqtt.version not in ("5", "3.1.1"):
+        raise ConfigError(f"mqtt.version: must be '5' or '3.1.1', not {mqtt.version!r}")
+    for key, minimum, maximum in (
+        ("receive_maximum", 1, 4096),
+        ("keepalive_s", 5, 65535),
+        ("remember_s", 7, 1e6),
+    ):
+        if not minimum <= getattr(mqtt, key) <= maximum:
+            raise ConfigError(f"mqtt.{key}: must be between {minimum} and {maximum}")
+    if not mqtt.trigger:
+        raise ConfigError("mqtt.trigger: at least one is required")
     try:
-        TriggerReader(told.trigger, CallMaker(settings, limits))
+        TriggerReader(mqtt.trigger, CallMaker(settings, limits))
     except ValueError as error:
         raise ConfigError(str(error)) from None
--- a/harrieryoke/ops.py
+++ b/harrieryoke/ops.py
@@ -1,9 +1,9 @@
-"""The operators' HTTP: health and counters. Off unless the operator's file gives it an address."""
+"""The operators' HTTP interface. Off unless the operator's file has an address for it."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
-from typing import Any
+from typing import Any, NamedTuple
 from urllib.parse import parse_qsl
 
 import gevent
@@ -15,26 +15,30 @@
 from .limits import Limits
 from .log import Log
 
+BACKLOG = 16  # connections that the kernel accepts ahead of the listener
+ACCEPT_RETRY_S = 0.05
+READ_BYTES = 4096
+
 
 class OpsSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The operator's [ops] table."""
+    """The [ops] table of the operator's file."""
 
     listen: str
 
 
-COUNTERS = {"type": "object", "additionalProperties": {"type": "integer", "minimum": 0}}
-HEALTH = {
+COUNTERS_SCHEMA = {"type": "object", "additionalProperties": {"type": "integer", "minimum": 0}}
+HEALTH_SCHEMA = {
     "type": "object",
     "required": ["healthy"],
     "additionalProperties": False,
     "properties": {"healthy": {"type": "boolean"}},
 }
-COUNTS = {
+COUNTS_SCHEMA = {
     "type": "object",
     "required": ["requests", "log"],
-    "properties": {"requests": COUNTERS, "triggers": COUNTERS, "log": COUNTERS},
+    "properties": {"requests": COUNTERS_SCHEMA, "triggers": COUNTERS_SCHEMA, "log": COUNTERS_SCHEMA},
 }
-PLUGINS = {
+PLUGINS_SCHEMA = {
     "type": "object",
     "required": ["plugins", "by_default"],
     "properties": {
@@ -42,22 +46,22 @@
             "type": "array",
             "items": {"type": "object", "required": ["name", "serving", "versions"]},
         },
-        "by_default": COUNTERS,
-        "advice_dropped": COUNTERS,
+        "by_default": COUNTERS_SCHEMA,
+        "advice_dropped": COUNTERS_SCHEMA,
     },
 }
-DOOR = {
+DOOR_SCHEMA = {
     "type": "object",
     "required": ["waiting", "inside", "limit", "counts"],
     "properties": {
-        "waiting": COUNTERS,
+        "waiting": COUNTERS_SCHEMA,
         "inside": {"type": "integer"},
-        "counts": COUNTERS,
-        "promises": COUNTERS,
+        "counts": COUNTERS_SCHEMA,
+        "promises": COUNTERS_SCHEMA,
     },
 }
-LEDGER = {"type": "object", "required": ["instance", "epoch", "periods", "totals", "export"]}
-COUNCIL = {
+LEDGER_SCHEMA = {"type": "object", "required": ["instance", "epoch", "periods", "totals", "export"]}
+COUNCIL_SCHEMA = {
     "type": "object",
     "required": [
         "member",
@@ -73,33 +77,49 @@
         "links",
     ],
 }
-DONE = {"type": "object"}
-BEGUN = {"type": "object", "additionalProperties": {"type": "string"}}
-# path -> its method, what it is for, the statuses it answers with, and the schema of the body
-ROUTES: dict[str, tuple[str, str, tuple[int, ...], dict[str, Any]]] = {
-    "/healthz": ("GET", "whether the invoker takes requests", (200, 503), HEALTH),
-    "/counters": ("GET", "requests, triggers and log lines so far, by kind", (200,), COUNTS),
-    "/door": ("GET", "fair queues: what waits, what is inside, promises", (200, 404), DOOR),
-    "/council": ("GET", "the council: who leads, who votes, who holds which duty", (200, 404), COUNCIL),
-    "/ledger": ("GET", "the ledger: periods, totals, what is exported", (200, 404, 503), LEDGER),
-    "/ledger/close": ("POST", "close and seal the period of ?period=", (200, 400, 404, 503), DONE),
-    "/ledger/correct": (
+DONE_SCHEMA = {"type": "object"}
+SWAP_SCHEMA = {"type": "object", "additionalProperties": {"type": "string"}}
+
+
+class Route(NamedTuple):
+    """One path of the HTTP interface, as it is served and described."""
+
+    method: str
+    summary: str
+    statuses: tuple[int, ...]
+    schema: dict[str, Any]  # of the body
+
+
+ROUTES = {
+    "/healthz": Route("GET", "whether the invoker takes requests", (200, 503), HEALTH_SCHEMA),
+    "/counters": Route("GET", "requests, triggers and log lines so far, by kind", (200,), COUNTS_SCHEMA),
+    "/door": Route("GET", "fair queues: what waits, what is inside, promises", (200, 404), DOOR_SCHEMA),
+    "/council": Route(
+        "GET", "the council: who leads, who votes, who holds which duty", (200, 404), COUNCIL_SCHEMA
+    ),
+    "/ledger": Route("GET", "the ledger: periods, totals, what is exported", (200, 404, 503), LEDGER_SCHEMA),
+    "/ledger/close": Route(
+        "POST", "close and seal the period of ?period=", (200, 400, 404, 503), DONE_SCHEMA
+    ),
+    "/ledger/correct": Route(
         "POST",
         "bring ?id= to ?calls=&worth=&took=&held= with a ?reason=",
         (200, 400, 404, 503),
-        DONE,
+        DONE_SCHEMA,
     ),
-    "/ledger/reconcile": (
+    "/ledger/reconcile": Route(
         "POST",
         "reconcile ?period= with the collector; what came of the last ones",
         (200, 400, 404, 503),
-        DONE,
+        DONE_SCHEMA,
+    ),
+    "/ledger/again": Route(
+        "POST", "try the batch ?epoch=&batch= that was set aside", (200, 400, 404, 503), DONE_SCHEMA
     ),
-    "/ledger/again": ("POST", "try the batch ?epoch=&batch= that was set aside", (200, 400, 404, 503), DONE),
-    "/plugins": ("GET", "plug-ins, their versions and figures", (200, 404), PLUGINS),
-    "/plugins/swap": ("POST", "read plug-ins anew: the one of ?name=, or all", (202, 404), BEGUN),
+    "/plugins": Route("GET", "plug-ins, their versions and figures", (200, 404), PLUGINS_SCHEMA),
+    "/plugins/swap": Route("POST", "read plug-ins anew: the one of ?name=, or all", (202, 404), SWAP_SCHEMA),
 }
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     202: "Accepted",
     400: "Bad Request",
@@ -109,8 +129,8 @@
 }
 
 
-class Request:
-    """What httptools finds in one request."""
+class RequestParser:
+    """Receives the path and the end of one request from httptools."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpRequestParser(self)
@@ -123,17 +143,18 @@
         self.done = True
 
 
-Answering = Callable[[str, str, Mapping[str, str]], tuple[int, Any]]  # method, path, query -> status, body
+# method, path, query -> status, body
+RequestHandler = Callable[[str, str, Mapping[str, str]], tuple[int, Any]]
 
 
 class OpsServer:
-    """One connection, one answer: each is a greenlet that asks and shares nothing."""
+    """Serves one request for each connection, in a greenlet of its own."""
 
-    def __init__(self, where: tuple[str, int], answer: Answering, limits: Limits, log: Log) -> None:
-        self.where, self.respond, self.limits, self.log = where, answer, limits, log
+    def __init__(self, address: tuple[str, int], handler: RequestHandler, limits: Limits, log: Log) -> None:
+        self.address, self.handler, self.limits, self.log = address, handler, limits, log
 
     def start(self) -> None:
-        sock = socket.create_server(self.where, backlog=16)
+        sock = socket.create_server(self.address, backlog=BACKLOG)
         spawn(self.log, "ops listener", lambda: self.accept(sock))
 
     def accept(self, listening: socket.socket) -> None:
@@ -142,7 +163,7 @@
                 sock, _ = listening.accept()
             except OSError as error:
                 self.log("accept-failed", f"ops: {error}")
-                gevent.sleep(0.05)
+                gevent.sleep(ACCEPT_RETRY_S)
                 continue
             spawn(self.log, "ops", lambda sock=sock: self.serve(sock))  # type: ignore[misc]
 
@@ -150,21 +171,22 @@
         with sock:
             sock.settimeout(self.limits.write_ms / 1000)
             try:
-                status, body = self.read(sock)
+                status, body = self.handle_request(sock)
                 data = msgspec.json.encode(body)
                 head = (
-                    f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: application/json\r\n"
+                    f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\nContent-Type: application/json\r\n"
                     f"Content-Length: {len(data)}\r\nConnection: close\r\n\r\n"
                 )
                 sock.sendall(head.encode() + data)
             except OSError as error:
                 self.log("ops-lost", str(error))
 
-    def read(self, sock: socket.socket) -> tuple[int, Any]:
-        request, size = Request(), 0
+    def handle_request(self, sock: socket.socket) -> tuple[int, Any]:
+        """Read one request and return the status and the body of its answer."""
+        request, size = RequestParser(), 0
         try:
             while not request.done:
-                data = sock.recv(4096)
+                data = sock.recv(READ_BYTES)
                 size += len(data)
                 if not data or size > self.limits.header_bytes:
                     return 400, {"error": "not a whole request"}
@@ -174,7 +196,7 @@
         path, _, query = request.path.partition("?")
         if path not in ROUTES:
             return 404, {"error": "no such path"}
-        method = ROUTES[path][0]
+        method = ROUTES[path].method
         if request.parser.get_method() != method.encode():
             return 405, {"error": f"{method} is wanted"}
-        return self.respond(method, path, dict(parse_qsl(query)))
+        return self.handler(method, path, dict(parse_qsl(query)))
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -160,7 +160,7 @@
         callers.append((tenant, caller))
     gevent.sleep(0.2)
     waiting = len(made.waiting)
-    assert 10 <= waiting <= 20 and len(made.inside) == 1
+    assert 10 <= waiting <= 20 and len(made.in_flight) == 1
     refused = [tenant for tenant, caller in callers if caller.answers]
     assert refused and set(refused) == {2} and len(refused) == 199 - waiting
     made.finished = True
@@ -193,8 +193,8 @@
 
     def passes(self, ms: float) -> None:
         self.now += ms
-        self.door.expire(self.now)
-        self.door.pump(self.now)
+        self.door.refuse_expired(self.now)
+        self.door.dispatch(self.now)
 
     def answers(self) -> set[int]:
         return {caller.answers for caller in self.callers.values()}
@@ -213,7 +213,7 @@
         rig.passes(4000.0)
         while rig.core.held:
             rig.end(rig.core.held[0])
-    assert not rig.door.waiting and not rig.door.inside and rig.answers() == {1}
+    assert not rig.door.waiting and not rig.door.in_flight and rig.answers() == {1}
 
 
 def test_after_all_hosts_were_gone_for_3_s_the_door_lets_as_many_in_as_before() -> None:
@@ -223,19 +223,19 @@
         rig.passes(20.0)
         while len(rig.core.held) > 10:
             rig.end(rig.core.held[0])
-    before = rig.door.limit.limit
+    before = rig.door.concurrency_limit.limit
     for _ in range(60):  # nothing ends any more
         rig.call()
         rig.passes(50.0)
     while rig.core.held:
         rig.end(rig.core.held[0], "failed")
-    assert rig.door.limit.limit >= before and rig.door.limit.stalls >= 1
+    assert rig.door.concurrency_limit.limit >= before and rig.door.concurrency_limit.stalls >= 1
     for _ in range(100):
         rig.call()
         rig.passes(20.0)
         while rig.core.held:
             rig.end(rig.core.held[0])
-    assert rig.answers() == {1} and rig.door.limit.limit >= before
+    assert rig.answers() == {1} and rig.door.concurrency_limit.limit >= before
 
 
 def test_what_waited_for_a_load_neither_cuts_the_limit_nor_raises_the_cost() -> None:
@@ -247,7 +247,7 @@
         rig.passes(20.0)
         if len(rig.core.held) > 150:
             rig.end(rig.core.held[0])  # 3 s late
-    assert rig.door.limit.limit >= 40 and rig.door.costs.items() <= costs.items()
+    assert rig.door.concurrency_limit.limit >= 40 and rig.door.costs.items() <= costs.items()
 
 
 class Ear:
@@ -284,9 +284,9 @@
     rig.core.drop = lambda call: bool(dropped.append(call)) or True  # type: ignore[method-assign, func-returns-value]
     rig.door.receive(CallWithdrawn(first))
     rig.door.receive(CallWithdrawn(second))
-    assert dropped == [first] and list(rig.door.inside) == [first] and not rig.door.waiting
+    assert dropped == [first] and list(rig.door.in_flight) == [first] and not rig.door.waiting
     rig.end(first, "withdrawn")
-    assert not rig.door.inside and rig.callers[second].answers == 0
+    assert not rig.door.in_flight and rig.callers[second].answers == 0
 
 
 def test_who_ignores_the_advice_gains_nothing_and_who_keeps_to_it_goes_first() -> None:
@@ -296,10 +296,10 @@
         rig.call(f"other{n}")
     for client in ("honest", "hasty"):
         rig.call(client)
-    promises = {key[1]: seats[0].at for key, seats in rig.door.calendar.promises.items()}  # type: ignore[index]
+    return_times = {key[1]: held[0].return_at for key, held in rig.door.reservations.by_client.items()}  # type: ignore[index]
     hasty_again = rig.call("hasty")
-    assert rig.callers[hasty_again].answers == 1 and rig.door.calendar.counts["early"] >= 1
-    rig.now = promises["honest"]
+    assert rig.callers[hasty_again].answers == 1 and rig.door.reservations.counts["early"] >= 1
+    rig.now = return_times["honest"]
     back = rig.call("honest")
     rig.end(rig.core.held[0])
     assert rig.core.held == [back]  # ahead of all that wait
--- a/tests/test_door_decide.py
+++ b/tests/test_door_decide.py
@@ -9,19 +9,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from harrieryoke.door.decide.calendar import Calendar, Rate
-from harrieryoke.door.decide.fair import FairQueue, Item
-from harrieryoke.door.decide.limit import InsideLimit
-from harrieryoke.door.decide.sketch import FinishSketch, Seen
+from harrieryoke.door.decide.calendar import ReservationBook, ServiceRate
+from harrieryoke.door.decide.fair import FairQueue, QueuedCall
+from harrieryoke.door.decide.limit import ConcurrencyLimit
+from harrieryoke.door.decide.sketch import FinishTagSketch, RecentIds
 
 SHARES = {"sahel": 0.49, "bon": 0.21, "kef": 0.12, "jerba": 0.09, "tozeur": 0.09}
 FUZZ = settings(max_examples=150, deadline=None, derandomize=True)
 
 
-def item(
-    key: int, tenant: str, client: str = "c", cost: float = 1.0, worth: float = 1.0, due: float = 1e6
-) -> Item:
-    return Item(key, tenant, client, cost, worth, due)
+def queued_call(
+    key: int, tenant: str, client: str = "c", cost: float = 1.0, worth: float = 1.0, deadline: float = 1e6
+) -> QueuedCall:
+    return QueuedCall(key, tenant, client, cost, worth, deadline)
 
 
 @FUZZ
@@ -41,14 +41,14 @@
         for tenant in backlogged:
             while waiting[tenant] < 3:
                 key += 1
-                queue.add(item(key, tenant, f"c{rng.randrange(4)}", rng.uniform(0.5, most)), 0.0)
+                queue.add(queued_call(key, tenant, f"c{rng.randrange(4)}", rng.uniform(0.5, most)), 0.0)
                 waiting[tenant] += 1
         if rng.random() < 0.3:
             key += 1
             other = rng.choice(sorted(SHARES))
-            queue.add(item(key, other, f"c{rng.randrange(4)}", rng.uniform(0.5, most)), 0.0)
+            queue.add(queued_call(key, other, f"c{rng.randrange(4)}", rng.uniform(0.5, most)), 0.0)
             waiting[other] += 1
-        taken = queue.take()
+        taken = queue.pop()
         assert taken is not None
         waiting[taken.tenant] -= 1
         got[taken.tenant] += taken.cost
@@ -67,8 +67,8 @@
             for _ in range(int(rate) + (rng.random() < rate % 1)):
                 asked[tenant] += 1
                 client = f"c{rng.randrange(clients)}" if tenant == "kef" else f"c{rng.randrange(3)}"
-                queue.add(item(sum(asked.values()), tenant, client, due=n + 500.0), float(n))
-        if (taken := queue.take()) is not None:
+                queue.add(queued_call(sum(asked.values()), tenant, client, deadline=n + 500.0), float(n))
+        if (taken := queue.pop()) is not None:
             got[taken.tenant] += 1
     return {t: got[t] / asked[t] for t in SHARES}
 
@@ -94,8 +94,8 @@
             for _ in range(int(rate) + (rng.random() < rate % 1)):
                 key += 1
                 asked[tenant] += 1
-                queue.add(item(key, tenant, f"c{rng.randrange(5)}", due=n + 500.0), float(n))
-        if (taken := queue.take()) is not None:
+                queue.add(queued_call(key, tenant, f"c{rng.randrange(5)}", deadline=n + 500.0), float(n))
+        if (taken := queue.pop()) is not None:
             got[taken.tenant] += 1
     assert all(got[t] > 0.97 * asked[t] for t in SHARES if t != "kef")
 
@@ -103,12 +103,12 @@
 def test_a_tenant_long_silent_has_saved_up_nothing() -> None:
     queue = FairQueue({"a": 0.5, "b": 0.5}, 100_000, 1)
     for n in range(5000):
-        queue.add(item(n, "a"), 0.0)
+        queue.add(queued_call(n, "a"), 0.0)
         if n < 4000:
-            queue.take()
+            queue.pop()
     for n in range(1000):
-        queue.add(item(10_000 + n, "b"), 0.0)
-    got = Counter(taken.tenant for _ in range(400) if (taken := queue.take()))
+        queue.add(queued_call(10_000 + n, "b"), 0.0)
+    got = Counter(taken.tenant for _ in range(400) if (taken := queue.pop()))
     assert abs(got["a"] - got["b"]) <= 2
 
 
@@ -119,10 +119,10 @@
     for round_ in range(3000):
         for _ in range(4):
             n += 1
-            queue.add(item(n, "a", "honest"), float(round_))
+            queue.add(queued_call(n, "a", "honest"), float(round_))
             n += 1
-            queue.add(item(n, "a", f"cheat{n}" if cheat[0] == "n" else f"cheat{n % 2}"), float(round_))
-        taken = queue.take()
+            queue.add(queued_call(n, "a", f"cheat{n}" if cheat[0] == "n" else f"cheat{n % 2}"), float(round_))
+        taken = queue.pop()
         assert taken is not None
         got["honest" if taken.client == "honest" else "cheat"] += 1
     # a client is what its front says it is; two addresses are two clients, but a stream of new ids is one
@@ -130,27 +130,29 @@
 
 
 def test_a_million_ids_use_fixed_memory_and_chosen_collisions_do_not_carry_over() -> None:
-    sketch, seen = FinishSketch(seed=1), Seen(seed=1)
-    size = sum(len(row) for row in sketch.values) * 8 + len(seen.young) + len(seen.old)
+    sketch, recent = FinishTagSketch(seed=1), RecentIds(seed=1)
+    size = sum(len(row) for row in sketch.values) * 8 + len(recent.current) + len(recent.previous)
     known = 0
     for n in range(1_000_000 // 20):  # a twentieth of them: each call costs the same
-        known += seen.add(f"id{n}", n * 3.6)
-        sketch.rise(f"id{n}", float(n))
-    assert sum(len(row) for row in sketch.values) * 8 + len(seen.young) + len(seen.old) == size
+        known += recent.add(f"id{n}", n * 3.6)
+        sketch.raise_to(f"id{n}", float(n))
+    assert sum(len(row) for row in sketch.values) * 8 + len(recent.current) + len(recent.previous) == size
     assert known < 500 and size < 600_000
-    meets = [f"x{n}" for n in range(40_000) if sketch.places(f"x{n}")[0] == sketch.places("victim")[0]]
-    other = FinishSketch(seed=2)
-    assert meets and sum(other.places(x)[0] == other.places("victim")[0] for x in meets) <= 1
+    meets = [
+        f"x{n}" for n in range(40_000) if sketch.cell_indexes(f"x{n}")[0] == sketch.cell_indexes("victim")[0]
+    ]
+    other = FinishTagSketch(seed=2)
+    assert meets and sum(other.cell_indexes(x)[0] == other.cell_indexes("victim")[0] for x in meets) <= 1
 
 
 def test_an_id_is_forgotten_after_its_age_and_the_sketch_never_tells_too_little() -> None:
-    seen = Seen(1, age_ms=100.0)
-    assert not seen.add("a", 0.0) and seen.add("a", 150.0) and not seen.add("a", 1000.0)
-    sketch, rng, true = FinishSketch(3, cells=64), random.Random(1), dict[str, float]()
+    recent = RecentIds(1, generation_ms=100.0)
+    assert not recent.add("a", 0.0) and recent.add("a", 150.0) and not recent.add("a", 1000.0)
+    sketch, rng, true = FinishTagSketch(3, cells=64), random.Random(1), dict[str, float]()
     for _ in range(2000):
         name = f"c{rng.randrange(500)}"
         true[name] = true.get(name, 0.0) + rng.random()
-        sketch.rise(name, true[name])
+        sketch.raise_to(name, true[name])
     assert all(sketch.get(name) >= value for name, value in true.items())
 
 
@@ -159,12 +161,12 @@
 def test_what_waits_is_taken_or_dropped_once_and_never_more_than_its_bound(
     play: list[tuple[str, int]],
 ) -> None:
-    queue, inside, n = FairQueue(SHARES, 12, 5), dict[int, Item](), 0
+    queue, inside, n = FairQueue(SHARES, 12, 5), dict[int, QueuedCall](), 0
     for what, pick in play:
         if what == "add":
             n += 1
-            made = Item(
-                n, sorted(SHARES)[pick % 5], f"c{pick % 7}", 1.0 + pick % 3, 1.0, 1e6, first=pick % 9 == 0
+            made = QueuedCall(
+                n, sorted(SHARES)[pick % 5], f"c{pick % 7}", 1.0 + pick % 3, 1.0, 1e6, reserved=pick % 9 == 0
             )
             victim = queue.add(made, 0.0)
             inside[n] = made
@@ -172,9 +174,9 @@
                 assert inside.pop(victim.key) is victim  # type: ignore[call-overload]
         elif what == "drop" and inside:
             key = sorted(inside)[pick % len(inside)]
-            assert queue.drop(key) is inside.pop(key) and queue.drop(key) is None
+            assert queue.remove(key) is inside.pop(key) and queue.remove(key) is None
         elif what == "take":
-            taken = queue.take()
+            taken = queue.pop()
             assert (taken is None) == (not inside)
             if taken is not None:
                 assert inside.pop(taken.key) is taken  # type: ignore[call-overload]
@@ -184,19 +186,19 @@
 
 
 def carry(
-    limit: InsideLimit, capacity: float, seconds: float, start: float, work: float = 200.0
+    limit: ConcurrencyLimit, capacity: float, seconds: float, start: float, work: float = 200.0
 ) -> list[float]:
     """Hosts that run `capacity` calls at a time; more inside only make each other slower. The limit each
     100 ms."""
     now, seen, ends = start, list[float](), list[tuple[float, float]]()
     while now < start + seconds * 1000:
-        for _ in range(limit.room()):
-            limit.enter()
-            took = work * max(1.0, limit.inside / capacity)
+        for _ in range(limit.available()):
+            limit.begin()
+            took = work * max(1.0, limit.in_flight / capacity)
             ends.append((now + took, took))
         for at, took in [e for e in ends if e[0] <= now]:
             ends.remove((at, took))
-            limit.ended(now, took, 1000.0, True)
+            limit.end(now, took, 1000.0, True)
         now += 10.0
         if int(now) % 100 < 10:
             seen.append(limit.limit)
@@ -204,29 +206,29 @@
 
 
 def test_the_limit_finds_what_the_hosts_carry_and_holds_it() -> None:
-    limit = InsideLimit()
+    limit = ConcurrencyLimit()
     steady = carry(limit, capacity=50.0, seconds=120.0, start=0.0)[600:]
     assert 120 < sum(steady) / len(steady) < 260  # 200 inside take 0.8 of the aim
     assert max(steady) < 1.6 * min(steady)
 
 
 def test_after_a_stall_the_limit_is_back_within_seconds() -> None:
-    limit = InsideLimit()
+    limit = ConcurrencyLimit()
     before = carry(limit, 50.0, 60.0, 0.0)[-1]
-    while limit.inside:  # everything ends at once, 4 s late: that tells of the stall, not of too many
-        limit.ended(64_000.0, 4000.0, 1000.0, True)
+    while limit.in_flight:  # everything ends at once, 4 s late: that tells of the stall, not of too many
+        limit.end(64_000.0, 4000.0, 1000.0, True)
     after = carry(limit, 50.0, 5.0, 64_000.0)
     assert after[-1] > 0.7 * before
 
 
 def test_a_class_whose_work_takes_long_is_not_read_as_overload() -> None:
-    limit = InsideLimit(limit=20.0)
+    limit = ConcurrencyLimit(limit=20.0)
     for n in range(2000):
-        limit.inside = 20
-        limit.ended(n * 50.0, 2400.0, 4000.0, True)  # slow, but within its own aim
+        limit.in_flight = 20
+        limit.end(n * 50.0, 2400.0, 4000.0, True)  # slow, but within its own aim
     assert limit.limit > 20.0
-    limit.ended(0.0, 99_999.0, 1.0, False)  # what was withdrawn says nothing
-    assert limit.late == 0.0
+    limit.end(0.0, 99_999.0, 1.0, False)  # what was withdrawn says nothing
+    assert limit.late_share == 0.0
 
 
 @FUZZ
@@ -236,35 +238,35 @@
 def test_no_hint_is_shorter_than_the_wait_and_no_day_holds_more_than_its_room(
     asks: list[tuple[float, float]], per_ms: float
 ) -> None:
-    calendar = Calendar()
+    book = ReservationBook()
     for n, (wait, cost) in enumerate(asks):
-        assert calendar.promise(n, "t", cost, wait, per_ms, 1000.0) >= wait
-    room = calendar.fill * per_ms * calendar.day_ms
-    assert all(held <= max(room, 5.0) + 1e-6 for held in calendar.days.values())
+        assert book.reserve(n, "t", cost, wait, per_ms, 1000.0) >= wait
+    room = book.reservable_share * per_ms * book.interval_ms
+    assert all(held <= max(room, 5.0) + 1e-6 for held in book.reserved_work.values())
 
 
 def test_five_thousand_that_are_told_to_return_do_not_come_as_one_herd() -> None:
-    calendar, per_ms = Calendar(), 0.5
-    hints = [calendar.promise(n, "t", 1.0, 200.0, per_ms, 0.0) for n in range(5000)]
+    book, per_ms = ReservationBook(), 0.5
+    hints = [book.reserve(n, "t", 1.0, 200.0, per_ms, 0.0) for n in range(5000)]
     by_100ms = Counter(int(hint // 100) for hint in hints)
     assert max(by_100ms.values()) <= 0.8 * per_ms * 100 + 1 and min(hints) >= 200.0
 
 
 def test_a_promise_is_one_a_client_kept_once_and_gives_nothing_to_the_early_or_the_late() -> None:
-    calendar = Calendar(seats=1)
-    hint = calendar.promise("c", "t", 1.0, 100.0, 1.0, 0.0)
-    again = calendar.promise("c", "t", 1.0, 50.0, 1.0, 10.0)
-    assert again == pytest.approx(hint - 10.0) and len(calendar.promises) == 1 and len(calendar.days) == 1
-    assert not calendar.returns("c", hint - 10.0)  # early: it keeps its promise and gains nothing
-    assert calendar.returns("c", hint - 1.0) and not calendar.returns("c", hint)
-    calendar.promise("d", "t", 1.0, 100.0, 1.0, 0.0)
-    assert not calendar.returns("d", 10_000.0) and not calendar.days
-    calendar.promise("e", "t", 1.0, 100.0, 1.0, 0.0)
-    calendar.sweep(60_000.0)
-    assert not calendar.promises and not calendar.days and calendar.counts["lapsed"] == 2
-    calendar.promise("f", "t", 1.0, 100.0, 1.0, 60_000.0)
-    calendar.sweep(50_000.0)  # the clock stepped back
-    assert not calendar.promises
+    book = ReservationBook(max_per_client=1)
+    hint = book.reserve("c", "t", 1.0, 100.0, 1.0, 0.0)
+    again = book.reserve("c", "t", 1.0, 50.0, 1.0, 10.0)
+    assert again == pytest.approx(hint - 10.0) and len(book.by_client) == 1 and len(book.reserved_work) == 1
+    assert not book.redeem("c", hint - 10.0)  # early: it keeps its promise and gains nothing
+    assert book.redeem("c", hint - 1.0) and not book.redeem("c", hint)
+    book.reserve("d", "t", 1.0, 100.0, 1.0, 0.0)
+    assert not book.redeem("d", 10_000.0) and not book.reserved_work
+    book.reserve("e", "t", 1.0, 100.0, 1.0, 0.0)
+    book.sweep(60_000.0)
+    assert not book.by_client and not book.reserved_work and book.counts["lapsed"] == 2
+    book.reserve("f", "t", 1.0, 100.0, 1.0, 60_000.0)
+    book.sweep(50_000.0)  # the clock stepped back
+    assert not book.by_client
 
 
 @FUZZ
@@ -278,30 +280,34 @@
     steps: list[tuple[str, str, float]],
 ) -> None:
     """What the days hold is what the seats are: no come, go or lapse leaves a seat taken that nobody has."""
-    calendar, now, told = Calendar(seats=3), 0.0, dict[str, float]()
+    book, now, told = ReservationBook(max_per_client=3), 0.0, dict[str, float]()
     for step, client, value in steps:
         if step == "ask":
-            hint = calendar.promise(client, "t", 5.0, value, 1.0, now)
-            held = calendar.promises[client]
+            hint = book.reserve(client, "t", 5.0, value, 1.0, now)
+            held = book.by_client[client]
             assert hint >= value and len(held) <= 3 and now + hint >= told.get(client, 0.0) - 1e-6
-            told[client] = held[-1].at
+            told[client] = held[-1].return_at
         elif step == "come":
-            before = list(calendar.promises.get(client, []))
-            due = [s for s in before if s.at - calendar.early_ms <= now <= s.at + calendar.grace_ms]
-            assert calendar.returns(client, now) == bool(due)
+            before = list(book.by_client.get(client, []))
+            due = [
+                r
+                for r in before
+                if r.return_at - book.early_tolerance_ms <= now <= r.return_at + book.grace_ms
+            ]
+            assert book.redeem(client, now) == bool(due)
         else:
             now += 5 * value
-        if client not in calendar.promises:
+        if client not in book.by_client:
             told.pop(client, None)
-        seats = [s for held in calendar.promises.values() for s in held]
-        assert sum(calendar.days.values()) == pytest.approx(5.0 * len(seats), abs=1e-3)
+        seats = [s for held in book.by_client.values() for s in held]
+        assert sum(book.reserved_work.values()) == pytest.approx(5.0 * len(seats), abs=1e-3)
 
 
 def test_the_rate_is_what_was_done_while_calls_waited() -> None:
-    rate = Rate(per_ms=0.1)
+    rate = ServiceRate(work_per_ms=0.1)
     for n in range(2000):
-        rate.ended(n * 2.0, 1.0, busy=True)
-    assert rate.per_ms == pytest.approx(0.5, rel=0.05)
+        rate.record(n * 2.0, 1.0, backlogged=True)
+    assert rate.work_per_ms == pytest.approx(0.5, rel=0.05)
     for n in range(2000):
-        rate.ended(4000.0 + n * 100.0, 1.0, busy=False)
-    assert rate.per_ms == pytest.approx(0.5, rel=0.05)
+        rate.record(4000.0 + n * 100.0, 1.0, backlogged=False)
+    assert rate.work_per_ms == pytest.approx(0.5, rel=0.05)
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -10,7 +10,7 @@
 import pytest
 
 from harrieryoke.core.clock import now_ms
-from harrieryoke.mqtt.memory import Final, KeyMemory
+from harrieryoke.mqtt.memory import FinalAnswer, KeyCache
 from harrieryoke.net import frames
 
 from .broker import Broker, Publication, until
@@ -179,19 +179,19 @@
 
 
 def test_the_memory_of_keys_forgets_by_time_and_drops_bodies_by_size() -> None:
-    memory: KeyMemory[str] = KeyMemory(1000.0, 10, 3)
+    memory: KeyCache[str] = KeyCache(1000.0, 10, 3)
     memory.begin("a", 0.0, "w")
-    assert memory.end("a", 1.0, Final("served", b"12345678")) == ["w"]
+    assert memory.complete("a", 1.0, FinalAnswer("served", b"12345678")) == ["w"]
     memory.begin("b", 2.0, "w")
-    memory.end("b", 3.0, Final("served", b"12345678"))
+    memory.complete("b", 3.0, FinalAnswer("served", b"12345678"))
     a, b = memory.find("a", 4.0), memory.find("b", 4.0)
-    assert a and a.final and a.final.outcome == "failed" and b and b.final and b.final.body == b"12345678"
+    assert a and a.answer and a.answer.outcome == "failed" and b and b.answer and b.answer.body == b"12345678"
     assert memory.find("a", 1002.0) is None and memory.find("b", 1002.0) is not None
     for n in range(4):
         memory.begin(f"k{n}", 1002.0, "w")
-        memory.end(f"k{n}", 1002.0, Final("served", b""))
+        memory.complete(f"k{n}", 1002.0, FinalAnswer("served", b""))
     memory.find("k3", 1002.0)
-    assert len(memory.known) == 3
+    assert len(memory.records) == 3
 
 
 class AutoHost:
