--- a/tests/broker.py
+++ b/tests/broker.py
@@ -1,4 +1,4 @@
-"""A loopback MQTT broker as far as one subscriber needs it: sessions, QoS 1, receive maximum; 3.1.1 and 5."""
+"""A loopback MQTT broker for one subscriber, versions 3.1.1 and 5: sessions, QoS 1 and receive maximum."""
 
 from __future__ import annotations
 
@@ -11,8 +11,9 @@
 
 CONNECT, CONNACK, PUBLISH, PUBACK, SUBSCRIBE, SUBACK = 1, 2, 3, 4, 8, 9
 PINGREQ, PINGRESP, DISCONNECT = 12, 13, 14
+# property identifiers
 EXPIRY, RESPONSE, CORRELATION, SESSION_EXPIRY, RECEIVE_MAX, USER = 0x02, 0x08, 0x09, 0x11, 0x21, 0x26
-SIZES = {
+PROPERTY_SIZES = {  # of fixed size
     0x01: 1,
     EXPIRY: 4,
     SESSION_EXPIRY: 4,
@@ -49,15 +50,15 @@
     return bytes([kind << 4 | flags]) + length(len(body)) + body
 
 
-class Cut:
-    """Takes values off the front of a packet."""
+class PacketReader:
+    """Reads values from the start of a packet."""
 
     def __init__(self, data: bytes) -> None:
-        self.data, self.at = data, 0
+        self.data, self.position = data, 0
 
     def take(self, size: int) -> bytes:
-        self.at += size
-        return self.data[self.at - size : self.at]
+        self.position += size
+        return self.data[self.position - size : self.position]
 
     def number(self, size: int) -> int:
         return int.from_bytes(self.take(size))
@@ -75,22 +76,22 @@
                 return value
 
     def properties(self) -> dict[int, bytes]:
-        end, read = self.varint(), {}
-        end += self.at
-        while self.at < end:
+        end, found = self.varint(), {}
+        end += self.position
+        while self.position < end:
             name = self.varint()
             if name == USER:
                 self.text(), self.text()
             elif name == 0x0B:
                 self.varint()
             else:
-                read[name] = self.take(SIZES[name]) if name in SIZES else self.text()
-        return read
+                found[name] = self.take(PROPERTY_SIZES[name]) if name in PROPERTY_SIZES else self.text()
+        return found
 
 
 @dataclass
 class Publication:
-    """One message to the subscriber, or one that it published."""
+    """A message to the subscriber, or one that it published."""
 
     topic: str
     payload: bytes
@@ -102,14 +103,14 @@
 
 
 class Broker:
-    """Single-threaded: `step` does what is possible now. The session outlives connections."""
+    """Single-threaded: `step` does what is possible without blocking. The session outlives connections."""
 
     def __init__(self, version: str = "5") -> None:
         self.v5, self.listening = version == "5", socket.create_server(("127.0.0.1", 0))
         self.listening.setblocking(False)
         self.conn: socket.socket | None = None
-        self.rest, self.subscribed, self.known = bytearray(), False, False
-        self.window, self.mid = 20, 0
+        self.received, self.subscribed, self.known = bytearray(), False, False  # known: a session exists
+        self.receive_maximum, self.mid = 20, 0
         self.queue: deque[Publication] = deque()
         self.unacked: dict[int, Publication] = {}
         self.answers: list[Publication] = []
@@ -125,11 +126,11 @@
         return [self.listening] if self.conn is None else [self.conn]
 
     def drop(self) -> None:
-        """The connection is lost; the session is kept."""
+        """Close the connection without a DISCONNECT and keep the session."""
         if self.conn is not None:
             self.conn.close()
         self.conn, self.subscribed = None, False
-        self.rest.clear()
+        self.received.clear()
 
     def step(self) -> None:
         if self.conn is None:
@@ -142,7 +143,7 @@
         ended = True
         try:
             while data := self.conn.recv(65536):
-                self.rest += data
+                self.received += data
         except BlockingIOError:
             ended = False
         except OSError:
@@ -154,15 +155,15 @@
         self.deliver()
 
     def next_packet(self) -> tuple[int, int, bytes] | None:
-        cut = Cut(bytes(self.rest[:5]))
-        if len(self.rest) < 2 or (len(self.rest) < 5 and self.rest[-1] >= 128):
+        reader = PacketReader(bytes(self.received[:5]))
+        if len(self.received) < 2 or (len(self.received) < 5 and self.received[-1] >= 128):
             return None
-        first = cut.number(1)
-        size = cut.varint()
-        if len(self.rest) < cut.at + size:
+        first = reader.number(1)
+        size = reader.varint()
+        if len(self.received) < reader.position + size:
             return None
-        body = bytes(self.rest[cut.at : cut.at + size])
-        del self.rest[: cut.at + size]
+        body = bytes(self.received[reader.position : reader.position + size])
+        del self.received[: reader.position + size]
         return first >> 4, first & 15, body
 
     def send(self, data: bytes) -> None:
@@ -174,45 +175,47 @@
                 self.drop()
 
     def handle(self, kind: int, flags: int, body: bytes) -> None:
-        cut = Cut(body)
+        reader = PacketReader(body)
         if kind == CONNECT:
-            cut.text()
-            assert cut.number(1) == (5 if self.v5 else 4)
-            clean = bool(cut.number(1) & 2)
-            cut.number(2)
-            told = cut.properties() if self.v5 else {}
-            self.window = int.from_bytes(told.get(RECEIVE_MAX, b"\x00\x14"))
+            reader.text()
+            assert reader.number(1) == (5 if self.v5 else 4)
+            clean = bool(reader.number(1) & 2)
+            reader.number(2)
+            properties = reader.properties() if self.v5 else {}
+            self.receive_maximum = int.from_bytes(properties.get(RECEIVE_MAX, b"\x00\x14"))
             assert not clean, "the session must outlive the connection"
-            assert not self.v5 or int.from_bytes(told[SESSION_EXPIRY]) > 0
+            assert not self.v5 or int.from_bytes(properties[SESSION_EXPIRY]) > 0
             self.send(packet(CONNACK, 0, bytes([int(self.known), 0]) + (b"\x00" if self.v5 else b"")))
             self.known = True
         elif kind == SUBSCRIBE:
-            mid = cut.take(2)
+            mid = reader.take(2)
             if self.v5:
-                cut.properties()
+                reader.properties()
             count = 0
-            while cut.at < len(body):
-                cut.text()
-                assert cut.number(1) & 3 == 1
+            while reader.position < len(body):
+                reader.text()
+                assert reader.number(1) & 3 == 1
                 count += 1
             self.send(packet(SUBACK, 0, mid + (b"\x00" if self.v5 else b"") + b"\x01" * count))
             self.subscribed = True
-            for mid_, told_ in self.unacked.items():
+            for message_id, message in self.unacked.items():
                 self.redelivered += 1
-                self.send(self.encode(told_, mid_, dup=True))
+                self.send(self.encode(message, message_id, dup=True))
         elif kind == PUBACK:
-            mid_ = cut.number(2)
-            assert mid_ in self.unacked, "acknowledged what was not out"
-            del self.unacked[mid_]
+            message_id = reader.number(2)
+            assert message_id in self.unacked, "acknowledged a message that was not in flight"
+            del self.unacked[message_id]
             self.acked += 1
         elif kind == PUBLISH:
-            topic = cut.text().decode()
-            mid_ = cut.number(2)
-            told = cut.properties() if self.v5 else {}
-            if not (flags & 8 and mid_ in self.seen_mids):
-                self.answers.append(Publication(topic, body[cut.at :], correlation=told.get(CORRELATION)))
-            self.seen_mids.add(mid_)
-            self.send(packet(PUBACK, 0, struct.pack(">H", mid_)))
+            topic = reader.text().decode()
+            message_id = reader.number(2)
+            properties = reader.properties() if self.v5 else {}
+            if not (flags & 8 and message_id in self.seen_mids):
+                self.answers.append(
+                    Publication(topic, body[reader.position :], correlation=properties.get(CORRELATION))
+                )
+            self.seen_mids.add(message_id)
+            self.send(packet(PUBACK, 0, struct.pack(">H", message_id)))
         elif kind == PINGREQ:
             self.send(packet(PINGRESP, 0, b""))
         elif kind == DISCONNECT:
@@ -235,8 +238,8 @@
         return packet(PUBLISH, 2 | 8 * dup | int(m.retain), body)
 
     def deliver(self) -> None:
-        """As much as the subscriber's receive maximum lets out."""
-        while self.subscribed and self.queue and len(self.unacked) < self.window:
+        """Deliver as many messages as the subscriber's receive maximum allows."""
+        while self.subscribed and self.queue and len(self.unacked) < self.receive_maximum:
             self.mid = self.mid % 65535 + 1
             while self.mid in self.unacked:
                 self.mid = self.mid % 65535 + 1
@@ -247,10 +250,10 @@
 
 
 def until(done: object, *parts: object, seconds: float = 20.0) -> None:
-    """Steps the parts until `done()`; waits on their sockets, not on the clock."""
+    """Step the parts until `done()`, and wait on their sockets in between."""
     end = time.monotonic() + seconds
     while not done():  # type: ignore[operator]
-        assert time.monotonic() < end, "not done in time"
+        assert time.monotonic() < end, "condition not met in time"
         for part in parts:
             part.step()  # type: ignore[attr-defined]
         with selectors.DefaultSelector() as waiting:
--- a/tests/test_manage.py
+++ b/tests/test_manage.py
@@ -1,4 +1,4 @@
-"""The operators' listener and its figures, against a real invoker with stand-ins for its peers."""
+"""The management listener and its metrics, in a running invoker with emulated peers."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 from .scenario import Scene, run
 
-CALLERS = 40
-WRONG = {
+CONNECTIONS_PER_KIND = 40  # silent ones, and ones with a partial line
+INVALID_COMMANDS = {
     "unknown": (b"dance", "unknown-call"),
     "empty": (b" \r", "empty"),
     "no UTF-8": (b"ready \xff", "not-text"),
@@ -22,12 +22,12 @@
 }
 
 
-@pytest.mark.parametrize("name", WRONG)
-def test_a_wrong_call_is_told_what_to_do(name: str) -> None:
-    line, code = WRONG[name]
-    with pytest.raises(OperatorError) as wrong:
+@pytest.mark.parametrize("name", INVALID_COMMANDS)
+def test_an_invalid_command_is_answered_with_its_error_code(name: str) -> None:
+    line, code = INVALID_COMMANDS[name]
+    with pytest.raises(OperatorError) as caught:
         parse_command(line)
-    assert str(wrong.value).startswith(f"{code} ") and "\n" not in str(wrong.value)
+    assert str(caught.value).startswith(f"{code} ") and "\n" not in str(caught.value)
 
 
 def test_a_connection_carries_one_line_and_is_closed(tmp_path: Path) -> None:
@@ -46,17 +46,17 @@
     )
 
 
-def test_the_figures_are_what_the_peers_saw(tmp_path: Path) -> None:
+def test_the_metrics_match_what_the_peers_saw(tmp_path: Path) -> None:
     scene = Scene(tmp_path, hosts=2)
     try:
         tries = 'invoker_tries{kind="weight-read"}'
-        first = scene.figures()
-        assert first["invoker_pool_size"] == 2 and not any(first[n] for n in first if "pool" not in n)
+        initial = scene.figures()
+        assert initial["invoker_pool_size"] == 2 and not any(initial[n] for n in initial if "pool" not in n)
         scene.play("send c1 call 1 weight-read body=a")
-        host = next(h for h in scene.hosts if heard(scene, h))
+        host = next(h for h in scene.hosts if has_connection(scene, h))
         scene.play(f"expect {host} request body=a")
-        seen = scene.figures()
-        assert seen["invoker_active"] == 1 and seen[tries] == 1
+        metrics = scene.figures()
+        assert metrics["invoker_active"] == 1 and metrics[tries] == 1
         scene.play(f"""
             send {host} ok
             expect c1 1 result
@@ -75,8 +75,8 @@
             send config raw no
             send node HUP
             wait reload-failed""")
-        seen = scene.figures()
-        assert {n: v for n, v in seen.items() if v} == {
+        metrics = scene.figures()
+        assert {n: v for n, v in metrics.items() if v} == {
             'invoker_responses{kind="weight-read",result="ok"}': 1,
             tries: 2,
             'invoker_responses{kind="weight-read",result="errors"}': 1,
@@ -89,22 +89,22 @@
         scene.end()
 
 
-BANNED = """
+CHECK_BANNED = """
     send m1 disable-server h1
     expect m1 done
     send c1 call {n} weight-read budget=250
     expect c1 {n} error -32050
     """
-BACK = "send bus active h1\nwait changed"
-LISTED = {
-    "as before": BACK,
-    "as draining, and back": "send bus leaving h1\nwait changed\n" + BACK,
-    "as gone, and back": "send bus left h1\nwait changed\nexpect h1 end\n" + BACK,
+REACTIVATE = "send bus active h1\nwait changed"
+LIST_CHANGES = {
+    "as before": REACTIVATE,
+    "as draining, and back": "send bus leaving h1\nwait changed\n" + REACTIVATE,
+    "as gone, and back": "send bus left h1\nwait changed\nexpect h1 end\n" + REACTIVATE,
 }
 
 
-@pytest.mark.parametrize("name", LISTED)
-def test_a_host_stays_out_until_it_is_put_back(name: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("name", LIST_CHANGES)
+def test_a_disabled_host_stays_out_until_it_is_enabled(name: str, tmp_path: Path) -> None:
     scene = Scene(tmp_path)
     try:
         scene.play(f"""
@@ -114,15 +114,15 @@
             expect h1 request
             send h1 ok
             expect c1 1 result
-            {BANNED.format(n=2)}
+            {CHECK_BANNED.format(n=2)}
             wait banned h1
             wait changed
             expect bus "from 1"
-            {LISTED[name]}
-            {BANNED.format(n=3).replace("m1", "m2")}""")
+            {LIST_CHANGES[name]}
+            {CHECK_BANNED.format(n=3).replace("m1", "m2")}""")
         time.sleep(0.5)
-        seen = scene.figures()
-        assert (seen["invoker_pool_size"], seen["invoker_pool_ejected"]) == (1, 1)
+        metrics = scene.figures()
+        assert (metrics["invoker_pool_size"], metrics["invoker_pool_ejected"]) == (1, 1)
         scene.play("""
             send m3 enable-server h1
             expect m3 done
@@ -136,8 +136,8 @@
         scene.end()
 
 
-def heard(scene: Scene, host: str) -> bool:
-    """Whether the invoker has connected there; which host a function goes to is the module's choice."""
+def has_connection(scene: Scene, host: str) -> bool:
+    """Whether the invoker connected to the host: the module chooses which host a function goes to."""
     listening = scene.hosts[host].listening
     assert listening is not None
     listening.settimeout(0.5)
@@ -148,28 +148,32 @@
     return True
 
 
-def test_silent_and_half_callers_do_not_delay_the_others(tmp_path: Path) -> None:
+def test_silent_connections_and_partial_lines_do_not_delay_others(tmp_path: Path) -> None:
     scene = Scene(tmp_path)
     host, port = scene.management.split(":")
     try:
-        stay = [socket.create_connection((host, int(port)), 5) for _ in range(2 * CALLERS)]
-        for sock in stay[CALLERS:]:
+        connections = [
+            socket.create_connection((host, int(port)), 5) for _ in range(2 * CONNECTIONS_PER_KIND)
+        ]
+        for sock in connections[CONNECTIONS_PER_KIND:]:
             try:
                 sock.sendall(b"show-")
             except OSError:
-                continue  # closed for a newer one
-        began = time.monotonic()
+                continue  # evicted for a newer one
+        started = time.monotonic()
         assert scene.ask("ready") == ["done ready"] and scene.ask("show-stat")[-1] == "end"
-        assert time.monotonic() - began < 1
-        closed = sum(ended(sock) for sock in stay)
-        assert 2 * CALLERS - 32 <= closed < 2 * CALLERS, "some are closed, and no more than must be"
+        assert time.monotonic() - started < 1
+        closed = sum(is_closed(sock) for sock in connections)
+        assert (
+            2 * CONNECTIONS_PER_KIND - 32 <= closed < 2 * CONNECTIONS_PER_KIND
+        ), "connections are evicted, but only as many as needed"
         time.sleep(4.6)
-        assert all(map(ended, stay))
+        assert all(map(is_closed, connections))
     finally:
         scene.end()
 
 
-def ended(sock: socket.socket) -> bool:
+def is_closed(sock: socket.socket) -> bool:
     sock.settimeout(0.05)
     try:
         return sock.recv(1) == b""
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -1,4 +1,4 @@
-"""MQTT triggers, from the broker's stand-in to the model hosts' and back."""
+"""MQTT triggers in a running invoker, between a test broker and emulated model hosts."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 WEIGHT = f"hives/coop-kef/weight/{FUNCTION}"
 READING = """'{"reading":"r1","kg":41}'"""
 CASES = {
-    "a whole path: the outcome goes to the response topic, and then the message is acknowledged": f"""
+    "served: the outcome goes to the response topic, and then the message is acknowledged": f"""
         send broker {HARVEST} {READING} response=to/me correlation=c-1
         expect h1 request sort=harvest-log asset={FUNCTION} op=r1 body={READING}
         send h1 ok body=noted
         expect broker served to=to/me correlation=c-1 body=noted
         expect broker acked 1""",
-    "a cold host: a miss, an order, and the trigger is sent again there": f"""
+    "a cold host: after a miss and a load order the trigger is sent again there": f"""
         send broker {WEIGHT} 41 response=a
         expect h1 request sort=weight-read op=- body=41
         send h1 miss
@@ -38,7 +38,7 @@
         send h1 ok body=y
         expect broker served body=y
         expect broker acked 1""",
-    "a draining host gets none: refused, told and acknowledged": f"""
+    "a draining host gets no calls: the trigger is refused and acknowledged": f"""
         expect bus 'from 1'
         send bus leaving h1
         wait changed
@@ -51,7 +51,7 @@
         expect broker failed to={HARVEST}/outcome
         expect h1 give-up
         expect broker acked 1""",
-    "an error of a keyed class goes again with its key": f"""
+    "a keyed call is retried with its key after an error": f"""
         send broker {HARVEST} {READING}
         expect h1 request op=r1
         send h1 error
@@ -73,7 +73,7 @@
         expect broker acked 5
         send broker {HARVEST} {READING}
         expect h1 request op=r1""",
-    "a subscriber that reconnects: what is open is joined, not called again": f"""
+    "after a reconnect a redelivery joins its open call": f"""
         send broker {HARVEST} {READING} correlation=c
         expect h1 request op=r1
         close broker
@@ -84,7 +84,7 @@
         expect broker acked 1
         send broker {HARVEST} '{{"reading":"r2"}}'
         expect h1 request op=r2""",
-    "an answer given while the broker was away is told after it, and the repeat only acknowledged": f"""
+    "an answer during a lost connection is published after it, and the redelivery only acknowledged": f"""
         send broker {WEIGHT} 41 response=a
         expect h1 request
         close broker
@@ -95,7 +95,7 @@
         expect broker served body=once
         send broker {WEIGHT} 42 response=a
         expect h1 request body=42""",
-    "the same key while its call is open joins it": f"""
+    "a second message with the key of an open call joins it": f"""
         send broker {HARVEST} {READING} correlation=one
         expect h1 request op=r1
         send broker {HARVEST} {READING} correlation=two
@@ -105,21 +105,21 @@
         expect broker acked 2
         send broker {HARVEST} '{{"reading":"r2"}}'
         expect h1 request op=r2""",
-    "delivered in an earlier life: a keyed one may have run and is not called": f"""
+    "delivered to an earlier process: a keyed trigger may have run and is not called": f"""
         send broker {HARVEST} {READING} out=1
         expect broker failed
         expect broker acked 1
         send broker {HARVEST} '{{"reading":"r2"}}'
         expect h1 request op=r2""",
-    "delivered in an earlier life: what may be repeated is called": f"""
+    "delivered to an earlier process: a repeatable trigger is called": f"""
         send broker {WEIGHT} 41 out=1
         expect h1 request body=41""",
-    "a retained message is no trigger": f"""
+    "a retained message is not a trigger": f"""
         send broker {WEIGHT} old retain=1
         expect broker acked 1
         send broker {WEIGHT} new
         expect h1 request body=new""",
-    "SIGTERM: what was taken is answered and acknowledged, the rest stays with the broker": f"""
+    "SIGTERM: triggers already taken are answered and acknowledged, others stay with the broker": f"""
         send broker {WEIGHT} 41 response=a
         expect h1 request
         send node TERM
@@ -137,7 +137,7 @@
 @pytest.mark.parametrize("name", CASES)
 def test_triggers(name: str, version: str, tmp_path: Path) -> None:
     text = CASES[name]
-    if version == "3.1.1":  # no response topic, correlation or expiry on this version: the trigger names one
+    if version == "3.1.1":  # has no response topic, correlation or expiry: the trigger names the topic
         if "expiry" in text:
             pytest.skip("3.1.1 has no message expiry")
         text = re.sub(r" (response|correlation|to)=\S+", "", text)
@@ -148,10 +148,10 @@
 
 
 @pytest.mark.parametrize("window", [6000, 1])
-def test_a_key_redelivered_within_and_after_the_window_gets_the_same_answer_and_no_call(
+def test_a_repeated_key_gets_the_same_answer_without_a_call_within_and_after_the_window(
     window: int, tmp_path: Path
 ) -> None:
-    """With a window of 1 ms the repeat comes after it: the rack would run it a second time."""
+    """With a window of 1 ms the repeat comes too late for the rack to detect it, and would run twice."""
     text = f"""
         send broker {HARVEST} {READING} correlation=one
         expect h1 request op=r1
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize("version", ["5", "3.1.1"])
-def test_a_full_table_leaves_the_rest_with_the_broker(version: str, tmp_path: Path) -> None:
+def test_at_the_receive_maximum_further_messages_stay_with_the_broker(version: str, tmp_path: Path) -> None:
     operator = TEMPLATE.replace('version = "5"', f'version = "{version}"')
     scene = Scene(tmp_path, operator=operator.replace("receive_maximum = 64", "receive_maximum = 1"))
     scene.broker.v5 = version == "5"
@@ -178,33 +178,33 @@
     assert scene.broker.most_unacked == (1 if version == "5" else 2) and "died" not in scene.end()
 
 
-def test_the_memory_of_keys_forgets_by_time_and_drops_bodies_by_size() -> None:
-    memory: KeyCache[str] = KeyCache(1000.0, 10, 3)
-    memory.begin("a", 0.0, "w")
-    assert memory.complete("a", 1.0, FinalAnswer("served", b"12345678")) == ["w"]
-    memory.begin("b", 2.0, "w")
-    memory.complete("b", 3.0, FinalAnswer("served", b"12345678"))
-    a, b = memory.find("a", 4.0), memory.find("b", 4.0)
+def test_the_key_cache_expires_keys_by_time_and_drops_bodies_by_size() -> None:
+    cache: KeyCache[str] = KeyCache(1000.0, 10, 3)
+    cache.begin("a", 0.0, "w")
+    assert cache.complete("a", 1.0, FinalAnswer("served", b"12345678")) == ["w"]
+    cache.begin("b", 2.0, "w")
+    cache.complete("b", 3.0, FinalAnswer("served", b"12345678"))
+    a, b = cache.find("a", 4.0), cache.find("b", 4.0)
     assert a and a.answer and a.answer.outcome == "failed" and b and b.answer and b.answer.body == b"12345678"
-    assert memory.find("a", 1002.0) is None and memory.find("b", 1002.0) is not None
+    assert cache.find("a", 1002.0) is None and cache.find("b", 1002.0) is not None
     for n in range(4):
-        memory.begin(f"k{n}", 1002.0, "w")
-        memory.complete(f"k{n}", 1002.0, FinalAnswer("served", b""))
-    memory.find("k3", 1002.0)
-    assert len(memory.records) == 3
+        cache.begin(f"k{n}", 1002.0, "w")
+        cache.complete(f"k{n}", 1002.0, FinalAnswer("served", b""))
+    cache.find("k3", 1002.0)
+    assert len(cache.records) == 3
 
 
 class AutoHost:
-    """A model host that answers at once: a miss until an order has come, then the request's own body.
+    """A model host that answers at once: a miss before a load order, then the request's own body.
 
-    A machine that gives this process no time for seconds makes it a silent host, which the invoker leaves by
-    a reset and may ask again as the class allows: so a link may end at any time, and a repeat of a key within
-    the rack's window is dropped by the rack, not run."""
+    On a loaded machine this process may get no CPU time for seconds. The invoker then takes the host for
+    silent, resets the connection, and may retry as the class allows. So a connection may end at any time, and
+    a repeat of a key within the rack's window is dropped by the rack instead of run."""
 
     def __init__(self, listening: socket.socket, rack: dict[str, float]) -> None:
         self.listening, self.conns = listening, dict[socket.socket, frames.Decoder]()
         self.loaded: set[str] = set()
-        self.rack = rack  # key -> when it ran; shared by the hosts of one rack
+        self.rack = rack  # key -> when it last ran; shared by the hosts of one rack
         self.repeats = 0  # runs of a key beyond its first
         listening.setblocking(False)
 
@@ -251,7 +251,7 @@
 def test_ten_thousand_triggers_get_exactly_one_final_answer_each(
     version: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """A burst over a full table, with the connection lost in its midst again and again."""
+    """A burst beyond the receive maximum, while the connection is lost ten times."""
     total = 10_000
     broker = Broker(version)
     operator = TEMPLATE.replace('version = "5"', f'version = "{version}"')
@@ -271,14 +271,14 @@
         until(lambda: broker.closed_in_order, broker, *hosts)
     finally:
         log = scene.end()
-    finals: dict[str, int] = {}
+    answers_by_trigger: dict[str, int] = {}
     outcomes: dict[str, int] = {}
     for answer in broker.answers:
-        told = json.loads(answer.payload)
-        outcomes[told["outcome"]] = outcomes.get(told["outcome"], 0) + 1
-        body = json.loads(__import__("base64").b64decode(told["body"])) if "body" in told else {}
+        outcome = json.loads(answer.payload)
+        outcomes[outcome["outcome"]] = outcomes.get(outcome["outcome"], 0) + 1
+        body = json.loads(__import__("base64").b64decode(outcome["body"])) if "body" in outcome else {}
         name = (answer.correlation or b"").decode() or "c" + str(body.get("reading", ""))[1:]
-        finals[name] = finals.get(name, 0) + 1
+        answers_by_trigger[name] = answers_by_trigger.get(name, 0) + 1
     repeats = sum(host.repeats for host in hosts)
     with capsys.disabled():
         print(
@@ -289,6 +289,8 @@
     assert "greenlet-died" not in log, log
     assert len(broker.answers) == total and repeats == 0
     if version == "5" or outcomes == {"served": total}:
-        assert set(finals) == {f"c{n}" for n in range(total)} and set(finals.values()) == {1}
+        assert set(answers_by_trigger) == {f"c{n}" for n in range(total)} and set(
+            answers_by_trigger.values()
+        ) == {1}
     assert broker.most_unacked <= (64 if version == "5" else 20)
     assert broker.connections == 11 and not broker.unacked
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -20,14 +20,14 @@
 from .scenario import FUNCTION, ROOT, SETTINGS, free_address, listener, run, where
 from .test_mqtt import READING, TEMPLATE
 
-HOOK = '[[plugins.use]]\npath = "hooks.star"\non_failure = "{default}"\n'
+PLUGIN_TABLE = '[[plugins.use]]\npath = "hooks.star"\non_failure = "{default}"\n'
 CALL = "send c1 call 1 weight-read body=x\n"
 SERVED = CALL + "expect h1 request body=x\nsend h1 ok body=y\nexpect c1 1 result y"
 REFUSED = CALL + "expect c1 1 error -32050"
 HOOKS = {
     "admits": ("def on_request(r):\n    return 'admit'", "refuse", SERVED),
     "refuses": ("def on_request(r):\n    return 'refuse'", "admit", REFUSED),
-    "refuses one tenant by a figure of its record": (
+    "refuses one tenant by a field of its record": (
         "def on_request(r):\n"
         "    return {'refuse_ms': 5} if r['tenant'] == 'coop-kef' and r['lanes'] == 8 else None",
         "admit",
@@ -39,22 +39,22 @@
         SERVED + "\nwait plugin-failed",
     ),
     "fails, and the default refuses": ("def on_request(r):\n    fail('no')", "refuse", REFUSED),
-    "may not name the function of a platform's call": (
+    "may not name the function of a platform call": (
         "def on_request(r):\n    return {'function': '00000000000000ff'}",
         "refuse",
         REFUSED,
     ),
-    "may not change what it sees": (
+    "may not change its input": (
         "def on_request(r):\n    r['function'] = '00000000000000ff'\n    r['id'] = 'x'",
         "refuse",
         CALL + f"expect h1 request asset={FUNCTION} body=x\nsend h1 ok body=y\nexpect c1 1 result y",
     ),
-    "watches, and a failure of that changes nothing": (
+    "observes outcomes, and its failure changes nothing": (
         "def on_outcome(r, o):\n    fail(o + ' ' + r['class'])",
         "admit",
         SERVED + "\nwait served weight-read",
     ),
-    "is without any hook": ("x = 1", "admit", SERVED),
+    "has no hooks": ("x = 1", "admit", SERVED),
 }
 
 
@@ -62,15 +62,17 @@
 def test_a_hook(name: str, tmp_path: Path) -> None:
     hook, default, text = HOOKS[name]
     (tmp_path / "hooks.star").write_text(hook)
-    run(tmp_path, text, operator=HOOK.format(default=default))
+    run(tmp_path, text, operator=PLUGIN_TABLE.format(default=default))
 
 
-def test_a_hook_names_the_function_of_a_trigger(tmp_path: Path) -> None:
+def test_a_hook_chooses_the_function_of_a_trigger(tmp_path: Path) -> None:
     (tmp_path / "hooks.star").write_text(
         "def on_request(r):\n"
         "    return {'function': '00000000000000ff'} if 'harvest' in r['topic'] else None"
     )
-    operator = TEMPLATE.replace('function = "{model}"', 'function = ""') + HOOK.format(default="refuse")
+    operator = TEMPLATE.replace('function = "{model}"', 'function = ""') + PLUGIN_TABLE.format(
+        default="refuse"
+    )
     run(
         tmp_path,
         f"""
@@ -83,9 +85,9 @@
     )
 
 
-def test_the_log_is_json_where_the_operator_wants_it(tmp_path: Path) -> None:
+def test_the_operator_can_choose_a_json_log(tmp_path: Path) -> None:
     (tmp_path / "hooks.star").write_text("def on_request(r):\n    fail('no')")
-    operator = '[log]\nformat = "json"\n' + HOOK.format(default="admit")
+    operator = '[log]\nformat = "json"\n' + PLUGIN_TABLE.format(default="admit")
     log = run(tmp_path, SERVED + "\nwait plugin-failed", operator=operator)
     lines = [json.loads(line) for line in log.splitlines()]
     (failed,) = [line for line in lines if line["event"] == "plugin-failed"]
@@ -93,7 +95,7 @@
     assert all(line["at"].endswith("Z") and line["level"] == "info" for line in lines)
 
 
-def test_the_operators_http_is_what_its_description_says(tmp_path: Path) -> None:
+def test_the_operators_http_matches_its_openapi_document(tmp_path: Path) -> None:
     ops = free_address()
     text = (
         SERVED
@@ -157,7 +159,7 @@
     )
 
 
-def test_what_describe_prints_is_read_back_as_the_same_triggers(tmp_path: Path) -> None:
+def test_a_written_asyncapi_document_is_read_back_as_the_same_triggers(tmp_path: Path) -> None:
     (tmp_path / "triggers.yaml").write_text(DOCUMENT)
     triggers = read_asyncapi(str(tmp_path / "triggers.yaml"))
     assert [t.topic for t in triggers] == ["hives/{coop}/harvest/{model}"]
@@ -177,7 +179,9 @@
         (("channels:", "channels: ["), "triggers.yaml"),
     ],
 )
-def test_a_wrong_asyncapi_document_is_named(change: tuple[str, str], words: str, tmp_path: Path) -> None:
+def test_an_invalid_asyncapi_document_is_reported(
+    change: tuple[str, str], words: str, tmp_path: Path
+) -> None:
     (tmp_path / "triggers.yaml").write_text(DOCUMENT.replace(*change))
     with pytest.raises(DescriptionError, match=words):
         read_asyncapi(str(tmp_path / "triggers.yaml"))
@@ -213,7 +217,9 @@
         ({}, "no toml", "operator.toml"),
     ],
 )
-def test_a_wrong_key_is_named(changes: dict[str, object], operator: str, key: str, tmp_path: Path) -> None:
+def test_a_configuration_error_names_its_key(
+    changes: dict[str, object], operator: str, key: str, tmp_path: Path
+) -> None:
     (tmp_path / "config.json").write_text(json.dumps(CONFIG | changes))
     (tmp_path / "operator.toml").write_text(operator.replace("BROKER", "127.0.0.1:1883"))
     with pytest.raises(ConfigError, match=key):
@@ -238,7 +244,7 @@
 )
 def test_the_command_line(command: list[str], code: int, words: str, tmp_path: Path) -> None:
     (tmp_path / "config.json").write_text(json.dumps(CONFIG))
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "harrieryoke", *command],
         capture_output=True,
         text=True,
@@ -246,8 +252,8 @@
         check=False,
         env=os.environ | {"RELAY_CONFIG": str(tmp_path / "config.json")},
     )
-    assert done.returncode == code, done.stderr
-    assert words in done.stdout + done.stderr and "Traceback" not in done.stderr
+    assert process.returncode == code, process.stderr
+    assert words in process.stdout + process.stderr and "Traceback" not in process.stderr
 
 
 @pytest.mark.parametrize(
@@ -258,12 +264,14 @@
         ("from harrieryoke.net.hostlist import BusFollower; BusFollower.run = lambda *a: {}[0]", 1, "broken"),
     ],
 )
-def test_without_a_vital_part_it_ends_and_says_so(broken: str, code: int, words: str, tmp_path: Path) -> None:
-    taken = listener()
-    listen = free_address() if broken else where(taken)
+def test_the_process_ends_with_a_reason_when_a_vital_part_fails(
+    broken: str, code: int, words: str, tmp_path: Path
+) -> None:
+    occupied = listener()
+    listen = free_address() if broken else where(occupied)
     (tmp_path / "config.json").write_text(json.dumps(CONFIG | {"listen": listen}))
     script = f"{broken}\nfrom harrieryoke.cli import main\nraise SystemExit(main(['serve']))"
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-c", script],
         capture_output=True,
         text=True,
@@ -272,5 +280,5 @@
         timeout=60,
         env=os.environ | {"RELAY_CONFIG": str(tmp_path / "config.json"), "RELAY_LISTEN": listen},
     )
-    taken.close()
-    assert done.returncode == code and words in done.stderr, done.stderr
+    occupied.close()
+    assert process.returncode == code and words in process.stderr, process.stderr
