--- a/harrieryoke/door/actor.py
+++ b/harrieryoke/door/actor.py
@@ -94,10 +94,11 @@
     # --- called by the fronts and the module ---
 
     def offer(self, call: Call, front: Front) -> bool:
-        # If this actor has ended, the call goes straight to the module.
+        """Queue a call. If this actor has ended, the call goes straight to the module."""
         return self.blocking_send(CallReceived(call, front)) or self.core.admit(call, front)
 
     def withdraw(self, call: Call) -> bool:
+        """Withdraw a call, whether it waits here or was handed on."""
         return self.blocking_send(CallWithdrawn(call)) or self.core.drop(call)
 
     def call_ended(self, call: Call, how: str) -> None:
@@ -108,6 +109,7 @@
     # --- the loop ---
 
     def run(self) -> None:
+        """Run the actor's greenlet."""
         while not self.finished:
             self.wait_for_message(min(self.queue_deadlines.next_time() - self.clock(), MAX_SLEEP_MS))
             self.process_mailbox()
@@ -127,6 +129,7 @@
                 self.core.drop(message.call)
 
     def receive(self, message: Any) -> None:
+        """Handle one message, and dispatch calls once the mailbox is empty."""
         now = self.clock()
         match message:
             case CallReceived(call, front):
@@ -157,9 +160,11 @@
     # --- arrivals and dispatch ---
 
     def tenant_name(self, call: Call) -> str:
+        """Return the name of the call's tenant, or NO_TENANT."""
         return NO_TENANT if call.tenant is None else self.settings.tenants[call.tenant].name
 
     def client_name(self, call: Call) -> str:
+        """Return the id under which the call is queued: a plug-in's label, the client, or the topic."""
         return call.label or call.client or call.topic
 
     def queue_deadline(self, call: Call) -> float:
@@ -223,6 +228,7 @@
             )
 
     def remove(self, call: Call) -> WaitingCall | None:
+        """Take a waiting call out of the queue; None if it does not wait here."""
         each = self.waiting.pop(call, None)
         if each is not None:
             self.queue.remove(call)
@@ -230,6 +236,7 @@
         return each
 
     def refuse_expired(self, now: float) -> None:
+        """Refuse the calls whose time in the queue is over."""
         for call in self.queue_deadlines.expired(now):
             if (each := self.remove(call)) is not None:
                 self.counts["waited-out"] += 1
@@ -264,14 +271,17 @@
     # --- for the operators ---
 
     def push_stop(self, by: float) -> None:
+        """Tell the actor when the process will end at the latest."""
         self.blocking_send(Stopping(by))
 
     def ask_status(self, timeout_ms: float) -> dict[str, Any]:
+        """Return the status as the actor sees it. Called by other greenlets."""
         reply: AsyncResult = AsyncResult()
         self.blocking_send(StatusRequested(reply.set))
         return wait_for_reply(reply, timeout_ms)
 
     def status(self) -> dict[str, Any]:
+        """Return the body of GET /door."""
         waiting = {name: t.waiting for name, t in self.queue.tenants.items() if name != NO_TENANT}
         return {
             "waiting": waiting,
--- a/harrieryoke/door/decide/fair.py
+++ b/harrieryoke/door/decide/fair.py
@@ -87,6 +87,7 @@
             self.tenant_queue(name).weight = max(weight, MIN_WEIGHT)
 
     def tenant_queue(self, name: str) -> TenantQueue:
+        """Return the tenant's queue, created on first use."""
         return self.tenants.setdefault(name, TenantQueue(self.default_weight))
 
     def finish_tag_sketch(self, name: str) -> FinishTagSketch:
@@ -96,6 +97,7 @@
         return self.finish_tags[name]
 
     def flow_name(self, call: QueuedCall, now: float) -> str:
+        """Return the flow of a new call, and remember its client."""
         if call.tenant not in self.recent_clients:
             self.recent_clients[call.tenant] = RecentIds(self.seed)
         return call.client if self.recent_clients[call.tenant].add(call.client, now) else UNKNOWN_CLIENTS
@@ -177,6 +179,7 @@
         return call
 
     def pop_reserved(self, tenant: TenantQueue) -> QueuedCall | None:
+        """Take the call with the earliest deadline among those that returned at their reserved time."""
         while tenant.reserved_calls:
             call = heappop(tenant.reserved_calls)[2]
             if not call.removed:
--- a/harrieryoke/door/decide/limit.py
+++ b/harrieryoke/door/decide/limit.py
@@ -42,6 +42,7 @@
         return max(0, int(self.limit) - self.in_flight)
 
     def begin(self) -> None:
+        """Count a call that is handed on."""
         self.in_flight += 1
 
     def end(self, now: float, duration: float, latency_target: float, informative: bool) -> None:
--- a/harrieryoke/door/decide/sketch.py
+++ b/harrieryoke/door/decide/sketch.py
@@ -16,6 +16,7 @@
         self.current, self.previous, self.current_start = bytearray(bits // 8), bytearray(bits // 8), 0.0
 
     def bit_positions(self, id: str) -> list[int]:
+        """Return the positions of the id's bits in a filter."""
         hashed = xxhash.xxh3_128_intdigest(id.encode("utf-8", "replace"), self.seed ^ 1)
         return [(hashed >> (40 * n)) % self.bits for n in range(3)]
 
@@ -55,6 +56,7 @@
         return [(hashed >> (40 * row)) % self.cells for row in range(self.rows)]
 
     def get(self, client: str) -> float:
+        """Return an upper bound of the client's finish tag."""
         return min(row[cell] for row, cell in zip(self.values, self.cell_indexes(client), strict=True))
 
     def raise_to(self, client: str, value: float) -> None:
--- a/harrieryoke/mqtt/front.py
+++ b/harrieryoke/mqtt/front.py
@@ -163,17 +163,21 @@
     # --- called by the module ---
 
     def served(self, call: Call, body: bytes) -> None:
+        """Answer a call with the body of its result."""
         self.try_send(CallAnswered(call, FinalAnswer("served", body)))
 
     def refused(self, call: Call, retry_after: float | None) -> None:
+        """Answer a refused call, with the ms after which to retry if known."""
         self.try_send(CallAnswered(call, FinalAnswer("refused", retry_after=retry_after)))
 
     def failed(self, call: Call, reason: str) -> None:
+        """Answer a failed call."""
         self.try_send(CallAnswered(call, FinalAnswer("failed", reason=reason)))
 
     # --- the connection: paho's greenlet ---
 
     def start(self) -> None:
+        """Start the actor and the greenlet of the connection."""
         super().start()
         spawn(self.log, "broker connection", self.run_connection, self.gone.set)
 
@@ -207,6 +211,7 @@
         )
 
     def on_connect(self, client: paho.Client, data: Any, flags: Any, code: Any, properties: Any) -> None:
+        """Subscribe to the triggers' topics. Called by paho."""
         if code.is_failure:
             return self.log("broker-refused", str(code))
         self.blocking_send(Connected(self.latest_connection, bool(flags.session_present)))
@@ -217,6 +222,7 @@
             client.subscribe([(f, AT_LEAST_ONCE) for f in self.reader.topic_filters()])
 
     def on_publish(self, client: paho.Client, data: Any, mid: int, code: Any, properties: Any) -> None:
+        """Report a confirmed outcome. Called by paho."""
         self.blocking_send(PublishAcknowledged(mid))
 
     def on_message(self, client: paho.Client, data: Any, m: paho.MQTTMessage) -> None:
@@ -242,6 +248,7 @@
     # --- the actor ---
 
     def receive(self, message: Any) -> None:
+        """Handle one message."""
         match message:
             case Connected(connection, session_present):
                 self.handle_connected(connection, session_present)
@@ -260,6 +267,7 @@
             self.disconnect()
 
     def handle_connected(self, connection: int, session_present: bool) -> None:
+        """Begin a connection."""
         kind = "kept" if session_present else "new"
         self.log("broker-connected", f"{self.address[0]}:{self.address[1]}, {kind} session")
         self.session_predates_process = session_present and self.connection == 0
@@ -337,6 +345,7 @@
         return True
 
     def handle_answer(self, call: Call, answer: FinalAnswer) -> None:
+        """Finish the call's trigger and those that joined it."""
         trigger = self.calls.pop(call)
         for each in (
             [trigger] if trigger.key is None else self.key_cache.complete(trigger.key, now_ms(), answer)
@@ -352,6 +361,7 @@
         self.delivery_credits.release()
 
     def publish_outcome(self, message: Message, answer: FinalAnswer) -> None:
+        """Publish the answer on the response topic, if there is one."""
         topic = self.reader.response_topic(message)
         if topic is None:
             return
--- a/harrieryoke/mqtt/memory.py
+++ b/harrieryoke/mqtt/memory.py
@@ -50,6 +50,7 @@
         return self.records.get(key)
 
     def begin(self, key: str, now: float, waiter: W) -> None:
+        """Record a key that is called now."""
         self.remove(key)
         self.records[key] = KeyRecord(now, [waiter])
 
@@ -70,5 +71,6 @@
         return waiters
 
     def remove(self, key: str) -> None:
+        """Forget a key and its body."""
         if self.records.pop(key, None) is not None:
             self.body_bytes -= self.body_sizes.pop(key, 0)
--- a/harrieryoke/mqtt/triggers.py
+++ b/harrieryoke/mqtt/triggers.py
@@ -50,6 +50,7 @@
     received_at: float = 0.0
 
     def digest(self) -> str:
+        """Return a digest of topic and payload, to recognise a redelivery."""
         return blake2b(self.topic.encode() + b"\0" + self.payload, digest_size=16).hexdigest()
 
 
@@ -91,6 +92,7 @@
         self.validator = None if trigger.schema is None else jsonschema.Draft7Validator(trigger.schema)
 
     def key_from_json(self, message: Message) -> str:
+        """Return the idempotency key from a field of the payload. Raises BadCall."""
         try:
             fields: dict[str, Any] = msgspec.json.decode(message.payload, type=dict[str, Any])
             value = fields[self.key_name]
@@ -99,6 +101,7 @@
         return str(value)
 
     def key_from_property(self, message: Message) -> str:
+        """Return the idempotency key from a user property. Raises BadCall."""
         if self.key_name not in message.user_properties:
             raise BadCall(f"no user property {self.key_name!r} for the key")
         return message.user_properties[self.key_name]
@@ -134,6 +137,7 @@
                 raise ValueError(f"mqtt.trigger[{n}].{error}") from None
 
     def topic_filters(self) -> list[str]:
+        """Return the topic filters to subscribe to, each once."""
         return list(dict.fromkeys(m.filter for m in self.matchers))
 
     def response_topic(self, message: Message) -> str | None:
--- a/harrieryoke/operator_file.py
+++ b/harrieryoke/operator_file.py
@@ -76,6 +76,7 @@
             raise ConfigError(f"log.format: must be one of {', '.join(FORMATS)}, not {self.log.format!r}")
 
     def make_log(self, name: str, lines_per_s: int) -> Log:
+        """Return a log in the format of the [log] table."""
         return Log(name, lines_per_s) if self.log is None else StructuredLog(name, lines_per_s, self.log)
 
     def parts(
--- a/harrieryoke/ops.py
+++ b/harrieryoke/ops.py
@@ -137,9 +137,11 @@
         self.path, self.done = "", False
 
     def on_url(self, url: bytes) -> None:
+        """Append a piece of the URL."""
         self.path += url.decode("latin-1")
 
     def on_message_complete(self) -> None:
+        """Mark the request as complete."""
         self.done = True
 
 
@@ -154,10 +156,12 @@
         self.address, self.handler, self.limits, self.log = address, handler, limits, log
 
     def start(self) -> None:
+        """Start to listen. Raises OSError if the address can't be bound."""
         sock = socket.create_server(self.address, backlog=BACKLOG)
         spawn(self.log, "ops listener", lambda: self.accept(sock))
 
     def accept(self, listening: socket.socket) -> None:
+        """Run the listener's greenlet."""
         while True:
             try:
                 sock, _ = listening.accept()
@@ -168,6 +172,7 @@
             spawn(self.log, "ops", lambda sock=sock: self.serve(sock))  # type: ignore[misc]
 
     def serve(self, sock: socket.socket) -> None:
+        """Run one connection's greenlet."""
         with sock:
             sock.settimeout(self.limits.write_ms / 1000)
             try:
