--- a/harrieryoke/checks.py
+++ b/harrieryoke/checks.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .net.hostlist_model import address
+from .net.hostlist_model import parse_address
 
 
 class ConfigError(ValueError):
@@ -11,6 +11,6 @@
 
 def read_address(key: str, text: str) -> tuple[str, int]:
     try:
-        return address(text)
+        return parse_address(text)
     except ValueError as error:
         raise ConfigError(f"{key}: {error}") from None
--- a/harrieryoke/config.py
+++ b/harrieryoke/config.py
@@ -14,7 +14,7 @@
 from .checks import ConfigError, read_address
 from .core.clock import now_ms, wall_ms
 from .limits import Limits
-from .net.hostlist_model import Known
+from .net.hostlist_model import KnownEvents
 from .parts import Operator
 from .settings import check_figure, read_list, read_settings
 
@@ -45,7 +45,7 @@
     management: str = ""
     seed: str = "0"
     limits: PlatformLimits = msgspec.field(default_factory=PlatformLimits)
-    known: Known = msgspec.field(default_factory=Known)
+    known: KnownEvents = msgspec.field(default_factory=KnownEvents)
 
 
 @dataclass(slots=True)
@@ -57,7 +57,7 @@
     management: tuple[str, int] | None
     seed: int
     bus: tuple[str, int]
-    known: Known
+    known: KnownEvents
     settings: i.Settings
     limits: Limits
     operator: Operator | None
--- a/harrieryoke/net/answers.py
+++ b/harrieryoke/net/answers.py
@@ -6,7 +6,7 @@
 from ..settings import REPORT_NAMES
 from . import frames
 
-ENDS = {
+OUTCOMES = {
     frames.OK: i.Outcome.OK,
     frames.MISS: i.Outcome.MISS,
     frames.FULL: i.Outcome.FULL,
@@ -15,14 +15,14 @@
     frames.HEALTHY: i.Outcome.OK,
     frames.SICK: i.Outcome.ERROR,
 }
-FOUND = {"w": i.CopyLookup.LOADED, "c": i.CopyLookup.STARTED_LOAD, "j": i.CopyLookup.WAITED_FOR_LOAD}
+COPY_LOOKUPS = {"w": i.CopyLookup.LOADED, "c": i.CopyLookup.STARTED_LOAD, "j": i.CopyLookup.WAITED_FOR_LOAD}
 
 
-def number(text: str | None) -> int | None:
+def parse_count(text: str | None) -> int | None:
     return int(text) if text is not None and text.isdecimal() else None
 
 
-def read_report(text: str | None) -> i.LoadReport | None:
+def parse_load_report(text: str | None) -> i.LoadReport | None:
     """The load report of an answer; what can't be read is as absent."""
     values: dict[str, float] = {}
     for pair in text.split(";") if text else []:
--- a/harrieryoke/net/bus_follower.py
+++ b/harrieryoke/net/bus_follower.py
@@ -15,28 +15,28 @@
 from ..log import Log
 from .heartbeats import Heartbeats
 from .hostlist_model import (
-    BusConfirmed,
-    BusSaid,
+    ListConfirmed,
+    EventReceived,
     ListReplaced,
     ListUpdate,
     Snapshot,
     decode_line,
-    read_update,
+    validate_event,
 )
 
 RECV_BYTES = 65536
-LONGEST_LINE = 64  # times `Limits.line_bytes`
+MAX_LINE_FACTOR = 64  # times `Limits.line_bytes`
 
 
 @dataclass(frozen=True, slots=True)
-class Moved:
+class AddressChanged:
     """The bus has another address now."""
 
     where: tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class LineReceived:
     """A line of the bus, on the connection of that number."""
 
     connection: int
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class ConnectionEnded:
     """The connection of that number is over."""
 
     connection: int
@@ -71,7 +71,7 @@
             self.heard = now
         elif now > self.deadline():
             raise ValueError("no whole line in time")
-        if len(partial) > LONGEST_LINE * self.limits.line_bytes:
+        if len(partial) > MAX_LINE_FACTOR * self.limits.line_bytes:
             raise ValueError("a line without end")
         return lines
 
@@ -103,7 +103,7 @@
         last: int,
         limits: Limits,
         log: Log,
-        tell: Callable[[BusSaid | ListReplaced | BusConfirmed], Any],
+        tell: Callable[[EventReceived | ListReplaced | ListConfirmed], Any],
     ) -> None:
         super().__init__("event bus", limits.list_mailbox, log, reserve=limits.list_mailbox // 4)
         self.where, self.last, self.limits, self.tell_list = where, last, limits, tell
@@ -121,7 +121,7 @@
 
     def move(self, where: tuple[str, int]) -> bool:
         """Follows the bus at another address, once the actor comes to it."""
-        return self.blocking_send(Moved(where))
+        return self.blocking_send(AddressChanged(where))
 
     def run(self) -> None:
         """The actor's greenlet."""
@@ -143,7 +143,7 @@
             self.log,
             "event bus reader",
             lambda: self.read(number, where, last, pause),
-            lambda: self.blocking_send(Ended(number, "its reader ended")),
+            lambda: self.blocking_send(ConnectionEnded(number, "its reader ended")),
         )
 
     def read(self, number: int, where: tuple[str, int], last: int, pause: float) -> None:
@@ -157,7 +157,7 @@
             reason = "closed by the bus"
         except (OSError, ValueError) as error:
             reason = str(error)
-        self.blocking_send(Ended(number, reason))
+        self.blocking_send(ConnectionEnded(number, reason))
 
     def read_lines(self, number: int, sock: socket.socket) -> None:
         """Until the bus closes. Raises TimeoutError when it keeps quiet for longer than its second, and
@@ -170,23 +170,23 @@
                 return
             lines = buffer.feed(data, now_ms())
             for line in lines:
-                self.blocking_send(Told(number, line))
+                self.blocking_send(LineReceived(number, line))
             if lines:
                 buffer.resume(now_ms())
 
     def receive(self, message: Any) -> None:
         """One message of the mailbox; those of an earlier connection are dropped."""
         match message:
-            case Moved(where) if where != self.where:
+            case AddressChanged(where) if where != self.where:
                 self.log("bus-moved", f"to {where[0]}:{where[1]}, from event {self.last} on")
                 self.where, self.pause = where, self.limits.bus_backoff_ms
                 self.connect(0.0)
-            case Told(number, line) if number == self.connection:
+            case LineReceived(number, line) if number == self.connection:
                 try:
                     self.line(line)
                 except ValueError as error:
                     self.lost(str(error))
-            case Ended(number, reason) if number == self.connection:
+            case ConnectionEnded(number, reason) if number == self.connection:
                 self.lost(reason)
 
     def lost(self, reason: str) -> None:
@@ -214,14 +214,14 @@
         if now_ms() >= self.steady_at:
             self.pause = self.limits.bus_backoff_ms
 
-    def event(self, said: BusSaid) -> None:
+    def event(self, said: EventReceived) -> None:
         """One event; an old or repeated one changes nothing."""
         offset = said.event.offset
         if offset <= self.last:
             return
         self.last, self.behind_since = offset, None
         if self.snapshot is not None:
-            update = read_update(said)
+            update = validate_event(said)
             return self.snapshot.take(update) if update is not None else None
         self.pause = self.limits.bus_backoff_ms
         if said.event.topology is not None and said.event.topology.full:
@@ -254,7 +254,7 @@
     def confirm(self, as_of: float) -> None:
         """All changes before that time have come."""
         if not self.incomplete:
-            self.tell_list(BusConfirmed(as_of))
+            self.tell_list(ListConfirmed(as_of))
         if self.heartbeats.lags(now_ms(), self.limits.bus_lag_ms):
             self.connect(0.0)
 
--- a/harrieryoke/net/client.py
+++ b/harrieryoke/net/client.py
@@ -30,18 +30,18 @@
     CallParams,
     GiveUpParams,
     Message,
-    decode,
-    read_props,
+    decode_message,
+    parse_props,
 )
-from .outgoing import Outgoing
+from .outgoing import OutgoingQueue
 
-HANG_UP_CHECK_MS = 20.0  # while the mailbox is full, the reader looks this often whether the client has gone
-UNSENT_MESSAGES = 256
-ANSWER_HEAD_BYTES = 256  # of an answer, beside its body
-LONG_ANSWERS = 4  # that may wait at once for a client that reads slowly
+HANG_UP_POLL_MS = 20.0  # while the mailbox is full, the reader looks this often whether the client has gone
+MAX_UNSENT_MESSAGES = 256
+ANSWER_OVERHEAD_BYTES = 256  # of an answer, beside its body
+MAX_LONG_ANSWERS = 4  # that may wait at once for a client that reads slowly
 
 
-def original_poll() -> Any:
+def unpatched_poll() -> Any:
     """Where the standard library is patched for gevent, its stand-in for poll does not know POLLRDHUP.
     gevent's patches are not imported for this: they would add 2 MB to a process that does without them."""
     patches = sys.modules.get("gevent.monkey")
@@ -50,25 +50,25 @@
 
 def has_hung_up(sock: socket.socket) -> bool:
     """Whether the peer has closed, half-closed or reset the connection, also behind bytes not yet read."""
-    poller = original_poll()()
+    poller = unpatched_poll()()
     poller.register(sock.fileno(), select.POLLRDHUP)
     return bool(poller.poll(0))
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class LineReceived:
     data: bytes
     at: float
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class AnswerReady:
     call: Call
     reply: dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
-class AllSent:
+class OutputDrained:
     """What could not be written at once has been written."""
 
 
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PassOn:
+class TransferWhenIdle:
     """The connection goes to another process once no request is open on it: `to` gets the socket, and with it
     all that nobody has read yet, and the client's name."""
 
@@ -113,32 +113,32 @@
         self.ids: dict[Call, int] = {}
         self.stopping = False
         self.stalled: float | None = None  # when a line was begun that is not waited for
-        self.going: PassOn | None = None
+        self.going: TransferWhenIdle | None = None
         self.partial = b""  # of a line that is not yet whole
         self.unposted: list[bytes] = []  # whole lines that are not in the mailbox yet, the newest first
         self.came = 0.0  # when they came, at the earliest
         self.used = now_ms()  # the last sign of life, or the first byte of a line that is not yet whole
         self.asked = False  # a whole line has come
         # usual answers to all requests that may be open at once, and some long ones among them
-        usual_bytes = limits.open_per_connection * (limits.body_bytes * 4 // 3 + ANSWER_HEAD_BYTES)
-        most_bytes = usual_bytes + LONG_ANSWERS * limits.answer_bytes * 4 // 3
-        self.outgoing = Outgoing(
-            sock, self.name, UNSENT_MESSAGES, most_bytes, log, lambda: self.try_send(AllSent()), self.lost
+        usual_bytes = limits.open_per_connection * (limits.body_bytes * 4 // 3 + ANSWER_OVERHEAD_BYTES)
+        most_bytes = usual_bytes + MAX_LONG_ANSWERS * limits.answer_bytes * 4 // 3
+        self.outgoing = OutgoingQueue(
+            sock, self.name, MAX_UNSENT_MESSAGES, most_bytes, log, lambda: self.try_send(OutputDrained()), self.lost
         )
 
     # --- the core's side ---
 
     def served(self, call: Call, body: bytes) -> None:
-        self.try_send(Answer(call, {"result": {"blob": body}}))
+        self.try_send(AnswerReady(call, {"result": {"blob": body}}))
 
     def refused(self, call: Call, retry_after: float | None) -> None:
         error: dict[str, Any] = {"code": REFUSED, "message": "refused: trying again is harmless"}
         if retry_after:
             error["data"] = {"backoff": round(retry_after)}
-        self.try_send(Answer(call, {"error": error}))
+        self.try_send(AnswerReady(call, {"error": error}))
 
     def failed(self, call: Call, reason: str) -> None:
-        self.try_send(Answer(call, {"error": {"code": FAILED, "message": f"failed: {reason}"}}))
+        self.try_send(AnswerReady(call, {"error": {"code": FAILED, "message": f"failed: {reason}"}}))
 
     # --- the connection ---
 
@@ -210,12 +210,12 @@
         behind what was not read, so `recv` would show it too late."""
         while self.unposted and not self.finished:
             if len(self.mailbox) < self.capacity - self.reserve:
-                self.try_send(Line(self.unposted.pop(), self.came))
+                self.try_send(LineReceived(self.unposted.pop(), self.came))
             elif has_hung_up(self.sock):
                 return False
             else:
                 self.space_available.clear()
-                self.space_available.wait(HANG_UP_CHECK_MS / 1000)
+                self.space_available.wait(HANG_UP_POLL_MS / 1000)
         return not self.finished
 
     def end(self) -> None:
@@ -235,16 +235,16 @@
 
     def receive(self, message: Any) -> None:
         match message:
-            case Line(data, at):
+            case LineReceived(data, at):
                 if data.strip():
                     self.line(data, at)
-            case Answer(call, reply):
+            case AnswerReady(call, reply):
                 self.answer(call, reply)
             case CloseIfIdle(stalled):
                 self.stopping, self.stalled = True, stalled
-            case PassOn():
+            case TransferWhenIdle():
                 self.going = message
-            case AllSent():
+            case OutputDrained():
                 pass  # whoever waits for this goes on below
         if not (self.finished or self.open or self.mailbox or self.unposted or self.outgoing.unsent):
             self.leave_if_asked()
@@ -258,7 +258,7 @@
         elif self.stopping and not self.unread():
             self.finished = True
 
-    def hand_over(self, going: PassOn) -> None:
+    def hand_over(self, going: TransferWhenIdle) -> None:
         """The socket is another's from here: nothing is read or written on it. What the reader took off it
         as it was ended keeps the connection here for now."""
         self.reader.kill()
@@ -273,7 +273,7 @@
     def line(self, data: bytes, at: float) -> None:
         id, method = None, ""
         try:
-            m = decode(data)
+            m = decode_message(data)
             method = m.method
             if m.jsonrpc != "2.0":
                 raise BadRequestError(INVALID, "jsonrpc: '2.0' is wanted")
@@ -305,7 +305,7 @@
         try:
             p: CallParams = msgspec.json.decode(params, type=CallParams)
             made = self.maker.make(
-                method, p.rid, p.obj, p.budget, at, p.blob, p.token, p.acct, read_props(p.props)
+                method, p.rid, p.obj, p.budget, at, p.blob, p.token, p.acct, parse_props(p.props)
             )
             made.client = self.peer
             return made
--- a/harrieryoke/net/frames.py
+++ b/harrieryoke/net/frames.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from zlib import crc32
 
-HEAD = struct.Struct(">BBHIQ")
-CHECK = struct.Struct(">I")
+HEADER = struct.Struct(">BBHIQ")
+CHECKSUM = struct.Struct(">I")
 TO_HOST, FROM_HOST = 76, 108
 REQUEST, GIVE_UP, PROBE_LOAD, HOLD, UNLOAD = 65, 66, 68, 69, 71
 OK, MISS, FULL, ERROR, OVER, HEALTHY, SICK = 97, 99, 100, 101, 102, 103, 104
@@ -31,11 +31,11 @@
 ) -> bytes:
     """One whole frame."""
     told = ",".join(f"{k}={v}" for k, v in (fields or {}).items()).encode()
-    head = HEAD.pack(mark, code, len(told), len(body), id)
-    return b"".join((head, told, body, CHECK.pack(crc32(body, crc32(told)))))
+    head = HEADER.pack(mark, code, len(told), len(body), id)
+    return b"".join((head, told, body, CHECKSUM.pack(crc32(body, crc32(told)))))
 
 
-def read_fields(told: bytes) -> dict[str, str]:
+def decode_fields(told: bytes) -> dict[str, str]:
     fields = {}
     for pair in told.decode("utf-8").split(",") if told else []:
         name, equals, value = pair.partition("=")
@@ -53,22 +53,22 @@
 
     def feed(self, data: bytes) -> Iterator[Frame]:
         self.rest += data
-        while len(self.rest) >= HEAD.size:
-            mark, code, fields, body, id = HEAD.unpack_from(self.rest)
+        while len(self.rest) >= HEADER.size:
+            mark, code, fields, body, id = HEADER.unpack_from(self.rest)
             if mark != self.mark:
                 raise FrameError(f"mark {mark}")
             if body > self.most:
                 raise FrameError(f"a body of {body} bytes")
-            size = HEAD.size + fields + body
-            if len(self.rest) < size + CHECK.size:
+            size = HEADER.size + fields + body
+            if len(self.rest) < size + CHECKSUM.size:
                 return
-            told = bytes(self.rest[HEAD.size : HEAD.size + fields])
-            content = bytes(self.rest[HEAD.size + fields : size])
-            (check,) = CHECK.unpack_from(self.rest, size)
-            del self.rest[: size + CHECK.size]
+            told = bytes(self.rest[HEADER.size : HEADER.size + fields])
+            content = bytes(self.rest[HEADER.size + fields : size])
+            (check,) = CHECKSUM.unpack_from(self.rest, size)
+            del self.rest[: size + CHECKSUM.size]
             if check != crc32(content, crc32(told)):
                 raise FrameError("check sum")
             try:
-                yield Frame(code, id, read_fields(told), content)
+                yield Frame(code, id, decode_fields(told), content)
             except UnicodeDecodeError:
                 raise FrameError("fields are not text") from None
--- a/harrieryoke/net/heartbeats.py
+++ b/harrieryoke/net/heartbeats.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 INTERVAL_MS = 1000.0  # between two heartbeats, by the protocol
-NEWS_DELAY_MS = 1000.0  # from a change until the bus has it; 0.6 to 0.9 s were seen on four days
+PROPAGATION_DELAY_MS = 1000.0  # from a change until the bus has it; 0.6 to 0.9 s were seen on four days
 
 
 class Heartbeats:
@@ -24,7 +24,7 @@
         self.written = min(now, self.written + INTERVAL_MS)
         if self.first_ms is None:
             self.first_ms = now - self.begun
-        return self.written - NEWS_DELAY_MS
+        return self.written - PROPAGATION_DELAY_MS
 
     def lags(self, now: float, most: float) -> bool:
         """Whether heartbeats that come more rarely than expected have made the bound older than `most`. A lag
--- a/harrieryoke/net/host.py
+++ b/harrieryoke/net/host.py
@@ -18,19 +18,19 @@
 from ..limits import Limits
 from ..log import Log
 from . import frames
-from .answers import ENDS, FOUND, number, read_report
-from .link import HostSocket, Link, Unsent, host_socket
+from .answers import OUTCOMES, COPY_LOOKUPS, parse_count, parse_load_report
+from .link import HostSocket, Link, PendingFrame, host_socket
 
-FIRST_OWN_ID = 1 << 63  # of orders and probes; requests bring their ids, and must not meet these on a link
-MAY_PASS = (errno.ETIMEDOUT, errno.EHOSTUNREACH)  # told by the kernel; no answer in time has no number
+FIRST_INTERNAL_FRAME_ID = 1 << 63  # of orders and probes; requests bring their ids, and must not meet these on a link
+RETRYABLE_CONNECT_ERRORS = (errno.ETIMEDOUT, errno.EHOSTUNREACH)  # told by the kernel; no answer in time has no number
 
 
-class NoRoomForLinkError(Exception):
+class LinkUnavailableError(Exception):
     """This process can't have another link now, which tells nothing of the host."""
 
 
 @dataclass(slots=True)
-class Standing:
+class HostStatus:
     """What the worker list says of a host. The list's actor alone writes it; the host reads it."""
 
     address: tuple[str, int]
@@ -45,34 +45,34 @@
 
 
 @dataclass(slots=True)
-class Begin:
+class StartTask:
     task: Task
 
 
 @dataclass(slots=True)
-class Revoke:
+class CancelTask:
     task: Task
 
 
 @dataclass(slots=True)
-class Drop:
+class DropCopies:
     function: str
 
 
 @dataclass(slots=True)
-class Heard:
+class FramesReceived:
     link: Link
     frames: list[frames.Frame]
 
 
 @dataclass(slots=True)
-class Lost:
+class LinkLost:
     link: Link
     reason: str
 
 
 @dataclass(slots=True)
-class Writable:
+class LinkWritable:
     """The link takes more; or it has not for too long, or has failed, and `error` says so."""
 
     link: Link
@@ -80,13 +80,13 @@
 
 
 @dataclass(slots=True)
-class Retire:
+class HostRemoved:
     """The host has left the list: it ends once nothing is out on it, or now if its address is another's."""
 
     now: bool = False
 
 
-def soon(task: Task) -> bool:
+def answers_promptly(task: Task) -> bool:
     """A load may take its time; all else is answered within its usual time, or the host is silent."""
     return not isinstance(task, OrderTask) or task.copies == 0
 
@@ -97,7 +97,7 @@
     def __init__(
         self,
         name: str,
-        standing: Standing,
+        standing: HostStatus,
         settings: i.Settings,
         limits: Limits,
         log: Log,
@@ -110,7 +110,7 @@
         self.retune(settings)
         self.links: list[Link] = []
         self.places: dict[Task, tuple[Link, int]] = {}
-        self.serial = FIRST_OWN_ID
+        self.serial = FIRST_INTERNAL_FRAME_ID
         self.retiring = False
 
     def retune(self, settings: i.Settings) -> None:
@@ -122,13 +122,13 @@
     # --- the port that the module actor sees ---
 
     def start_task(self, task: Task) -> bool:
-        return self.try_send(Begin(task))
+        return self.try_send(StartTask(task))
 
     def cancel_task(self, task: Task) -> None:
-        self.try_send(Revoke(task))
+        self.try_send(CancelTask(task))
 
     def drop_copies(self, function: str) -> None:
-        self.try_send(Drop(function))
+        self.try_send(DropCopies(function))
 
     # --- the loop ---
 
@@ -147,34 +147,34 @@
         for link in list(self.links):
             self.close(link, "the host's actor ended")
         for message in list(self.mailbox):
-            if isinstance(message, Begin):
+            if isinstance(message, StartTask):
                 self.end(message.task, i.Outcome.NOT_SENT)
         self.mailbox.clear()
         super().finish()
 
     def receive(self, message: Any) -> None:
         match message:
-            case Begin(task):
+            case StartTask(task):
                 self.send(task)
-            case Revoke(task):
+            case CancelTask(task):
                 self.give_up(task)
-            case Drop(function):
+            case DropCopies(function):
                 self.unload(function)
-            case Heard(link, heard):
+            case FramesReceived(link, heard):
                 link.asked = None
                 for frame in heard if link in self.links else []:
                     self.answer(link, frame)
-                if any(map(soon, link.open.values())):
+                if any(map(answers_promptly, link.open.values())):
                     link.asked = now_ms()
-            case Lost(link, reason):
+            case LinkLost(link, reason):
                 self.close(link, reason)
-            case Writable(link, error):
+            case LinkWritable(link, error):
                 link.waiting = False
                 if error and link.backlog:
                     self.close(link, error)
                 else:
                     self.flush(link)
-            case Retire(now):
+            case HostRemoved(now):
                 self.retiring, self.finished = True, self.finished or now
 
     def end(self, task: Task, outcome: i.Outcome, **told: Any) -> None:
@@ -201,7 +201,7 @@
             return self.end(task, i.Outcome.NOT_SENT)
         try:
             link = self.link_for(task)
-        except NoRoomForLinkError:
+        except LinkUnavailableError:
             return self.end(task, i.Outcome.NOT_SENT)
         if link is None:
             self.fail_queued()
@@ -210,7 +210,7 @@
         self.places[task] = (link, frame.id)
         self.post(link, frame)
 
-    def post(self, link: Link, frame: Unsent) -> None:
+    def post(self, link: Link, frame: PendingFrame) -> None:
         """Writes the frame at once, or once the host has read what lies before it."""
         link.backlog.append(frame)
         if not link.waiting:
@@ -238,7 +238,7 @@
             if isinstance(frame.task, AttemptTask):
                 self.figures.for_class(self.classes[frame.task.call.class_index].name).tries += 1
 
-    def prepare(self, link: Link, frame: Unsent) -> bool:
+    def prepare(self, link: Link, frame: PendingFrame) -> bool:
         """Directly before the first byte of a frame: what is not wanted any more is left out."""
         task = frame.task
         if task is None:
@@ -256,7 +256,7 @@
 
     def note_begun(self, link: Link, id: int, task: Task) -> None:
         link.open[id] = task
-        if link.asked is None and soon(task):
+        if link.asked is None and answers_promptly(task):
             link.asked = now_ms()
 
     def wait_writable(self, link: Link) -> None:
@@ -266,17 +266,17 @@
             link.sock.wait_writable(self.limits.write_ms)
         except OSError as failed:
             error = f"write: {failed}"
-        self.blocking_send(Writable(link, error))
+        self.blocking_send(LinkWritable(link, error))
 
-    def frame_for(self, task: Task, link: Link) -> Unsent:
+    def frame_for(self, task: Task, link: Link) -> PendingFrame:
         if isinstance(task, AttemptTask):
-            return Unsent(frames.REQUEST, int(task.call.request_id, 16), task)
+            return PendingFrame(frames.REQUEST, int(task.call.request_id, 16), task)
         self.serial += 1
         while self.serial in link.open:
             self.serial += 1
-        return Unsent(frames.HOLD if isinstance(task, OrderTask) else frames.PROBE_LOAD, self.serial, task)
+        return PendingFrame(frames.HOLD if isinstance(task, OrderTask) else frames.PROBE_LOAD, self.serial, task)
 
-    def encode(self, frame: Unsent, task: Task) -> bytes:
+    def encode(self, frame: PendingFrame, task: Task) -> bytes:
         if isinstance(task, AttemptTask):
             call = task.call
             fields = {
@@ -305,16 +305,16 @@
         if not link.open and not self.silent(link):
             link.asked = None  # what was given up early tells nothing of the host
         if isinstance(task, AttemptTask):
-            self.post(link, Unsent(frames.GIVE_UP, id, data=frames.encode(frames.GIVE_UP, id)))
+            self.post(link, PendingFrame(frames.GIVE_UP, id, data=frames.encode(frames.GIVE_UP, id)))
 
     def unload(self, function: str) -> None:
         try:
             link = self.link_for(None) if self.may_unload() else None
-        except NoRoomForLinkError:
+        except LinkUnavailableError:
             return
         if link is not None:
             id = int(function, 16)
-            self.post(link, Unsent(frames.UNLOAD, id, data=frames.encode(frames.UNLOAD, id)))
+            self.post(link, PendingFrame(frames.UNLOAD, id, data=frames.encode(frames.UNLOAD, id)))
 
     # --- links ---
 
@@ -342,7 +342,7 @@
             if ask:
                 return None
             # a host that is just busy must not be taken for dead, its copies lost
-            raise NoRoomForLinkError("all links to the host are full")
+            raise LinkUnavailableError("all links to the host are full")
         return self.dial()
 
     def silent(self, link: Link, times: int = 1) -> bool:
@@ -355,7 +355,7 @@
             return self.connect_once()
         except OSError as error:
             # a dead host refuses, it does not reset: one that is alive must not be taken for dead
-            if not isinstance(error, ConnectionResetError) and error.errno not in MAY_PASS:
+            if not isinstance(error, ConnectionResetError) and error.errno not in RETRYABLE_CONNECT_ERRORS:
                 raise
             return self.connect_once()
 
@@ -377,7 +377,7 @@
         except OSError as error:
             self.log("dial-failed", f"{self.name}: {error}")
             if is_local(error):
-                raise NoRoomForLinkError(str(error)) from error
+                raise LinkUnavailableError(str(error)) from error
             return None
         link = Link(sock, frames.Decoder(self.limits.answer_bytes), used=now_ms())
         self.links.append(link)
@@ -386,7 +386,7 @@
 
     def fail_queued(self) -> None:
         """What waited behind a failed dial fails with it: nobody waits for one dial after the other."""
-        queued = [m for m in self.mailbox if isinstance(m, Begin)]
+        queued = [m for m in self.mailbox if isinstance(m, StartTask)]
         for message in queued:
             self.mailbox.remove(message)
             fits = self.may_begin(message.task)
@@ -415,14 +415,14 @@
                     began, partial = link.part_since, bool(link.decoder.rest)
                     link.part_since = now_ms() if partial else None
                     if heard or (began is None and partial):
-                        self.blocking_send(Heard(link, heard))
+                        self.blocking_send(FramesReceived(link, heard))
         except frames.FrameError as error:
             reason = f"bad frame: {error}"
             self.log("bad-frame", f"{self.name}: {error}")
         except OSError as error:
             reason = f"read: {error}"
         link.ended = True  # nothing more is to begin here, also while the message waits in the mailbox
-        self.blocking_send(Lost(link, reason))
+        self.blocking_send(LinkLost(link, reason))
 
     def close(self, link: Link, reason: str) -> None:
         """What was out on a link that ends may have run; the host has given it up. What was never written
@@ -464,21 +464,21 @@
         if task is None:
             return  # it was given up while the answer was on its way
         probed = frame.code >= frames.HEALTHY
-        if frame.code not in ENDS or probed == isinstance(task, AttemptTask | OrderTask):
+        if frame.code not in OUTCOMES or probed == isinstance(task, AttemptTask | OrderTask):
             self.log("bad-frame", f"{self.name}: code {frame.code} for {type(task).__name__}")
             return self.close(link, f"code {frame.code}")
         del link.open[frame.id], self.places[task]
         link.used = now_ms()
         note = frame.fields.get("n", "")
-        outcome = ENDS[frame.code]
+        outcome = OUTCOMES[frame.code]
         if isinstance(task, OrderTask):
-            return self.end(task, outcome, copies=number(frame.fields.get("pods")) or 0)
-        report, crowd = read_report(frame.fields.get("l")), number(frame.fields.get("depth"))
+            return self.end(task, outcome, copies=parse_count(frame.fields.get("pods")) or 0)
+        report, crowd = parse_load_report(frame.fields.get("l")), parse_count(frame.fields.get("depth"))
         self.end(
             task,
             outcome,
             body=frame.body,
-            copy_lookup=FOUND.get(note),
+            copy_lookup=COPY_LOOKUPS.get(note),
             load_failed=note == "f",
             concurrent_requests=crowd,
             report=report,
--- a/harrieryoke/net/hostlist.py
+++ b/harrieryoke/net/hostlist.py
@@ -14,37 +14,37 @@
 from ..limits import Limits
 from ..log import Log
 from .bus_follower import BusFollower
-from .heartbeats import NEWS_DELAY_MS
-from .host import HostActor, Retire, Standing
+from .heartbeats import PROPAGATION_DELAY_MS
+from .host import HostActor, HostRemoved, HostStatus
 from .host_starts import HostStarts
 from .hostlist_model import (
-    DRAINS,
+    STATUS_BY_STATE,
     BadServerError,
-    BusConfirmed,
+    ListConfirmed,
     BusEvent,
-    BusSaid,
-    Known,
+    EventReceived,
+    KnownEvents,
     ListReplaced,
     ListUpdate,
     Server,
     Snapshot,
     Topology,
-    address,
-    in_order,
-    read_update,
-    unknown_names,
+    parse_address,
+    in_apply_order,
+    validate_event,
+    find_unknown_names,
     worker_number,
 )
 
 # the discovery's public names in one place
 __all__ = [
-    "DRAINS",
+    "STATUS_BY_STATE",
     "Ban",
     "BusEvent",
     "BusFollower",
-    "BusSaid",
+    "EventReceived",
     "HostListActor",
-    "Known",
+    "KnownEvents",
     "Server",
     "Topology",
     "worker_number",
@@ -63,7 +63,7 @@
 
 
 @dataclass(slots=True)
-class News:
+class WorkerChanges:
     """What the module is to hear of one event: the last word on each host, by the module's number."""
 
     entries: dict[int, i.WorkerEntry] = field(default_factory=dict)
@@ -103,7 +103,7 @@
         self.settings, self.limits = settings, limits
         self.tell_module, self.report = tell_module, report
         self.figures = figures
-        self.hosts: dict[str, tuple[Standing, HostActor]] = {}
+        self.hosts: dict[str, tuple[HostStatus, HostActor]] = {}
         self.servers: dict[str, Server] = {}  # the list's last word on each, the latest last
         self.doubtful: set[str] = set()  # listed hosts whose last entry could not be read
         self.unnamed = False  # an entry could not be read that may have meant any host
@@ -111,13 +111,13 @@
         self.banned: set[str] = set()
         self.keep: Callable[[str, bool], object] = lambda id, on: None  # so that it outlives the process
 
-    def begin(self, known: Known, banned: Iterable[str] = (), as_of: float | None = None) -> None:
+    def begin(self, known: KnownEvents, banned: Iterable[str] = (), as_of: float | None = None) -> None:
         """The list as it was at the start, at `as_of` in milliseconds of the process's clock where that is
         known, and who is left out, listed yet or not; before the actor runs."""
         self.banned = set(banned)
         snapshot = Snapshot()
         for event in known.batch:
-            if (update := read_update(BusSaid(event))) is not None:
+            if (update := validate_event(EventReceived(event))) is not None:
                 self.report_bad(update)
                 self.note_doubtful(update, snapshot.servers.keys())
                 for server in update.servers.values():
@@ -126,21 +126,21 @@
         self.starts.learn_earlier(snapshot.servers.values())
         self.apply(list(snapshot.servers.values()), i.ListScope.REMEMBERED)
         if as_of is not None:
-            self.confirm(as_of - NEWS_DELAY_MS)
+            self.confirm(as_of - PROPAGATION_DELAY_MS)
 
     def bans(self) -> list[str]:
         """The ids that operators left out."""
         return sorted(self.banned)
 
-    def receive(self, message: BusSaid | ListReplaced | BusConfirmed | Ban) -> None:
+    def receive(self, message: EventReceived | ListReplaced | ListConfirmed | Ban) -> None:
         """One message of the mailbox."""
         match message:
-            case BusSaid():
-                if (update := read_update(message)) is not None:
+            case EventReceived():
+                if (update := validate_event(message)) is not None:
                     self.take(update)
             case ListReplaced(update):
                 self.take(update)
-            case BusConfirmed(at):
+            case ListConfirmed(at):
                 self.confirm(at)
             case Ban(id, on, told, known):
                 told.set(self.ban(id, on, known))
@@ -176,7 +176,7 @@
         """One line of the log for all that is spoilt in an event."""
         if update.bad:
             self.log_bad(update.offset, list(update.bad), "former state kept; correct it at the bus")
-        unknown = [e for s in update.servers.values() for e in unknown_names(s, self.settings)]
+        unknown = [e for s in update.servers.values() for e in find_unknown_names(s, self.settings)]
         if unknown:
             self.log_bad(
                 update.offset, unknown, "name it in the settings and send SIGHUP, or correct the bus"
@@ -225,8 +225,8 @@
             for id in [id for id in self.hosts if id not in named]:
                 self.starts.forget(id)
                 self.strike(id)
-        news = News()
-        for server in in_order(servers):
+        news = WorkerChanges()
+        for server in in_apply_order(servers):
             self.remember(server)
             entry = self.entry(server)
             if entry.status is i.WorkerStatus.GONE:
@@ -244,7 +244,7 @@
 
     def entry(self, server: Server) -> i.WorkerEntry:
         """One host as the module sees it."""
-        drain = DRAINS[server.state]
+        drain = STATUS_BY_STATE[server.state]
         if server.id in self.banned and drain is i.WorkerStatus.UP:
             drain = i.WorkerStatus.DRAINING
         zones, kinds = self.settings.zones, self.settings.kinds
@@ -262,9 +262,9 @@
             None if start is None else start.stamp,
         )
 
-    def replace(self, server: Server, news: News) -> None:
+    def replace(self, server: Server, news: WorkerChanges) -> None:
         """Whoever had the server's address so far has gone: the address speaks for another host now."""
-        where = address(server.addr)
+        where = parse_address(server.addr)
         for id, (standing, _) in list(self.hosts.items()):
             if standing.address == where and id != server.id:
                 standing.replaced = True
@@ -274,14 +274,14 @@
 
     def host(self, server: Server, drain: i.WorkerStatus) -> HostActor:
         """The actor of a listed host; a new one where it has another address."""
-        where = address(server.addr)
+        where = parse_address(server.addr)
         if server.id in self.hosts:
             standing, actor = self.hosts[server.id]
             if standing.address == where and not actor.finished:
                 standing.drain = drain
                 return actor
             self.strike(server.id)
-        standing = Standing(where, drain)
+        standing = HostStatus(where, drain)
         actor = HostActor(
             server.id, standing, self.settings, self.limits, self.log, self.report, self.figures
         )
@@ -293,6 +293,6 @@
         if id in self.hosts:
             standing, actor = self.hosts.pop(id)
             standing.drain = i.WorkerStatus.GONE
-            if not actor.try_send(Retire(now)):
+            if not actor.try_send(HostRemoved(now)):
                 # no waiting here for a host whose mailbox is full: the others need their news
-                spawn(self.log, f"retire {id}", lambda: actor.blocking_send(Retire(now)))
+                spawn(self.log, f"retire {id}", lambda: actor.blocking_send(HostRemoved(now)))
--- a/harrieryoke/net/hostlist_model.py
+++ b/harrieryoke/net/hostlist_model.py
@@ -12,14 +12,14 @@
 
 from .. import interface as i
 
-DRAINS = {"active": i.WorkerStatus.UP, "leaving": i.WorkerStatus.DRAINING, "left": i.WorkerStatus.GONE}
-TAKEN_AS = ("leaving", "active", "left")  # the order of an event's entries, see `in_order`
-MOST_NUMBER = 2**53  # all JSON readers agree on whole numbers up to here
-ID_MOST = 256  # characters
-HOST_MOST = 253  # characters of a name in DNS
-SHOWN_MOST = 80  # characters of a spoilt value in an error
+STATUS_BY_STATE = {"active": i.WorkerStatus.UP, "leaving": i.WorkerStatus.DRAINING, "left": i.WorkerStatus.GONE}
+APPLY_ORDER = ("leaving", "active", "left")  # the order of an event's entries, see `in_order`
+MAX_SAFE_INTEGER = 2**53  # all JSON readers agree on whole numbers up to here
+MAX_ID_LENGTH = 256  # characters
+MAX_HOST_NAME_LENGTH = 253  # characters of a name in DNS
+MAX_SHOWN_LENGTH = 80  # characters of a spoilt value in an error
 
-Offset = Annotated[int, msgspec.Meta(ge=0, le=MOST_NUMBER)]
+Offset = Annotated[int, msgspec.Meta(ge=0, le=MAX_SAFE_INTEGER)]
 
 
 class Server(msgspec.Struct):
@@ -50,7 +50,7 @@
     topology: Topology | None = None
 
 
-class Known(msgspec.Struct):
+class KnownEvents(msgspec.Struct):
     """The events up to the start."""
 
     offset: Offset = 0
@@ -72,15 +72,15 @@
     topology: WireTopology | None = None
 
 
-class Named(msgspec.Struct):
+class EntryId(msgspec.Struct):
     """As much of a spoilt entry as says whom it means."""
 
     id: str
 
 
-WIRE_LINE: msgspec.json.Decoder[WireEvent | int] = msgspec.json.Decoder(WireEvent | Offset)
-WIRE_SERVER: msgspec.json.Decoder[Server] = msgspec.json.Decoder(Server)
-WIRE_NAMED: msgspec.json.Decoder[Named] = msgspec.json.Decoder(Named)
+LINE_DECODER: msgspec.json.Decoder[WireEvent | int] = msgspec.json.Decoder(WireEvent | Offset)
+SERVER_DECODER: msgspec.json.Decoder[Server] = msgspec.json.Decoder(Server)
+ENTRY_ID_DECODER: msgspec.json.Decoder[EntryId] = msgspec.json.Decoder(EntryId)
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,12 +92,12 @@
     reason: str
 
     def __str__(self) -> str:
-        host, reason = self.host[:SHOWN_MOST], self.reason[:SHOWN_MOST]
+        host, reason = self.host[:MAX_SHOWN_LENGTH], self.reason[:MAX_SHOWN_LENGTH]
         return f"model host {host!r}: {self.field}: {reason}"
 
 
 @dataclass(frozen=True, slots=True)
-class BusSaid:
+class EventReceived:
     """An event for the list's actor, and the entries of it that have the wrong types."""
 
     event: BusEvent
@@ -127,23 +127,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BusConfirmed:
+class ListConfirmed:
     """All changes before `at` have come, in milliseconds of this process's clock."""
 
     at: float
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """`host:port`. Raises ValueError, also for a host that no resolver takes."""
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdecimal()) or len(port) > 5 or not 0 < int(port) < 65536:
-        raise ValueError(f"not an address: {text[:SHOWN_MOST]!r}")
-    if len(host) > HOST_MOST or not host.isprintable() or " " in host:
-        raise ValueError(f"not a host's name: {host[:SHOWN_MOST]!r}")
+        raise ValueError(f"not an address: {text[:MAX_SHOWN_LENGTH]!r}")
+    if len(host) > MAX_HOST_NAME_LENGTH or not host.isprintable() or " " in host:
+        raise ValueError(f"not a host's name: {host[:MAX_SHOWN_LENGTH]!r}")
     try:
         host.encode("idna")
     except UnicodeError as error:
-        raise ValueError(f"not a host's name: {host[:SHOWN_MOST]!r}: {error}") from None
+        raise ValueError(f"not a host's name: {host[:MAX_SHOWN_LENGTH]!r}: {error}") from None
     return host, int(port)
 
 
@@ -154,55 +154,55 @@
 
 def check_server(server: Server) -> None:
     """Raises BadServerError for the first field that can't be used."""
-    if not 0 < len(server.id) <= ID_MOST:
-        raise BadServerError("", "id", f"1 to {ID_MOST} characters are wanted, not {len(server.id)}")
-    if server.state not in DRAINS:
+    if not 0 < len(server.id) <= MAX_ID_LENGTH:
+        raise BadServerError("", "id", f"1 to {MAX_ID_LENGTH} characters are wanted, not {len(server.id)}")
+    if server.state not in STATUS_BY_STATE:
         raise BadServerError(
-            server.id, "state", f"{server.state[:SHOWN_MOST]!r} is none of {', '.join(DRAINS)}"
+            server.id, "state", f"{server.state[:MAX_SHOWN_LENGTH]!r} is none of {', '.join(STATUS_BY_STATE)}"
         )
     try:
-        address(server.addr)
+        parse_address(server.addr)
     except ValueError as error:
         raise BadServerError(server.id, "addr", str(error)) from None
-    if not 0 <= server.cell <= MOST_NUMBER:
-        raise BadServerError(server.id, "cell", f"not from 0 to {MOST_NUMBER}")
+    if not 0 <= server.cell <= MAX_SAFE_INTEGER:
+        raise BadServerError(server.id, "cell", f"not from 0 to {MAX_SAFE_INTEGER}")
     if not (math.isfinite(server.weight) and server.weight >= 0):
         raise BadServerError(server.id, "weight", f"{server.weight} is not a finite number from 0 on")
-    if not 0 <= server.started_ms <= MOST_NUMBER:
-        raise BadServerError(server.id, "started_ms", f"{server.started_ms} is not from 0 to {MOST_NUMBER}")
+    if not 0 <= server.started_ms <= MAX_SAFE_INTEGER:
+        raise BadServerError(server.id, "started_ms", f"{server.started_ms} is not from 0 to {MAX_SAFE_INTEGER}")
 
 
-def unknown_names(server: Server, settings: i.Settings) -> list[BadServerError]:
+def find_unknown_names(server: Server, settings: i.Settings) -> list[BadServerError]:
     """Zone and kind where the settings have no such name. The host is used all the same: the bus may list a
     new zone before SIGHUP brings its name, and a host that drains there has to be heard."""
     asked = (("zone", server.zone, settings.zones), ("kind", server.kind, settings.kinds))
     return [
         BadServerError(
-            server.id, field, f"{name[:SHOWN_MOST]!r} is not in the settings; the first one is assumed"
+            server.id, field, f"{name[:MAX_SHOWN_LENGTH]!r} is not in the settings; the first one is assumed"
         )
         for field, name, names in asked
         if name and name not in names
     ]
 
 
-def read_server(raw: msgspec.Raw) -> Server:
+def decode_server(raw: msgspec.Raw) -> Server:
     """One entry of an event. Raises BadServerError."""
     try:
-        return WIRE_SERVER.decode(raw)
+        return SERVER_DECODER.decode(raw)
     except (ValueError, RecursionError) as error:
         problem = str(error)
     try:
-        host = WIRE_NAMED.decode(raw).id
+        host = ENTRY_ID_DECODER.decode(raw).id
     except (ValueError, RecursionError):
         host = ""
-    raise BadServerError(host if len(host) <= ID_MOST else "", "entry", problem)
+    raise BadServerError(host if len(host) <= MAX_ID_LENGTH else "", "entry", problem)
 
 
-def decode_line(line: bytes) -> BusSaid | int:
+def decode_line(line: bytes) -> EventReceived | int:
     """A line of the bus: an event, or the number of the last one, by itself or as the offset of an event that
     says nothing else. Raises ValueError."""
     try:
-        said = WIRE_LINE.decode(line)
+        said = LINE_DECODER.decode(line)
     except RecursionError as error:
         raise ValueError(str(error)) from None
     if isinstance(said, int):
@@ -212,14 +212,14 @@
     servers, bad = list[Server](), list[BadServerError]()
     for raw in said.topology.servers:
         try:
-            servers.append(read_server(raw))
+            servers.append(decode_server(raw))
         except BadServerError as error:
             bad.append(error)
     topology = Topology(servers, said.topology.version, said.topology.full)
-    return BusSaid(BusEvent(said.offset, topology), tuple(bad))
+    return EventReceived(BusEvent(said.offset, topology), tuple(bad))
 
 
-def read_update(said: BusSaid) -> ListUpdate | None:
+def validate_event(said: EventReceived) -> ListUpdate | None:
     """An event checked, or None where it tells nothing of the list. The last word on a host counts, and of
     two hosts at one address the last that is active (`in_order`)."""
     topology = said.event.topology
@@ -240,10 +240,10 @@
     return ListUpdate(said.event.offset, whole, servers, tuple(bad))
 
 
-def in_order(servers: Iterable[Server]) -> list[Server]:
+def in_apply_order(servers: Iterable[Server]) -> list[Server]:
     """The order to take an event's entries in. Their order within the event says nothing of time: where two
     hosts have one address, the one that is active has it now, and the other was replaced."""
-    return sorted(servers, key=lambda server: TAKEN_AS.index(server.state))
+    return sorted(servers, key=lambda server: APPLY_ORDER.index(server.state))
 
 
 @dataclass(slots=True)
@@ -262,7 +262,7 @@
             self.whole, self.bad = True, {}
         for error in update.bad:
             self.bad[error.host] = error
-        for server in in_order(update.servers.values()):
+        for server in in_apply_order(update.servers.values()):
             self.place(server)
 
     def place(self, server: Server) -> None:
--- a/harrieryoke/net/jsonrpc.py
+++ b/harrieryoke/net/jsonrpc.py
@@ -38,7 +38,7 @@
         self.code = code
 
 
-def read_props(text: str) -> dict[str, float]:
+def parse_props(text: str) -> dict[str, float]:
     """`name:number;name:number`; names it does not know are left alone by its caller."""
     read = {}
     for pair in text.split(";") if text else []:
@@ -47,7 +47,7 @@
     return read
 
 
-def decode(data: bytes) -> Message:
+def decode_message(data: bytes) -> Message:
     """One line as a message. Raises BadRequestError."""
     try:
         message: Message = msgspec.json.decode(data, type=Message)
--- a/harrieryoke/net/link.py
+++ b/harrieryoke/net/link.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Unsent:
+class PendingFrame:
     """A frame that is not yet written whole. A task's frame is encoded when it begins: its fields tell how
     much time is left."""
 
@@ -61,7 +61,7 @@
     used: float = 0.0
     asked: float | None = None  # since when something is owed an answer soon and nothing has come
     part_since: float | None = None  # the last bytes of a frame not yet whole came then; set by its reader
-    backlog: deque[Unsent] = field(default_factory=deque)
+    backlog: deque[PendingFrame] = field(default_factory=deque)
     waiting: bool = False  # a greenlet waits until the connection takes more
     ended: bool = False  # the host has closed it, or it failed; its reader alone writes it
 
@@ -74,7 +74,7 @@
         """Whether a frame with this id is out on it or waits: a second one could not be told from it."""
         return id in self.open or any(frame.id == id for frame in self.backlog)
 
-    def write(self, frame: Unsent) -> bool:
+    def write(self, frame: PendingFrame) -> bool:
         """Writes of the frame what the connection takes at once, and says whether it is whole now. Raises
         OSError."""
         task = frame.task
--- a/harrieryoke/net/outgoing.py
+++ b/harrieryoke/net/outgoing.py
@@ -11,11 +11,11 @@
 from ..log import Log
 
 
-def ignore(*_: object) -> None:
+def ignore_callback(*_: object) -> None:
     """The callback of what is closed."""
 
 
-class Outgoing:
+class OutgoingQueue:
     """The unsent messages of one socket. `put` never waits: what the socket does not take at once is written
     by a greenlet that exists only while something is unsent.
 
@@ -109,4 +109,4 @@
         self.closed = True
         self.unsent.clear()
         self.size = 0
-        self.sent = self.lost = ignore
+        self.sent = self.lost = ignore_callback
--- a/harrieryoke/net/platform.py
+++ b/harrieryoke/net/platform.py
@@ -17,14 +17,14 @@
 from ..core.pauses import PauseWatch
 from ..limits import Limits
 from ..log import Log
-from .client import ClientActor, CloseIfIdle, PassOn
+from .client import ClientActor, CloseIfIdle, TransferWhenIdle
 from .listening import wait_for_listener
 
 BACKLOG = 512  # connections that the machine accepts ahead of the listener
 
 
 @dataclass(slots=True)
-class Accepted:
+class ConnectionAccepted:
     """A connection; `asked` where another process has served it before."""
 
     sock: socket.socket
@@ -33,12 +33,12 @@
 
 
 @dataclass(slots=True)
-class Gone:
+class ClientClosed:
     client: ClientActor
 
 
 @dataclass(frozen=True, slots=True)
-class ListenerEnded:
+class AcceptorEnded:
     """The listener's greenlet for this descriptor accepts no more."""
 
     entry: socket.socket
@@ -49,21 +49,21 @@
 
 
 @dataclass(slots=True)
-class Yield:
+class TransferClients:
     """Another process accepts now; clients that are here go there through `to`, as they become idle."""
 
     to: Callable[[socket.socket, str], object]
 
 
-class MakeRoom:
+class CloseIdleClient:
     """Newcomers wait for a client to leave."""
 
 
-class Resume:
+class ResumeAccepting:
     """The other process has ended: clients are accepted here again."""
 
 
-def set_up(sock: socket.socket, peer: tuple[str, int], log: Log) -> Accepted | None:
+def prepare_connection(sock: socket.socket, peer: tuple[str, int], log: Log) -> ConnectionAccepted | None:
     """A connection ready for its actor; None where it was reset before it was looked at."""
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -71,7 +71,7 @@
         log("accept-failed", str(error))
         sock.close()
         return None
-    return Accepted(sock, f"{peer[0]}:{peer[1]}")
+    return ConnectionAccepted(sock, f"{peer[0]}:{peer[1]}")
 
 
 class PlatformFront(Actor):
@@ -87,7 +87,7 @@
         self.stopping, self.empty = False, Event()
         self.room = Event()  # a client has gone
         self.listeners = 0  # greenlets that accept, or have accepted and still hold a connection
-        self.yielded: PassOn | None = None
+        self.yielded: TransferWhenIdle | None = None
         self.listening: socket.socket | None = None
         self.pauses = PauseWatch(now_ms(), limits.sweep_ms, log)
 
@@ -108,7 +108,7 @@
         self.entry = entry = retry_local("listen", self.listening.dup, self.limits.start_ms, self.log)
         self.listeners += 1
         spawn(
-            self.log, "listener", lambda: self.accept(entry), lambda: self.blocking_send(ListenerEnded(entry))
+            self.log, "listener", lambda: self.accept(entry), lambda: self.blocking_send(AcceptorEnded(entry))
         )
 
     def accept(self, entry: socket.socket) -> None:
@@ -126,7 +126,7 @@
                 pauses.wait()
                 continue
             pauses.reset()
-            if (accepted := set_up(sock, peer, self.log)) is not None:
+            if (accepted := prepare_connection(sock, peer, self.log)) is not None:
                 self.blocking_send(accepted)
 
     def wait_for_room(self, entry: socket.socket) -> None:
@@ -134,12 +134,12 @@
         leave. Where all are busy nobody waits: a newcomer is turned away at once, as it may try elsewhere."""
         while entry.fileno() >= 0 and self.is_full() and self.may_leave():
             self.room.clear()
-            self.try_send(MakeRoom())
+            self.try_send(CloseIdleClient())
             self.room.wait(self.limits.client_fresh_ms / 1000)
 
     def is_full(self) -> bool:
         """With those on their way through the mailbox."""
-        return len(self.clients) + sum(isinstance(m, Accepted) for m in self.mailbox) >= self.most
+        return len(self.clients) + sum(isinstance(m, ConnectionAccepted) for m in self.mailbox) >= self.most
 
     def may_leave(self) -> bool:
         """Whether some client has nothing open and is not within a line."""
@@ -175,21 +175,21 @@
 
     def receive(self, message: Any) -> None:
         match message:
-            case Accepted(sock, name, asked):
+            case ConnectionAccepted(sock, name, asked):
                 self.accepted(sock, name, asked)
-            case Gone(client):
+            case ClientClosed(client):
                 self.clients.pop(client, None)
                 self.room.set()
-            case MakeRoom():
+            case CloseIdleClient():
                 self.make_room()
-            case Yield(to) if not self.stopping:
-                self.yielded = PassOn(to)
+            case TransferClients(to) if not self.stopping:
+                self.yielded = TransferWhenIdle(to)
                 self.entry.close()
                 self.send_away()
-            case Resume() if self.yielded is not None and not self.stopping:
+            case ResumeAccepting() if self.yielded is not None and not self.stopping:
                 self.yielded = None
                 self.open()
-            case ListenerEnded(entry):
+            case AcceptorEnded(entry):
                 self.listeners -= 1
                 # a front that accepts nobody, and was not told so, ends: the service sees that
                 self.finished = entry.fileno() >= 0
@@ -228,7 +228,7 @@
                 pauses.wait()
                 continue
             pauses.reset()
-            if (accepted := set_up(sock, peer, self.log)) is not None:
+            if (accepted := prepare_connection(sock, peer, self.log)) is not None:
                 self.accepted(accepted.sock, accepted.name, accepted.asked)
 
     def accepted(self, sock: socket.socket, name: str, asked: bool) -> None:
@@ -245,7 +245,7 @@
             self.core,
             self.limits,
             self.log,
-            lambda c: self.blocking_send(Gone(c)),
+            lambda c: self.blocking_send(ClientClosed(c)),
             self.pauses,
         )
         self.clients[client], client.asked = False, asked
--- a/harrieryoke/upgrade/link.py
+++ b/harrieryoke/upgrade/link.py
@@ -29,7 +29,7 @@
 from ..limits import Limits
 from ..log import Log
 from ..net.hostlist import Ban, HostListActor
-from ..net.platform import Accepted, PlatformFront, Resume, Yield
+from ..net.platform import ConnectionAccepted, PlatformFront, ResumeAccepting, TransferClients
 from .bans import BanFile, BansError
 from .messages import (
     PEER_MESSAGE_DECODER,
@@ -262,12 +262,12 @@
                 self.log("taken-over", "another process serves; what was taken here is answered here")
                 self.successor = link
                 self.front.blocking_send(
-                    Yield(lambda sock, name: self.blocking_send(ClientReleased(sock, name)))
+                    TransferClients(lambda sock, name: self.blocking_send(ClientReleased(sock, name)))
                 )
                 self.core.blocking_send(ActiveChanged(False))
             case PeerMessageReceived(_, ClientTransfer(name), int(descriptor)):
                 sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, fileno=descriptor)
-                self.front.blocking_send(Accepted(sock, name, asked=True))
+                self.front.blocking_send(ConnectionAccepted(sock, name, asked=True))
             case ClientReleased(sock, name):
                 self.transfer_client(sock, name)
             case PeerMessageReceived(_, BanChange(id, on)):
@@ -310,7 +310,7 @@
                 return
         except OSError as error:
             self.log("upgrade-link", str(error))
-        self.front.blocking_send(Accepted(sock, name, asked=True))
+        self.front.blocking_send(ConnectionAccepted(sock, name, asked=True))
 
     def close(self, link: Link) -> None:
         """Close the link and the descriptors that no line has claimed."""
@@ -330,7 +330,7 @@
             self.successor = None
             # the path may hold its stale socket: the next process would find nobody, and bind anew
             self.listen()
-            self.front.blocking_send(Resume())
+            self.front.blocking_send(ResumeAccepting())
             self.core.blocking_send(ActiveChanged(True))
 
     def stop(self) -> None:
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -26,7 +26,7 @@
 from harrieryoke.errors import Busy
 from harrieryoke.limits import Limits
 from harrieryoke.log import Log
-from harrieryoke.net.hostlist import DRAINS, Ban, BusEvent, BusSaid, HostListActor, Known, Server, Topology
+from harrieryoke.net.hostlist import STATUS_BY_STATE, Ban, BusEvent, EventReceived, HostListActor, KnownEvents, Server, Topology
 from harrieryoke.net.hostlist import worker_number as number
 
 from .rig import SETTINGS
@@ -72,7 +72,7 @@
         self.offset = self.events = 0
 
     def drain(self, id: str) -> i.WorkerStatus:
-        listed = DRAINS[self.words[id].state]
+        listed = STATUS_BY_STATE[self.words[id].state]
         return i.WorkerStatus.DRAINING if id in self.banned and listed is i.WorkerStatus.UP else listed
 
     def say(self, server: Server) -> None:
@@ -85,12 +85,12 @@
     @precondition(lambda self: not self.events)
     def begin(self, banned: set[str]) -> None:
         """Bans of an earlier process, for ids that are not listed yet."""
-        self.actor.begin(Known(), banned)
+        self.actor.begin(KnownEvents(), banned)
         self.banned, self.kept, self.events = set(banned), set(banned), self.events + 1
 
     @rule(
         said=st.lists(
-            st.tuples(IDS, st.integers(1, 3), st.sampled_from(list(DRAINS)), st.integers(0, 3)),
+            st.tuples(IDS, st.integers(1, 3), st.sampled_from(list(STATUS_BY_STATE)), st.integers(0, 3)),
             max_size=3,
             unique_by=(lambda s: s[0], lambda s: s[1]),
         ),
@@ -104,7 +104,7 @@
         for server in servers:
             self.say(server)
         self.offset, self.events = self.offset + 1, self.events + 1
-        self.actor.receive(BusSaid(BusEvent(self.offset, Topology(servers, full=full))))
+        self.actor.receive(EventReceived(BusEvent(self.offset, Topology(servers, full=full))))
 
     @rule(id=IDS, on=st.booleans(), elsewhere=st.booleans())
     def switched(self, id: str, on: bool, elsewhere: bool) -> None:
@@ -155,7 +155,7 @@
     for n, id in enumerate("abcdef"):
         for state in ("active", "left"):
             server = Server(id, f"127.0.0.1:{n + 1}", state)
-            actor.receive(BusSaid(BusEvent(2 * n, Topology([server]))))
+            actor.receive(EventReceived(BusEvent(2 * n, Topology([server]))))
         assert id != "a" or ban(actor, id, True)
     assert [ban(actor, id, False) for id in "abcdef"] == [True, False, False, False, True, True]
     gevent.sleep(0)
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -10,7 +10,7 @@
 import pytest
 from gevent import socket
 
-from harrieryoke.net.client import CloseIfIdle, PassOn
+from harrieryoke.net.client import CloseIfIdle, TransferWhenIdle
 
 from .clients import BODY, Connection, line, until
 
@@ -82,7 +82,7 @@
         c.ask(1, 2)
         c.block(1)
         c.answer(2)
-        c.actor.try_send(PassOn(lambda sock, name: handed.append(sock)))
+        c.actor.try_send(TransferWhenIdle(lambda sock, name: handed.append(sock)))
         until(lambda: not c.actor.open and not c.actor.mailbox, "nothing open")
         assert not handed
         assert c.read(2) == [(1, len(BODY)), (2, len(BODY))]
@@ -102,7 +102,7 @@
         c.ask(1)
         c.send(*(line(n, "probe") for n in range(2, 42)))
         until(lambda: len(c.actor.mailbox) == 16 and c.actor.unposted, "a full mailbox")
-        c.actor.try_send(CloseIfIdle() if how == "close" else PassOn(lambda sock, name: handed.append(sock)))
+        c.actor.try_send(CloseIfIdle() if how == "close" else TransferWhenIdle(lambda sock, name: handed.append(sock)))
         c.core.gate.set()
         assert sorted(id for id, _ in c.read(41)) == list(range(1, 42))
         assert c.gone.wait(10) and len(handed) == (how == "hand-over")
--- a/tests/test_discovery_crossings.py
+++ b/tests/test_discovery_crossings.py
@@ -21,10 +21,10 @@
 from harrieryoke.limits import Limits
 from harrieryoke.log import Log
 from harrieryoke.net import bus_follower
-from harrieryoke.net.bus_follower import BusFollower, LineBuffer, Moved, Told
-from harrieryoke.net.heartbeats import NEWS_DELAY_MS
-from harrieryoke.net.hostlist import BusEvent, BusSaid, HostListActor, Known, Topology
-from harrieryoke.net.hostlist_model import BusConfirmed, ListReplaced, Server, decode_line, worker_number
+from harrieryoke.net.bus_follower import BusFollower, LineBuffer, AddressChanged, LineReceived
+from harrieryoke.net.heartbeats import PROPAGATION_DELAY_MS
+from harrieryoke.net.hostlist import BusEvent, EventReceived, HostListActor, KnownEvents, Topology
+from harrieryoke.net.hostlist_model import ListConfirmed, ListReplaced, Server, decode_line, worker_number
 
 from .rig import SETTINGS
 
@@ -93,15 +93,15 @@
 
     def __init__(self, last: int = 1, **limits: Any) -> None:
         usual: dict[str, Any] = {"bus_backoff_ms": 10.0, "bus_quiet_ms": 5000.0} | limits
-        self.bus, self.told, self.log, self.gate = Bus(), list[BusSaid | ListReplaced](), Lines(), Event()
+        self.bus, self.told, self.log, self.gate = Bus(), list[EventReceived | ListReplaced](), Lines(), Event()
         self.confirmed: list[float] = []
         self.gate.set()
         where = self.bus.listening.getsockname()[:2]
         self.follower = BusFollower(where, last, replace(Limits(), **usual), self.log, self.tell)
         self.follower.start()
 
-    def tell(self, said: BusSaid | ListReplaced | BusConfirmed) -> None:
-        if isinstance(said, BusConfirmed):
+    def tell(self, said: EventReceived | ListReplaced | ListConfirmed) -> None:
+        if isinstance(said, ListConfirmed):
             return self.confirmed.append(said.at)
         self.told.append(said)
         self.gate.wait()
@@ -112,7 +112,7 @@
                 gevent.sleep(0.002)
 
     def offsets(self) -> list[int]:
-        return [s.event.offset if isinstance(s, BusSaid) else -s.update.offset for s in self.told]
+        return [s.event.offset if isinstance(s, EventReceived) else -s.update.offset for s in self.told]
 
     def end(self) -> None:
         for greenlet in (self.follower.reader, self.follower.greenlet):
@@ -218,7 +218,7 @@
     assert other.asked() == "from 2" and w.bus.ended()
     other.conn.sendall(event(3, entry("new", 2)))
     w.until(lambda: w.offsets() == [2, 3])
-    assert isinstance(said := w.told[1], BusSaid) and said.event.topology is not None
+    assert isinstance(said := w.told[1], EventReceived) and said.event.topology is not None
     assert [s.id for s in said.event.topology.servers] == ["new"]
 
 
@@ -264,7 +264,7 @@
 
 def events_into(told: list[Any]) -> Callable[[object], None]:
     """Keeps what tells of the list, and not that it is confirmed."""
-    return lambda said: None if isinstance(said, BusConfirmed) else told.append(said)
+    return lambda said: None if isinstance(said, ListConfirmed) else told.append(said)
 
 
 def followed(patch: pytest.MonkeyPatch, last: int) -> tuple[BusFollower, list[Any], list[float]]:
@@ -285,10 +285,10 @@
     follower, _, clock = followed(monkeypatch, 5)
     for at, line in ((0.0, b"2"), (4000.0, between), (5000.0, b"2"), (8000.0, b"2")):
         clock[0] = at
-        follower.receive(Told(follower.connection, line))
+        follower.receive(LineReceived(follower.connection, line))
     assert (follower.snapshot is not None) == (between == event(3))
     clock[0] = 12_500.0
-    follower.receive(Told(follower.connection, b"2"))
+    follower.receive(LineReceived(follower.connection, b"2"))
     assert follower.snapshot is not None or between == event(3)
 
 
@@ -298,10 +298,10 @@
     follower, told, clock = followed(monkeypatch, 5)
     for at in (0.0, 8000.0, 9000.0):
         clock[0] = at
-        follower.receive(Told(follower.connection, b"0"))
+        follower.receive(LineReceived(follower.connection, b"0"))
     assert told == [] and follower.last == 0
     for line in (event(1, entry("h1", 1)), b"1"):
-        follower.receive(Told(follower.connection, line))
+        follower.receive(LineReceived(follower.connection, line))
     assert [t.update.whole for t in told] == [False]
 
 
@@ -312,9 +312,9 @@
     high = event(2**52, entry("h6", 6))
     for at, line in ((0.0, high), (1.0, b"6"), (8000.0, b"6")):
         clock[0] = at
-        follower.receive(Told(follower.connection, line))
+        follower.receive(LineReceived(follower.connection, line))
     for line in (event(1, entry("h1", 1), full=True), high, b"6", event(7, entry("h7", 7))):
-        follower.receive(Told(follower.connection, line))
+        follower.receive(LineReceived(follower.connection, line))
     assert [list(t.update.servers) for t in told[1:2]] == [["h1", "h6"]]
     assert [t.event.offset for t in told[2:]] == [7]
 
@@ -325,14 +325,14 @@
     follower, told, clock = followed(monkeypatch, 5)
     for at in (0.0, 8000.0):
         clock[0] = at
-        follower.receive(Told(follower.connection, b"2"))
+        follower.receive(LineReceived(follower.connection, b"2"))
     first, second = ANEW.splitlines()
     old = follower.connection
-    for message in (Told(old, first), Moved(("", 2)), Told(old, second), Told(old, b"2")):
+    for message in (LineReceived(old, first), AddressChanged(("", 2)), LineReceived(old, second), LineReceived(old, b"2")):
         follower.receive(message)
     assert told == [] and follower.last == 0
     for line in (event(1, entry("h7", 7)), b"1"):  # not whole, so that nothing but the move clears the others
-        follower.receive(Told(follower.connection, line))
+        follower.receive(LineReceived(follower.connection, line))
     assert [list(t.update.servers) for t in told] == [["h7"]]
 
 
@@ -367,8 +367,8 @@
     follower.tell_list = heard.append
     for at, line in lines:
         clock[0] = at
-        follower.receive(Told(follower.connection, line))
-    confirmed = [said.at + NEWS_DELAY_MS for said in heard if isinstance(said, BusConfirmed)]
+        follower.receive(LineReceived(follower.connection, line))
+    confirmed = [said.at + PROPAGATION_DELAY_MS for said in heard if isinstance(said, ListConfirmed)]
     assert confirmed == expected
 
 
@@ -386,8 +386,8 @@
     first, most = follower.connection, max(follower.limits.bus_lag_ms, 2 * (latency + period))
     for n in range(1, 601):
         clock[0] = n * period + latency
-        follower.receive(Told(follower.connection, b"5"))
-        assert clock[0] - heard[-1].at <= most + NEWS_DELAY_MS + period
+        follower.receive(LineReceived(follower.connection, b"5"))
+        assert clock[0] - heard[-1].at <= most + PROPAGATION_DELAY_MS + period
     assert follower.connection - first == remade
 
 
@@ -418,7 +418,7 @@
     def say(self, *servers: Any, full: bool = False) -> None:
         self.offset += 1
         said = decode_line(event(self.offset, *servers, full=full))
-        assert isinstance(said, BusSaid)
+        assert isinstance(said, EventReceived)
         self.actor.receive(said)
 
     def state(self) -> dict[str, tuple[i.WorkerStatus, int]]:
@@ -476,7 +476,7 @@
     spoilt = entry("h1", 1, "leaving") | {field: value}
     if isinstance(value, float):  # what JSON can't say comes from a reader that is less strict
         servers = [Server(**spoilt), Server(**entry("h3", 3))]
-        listed.actor.receive(BusSaid(BusEvent(2, Topology(servers, full=full))))
+        listed.actor.receive(EventReceived(BusEvent(2, Topology(servers, full=full))))
     else:
         listed.say(spoilt, entry("h3", 3), full=full)
     assert listed.state() == {"h1": (UP, 1), "h3": (UP, 3)} | ({} if full else {"h2": (UP, 2)})
@@ -504,9 +504,9 @@
     listed: List, full: bool
 ) -> None:
     listed.say(entry("h1", 1, "?"), entry("h2", 2), full=full)
-    listed.actor.receive(BusConfirmed(5.0))
+    listed.actor.receive(ListConfirmed(5.0))
     listed.say(entry("h1", 1))
-    listed.actor.receive(BusConfirmed(6.0))
+    listed.actor.receive(ListConfirmed(6.0))
     assert listed.confirmed == [
         i.ListConfirmed(5.0, frozenset({worker_number("h1")})),
         i.ListConfirmed(6.0),
@@ -517,19 +517,19 @@
     listed: List,
 ) -> None:
     listed.say(entry("", 1))
-    listed.actor.receive(BusConfirmed(5.0))
+    listed.actor.receive(ListConfirmed(5.0))
     listed.say(entry("h1", 1))
-    listed.actor.receive(BusConfirmed(6.0))
+    listed.actor.receive(ListConfirmed(6.0))
     assert listed.confirmed == []
     listed.say(entry("h1", 1), full=True)
-    listed.actor.receive(BusConfirmed(7.0))
+    listed.actor.receive(ListConfirmed(7.0))
     assert listed.confirmed == [i.ListConfirmed(7.0)]
 
 
 def test_the_list_of_the_start_is_as_old_as_the_file_that_holds_it() -> None:
     made = List()
-    made.actor.begin(Known(1, [BusEvent(1, Topology([Server(**entry("h1", 1))]))]), as_of=5.0)
-    assert made.confirmed == [i.ListConfirmed(5.0 - NEWS_DELAY_MS)]
+    made.actor.begin(KnownEvents(1, [BusEvent(1, Topology([Server(**entry("h1", 1))]))]), as_of=5.0)
+    assert made.confirmed == [i.ListConfirmed(5.0 - PROPAGATION_DELAY_MS)]
     made.actor.strike("h1", now=True)
     gevent.sleep(0)
 
@@ -565,7 +565,7 @@
         event(4, entry("h1", 1, "left"), entry("h4", 4), full=True),
         event(4, full=True),
     ):
-        follower.receive(Told(follower.connection, line))
+        follower.receive(LineReceived(follower.connection, line))
     for said in told:
         made.actor.receive(said)
     assert made.state() == {"h4": (UP, 4)} and follower.last == 4
@@ -609,9 +609,9 @@
     steps += [entry("h2", 2, "left"), entry("h2", 2), entry("h2", 2, "left"), entry("h3", 3), entry("h4", 3)]
     servers = [Server(**step) for step in steps]
     if begins:
-        made.actor.begin(Known(8, [BusEvent(n, Topology([s])) for n, s in enumerate(servers)]))
+        made.actor.begin(KnownEvents(8, [BusEvent(n, Topology([s])) for n, s in enumerate(servers)]))
     else:
-        made.actor.receive(BusSaid(BusEvent(1, Topology(servers))))
+        made.actor.receive(EventReceived(BusEvent(1, Topology(servers))))
     assert made.state() == {"h1": (UP, 1), "h4": (UP, 3)}
     assert made.module[worker_number("h1")].start_stamp == 5
     for id in list(made.actor.hosts):
@@ -623,7 +623,7 @@
     made = List()
     steps = [entry("h1", 1), entry("h2", 1), entry("h2", 1, "left")]
     batch = [BusEvent(n, Topology([Server(**step)])) for n, step in enumerate(steps)]
-    made.actor.begin(Known(2, batch))
+    made.actor.begin(KnownEvents(2, batch))
     assert made.state() == {}
 
 
@@ -662,7 +662,7 @@
         patch.setattr(bus_follower, "spawn", lambda *reader: None)
         follower.connect(0.0)
         for _ in range(2):  # the second time it is left out
-            follower.receive(Told(follower.connection, json.dumps(said).encode()))
+            follower.receive(LineReceived(follower.connection, json.dumps(said).encode()))
     changes = len(made.log.of("list"))
     for each in told:
         made.actor.receive(each)
@@ -678,6 +678,6 @@
     deep = b"[" * 100_000 + b"]" * 100_000
     for line in (b'{"offset":2,"x":' + deep + b"}", b'{"offset":2,"topology":{"servers":[' + deep + b"]}}"):
         for _ in range(2):
-            follower.receive(Told(follower.connection, line))
-    follower.receive(Told(follower.connection, event(2)))
+            follower.receive(LineReceived(follower.connection, line))
+    follower.receive(LineReceived(follower.connection, event(2)))
     assert [t.event.offset for t in told] == [2]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,7 +8,7 @@
 
 from harrieryoke import interface as i
 from harrieryoke.brain import Router
-from harrieryoke.net.answers import read_report
+from harrieryoke.net.answers import parse_load_report
 
 from .rig import SETTINGS, workers
 
@@ -263,7 +263,7 @@
 
 
 def test_the_load_report_of_an_answer_is_read_under_the_names_of_the_settings() -> None:
-    report = read_report("concurrent:10.5;depth:0;x1:1")
+    report = parse_load_report("concurrent:10.5;depth:0;x1:1")
     assert report == i.LoadReport(in_progress=10.5, loads=1.0)
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,7 +13,7 @@
 
 from harrieryoke.limits import Limits
 from harrieryoke.log import Log
-from harrieryoke.net.platform import Resume, Yield
+from harrieryoke.net.platform import ResumeAccepting, TransferClients
 from harrieryoke.upgrade.link import Upgrade
 from harrieryoke.upgrade.messages import Link, LinkLost, PeerMessageReceived, Serving
 
@@ -97,9 +97,9 @@
         while True:
             yield Wait(lambda: self.old_lives and self.front, "message", idle=True)
             match self.front.pop(0):
-                case Yield():
+                case TransferClients():
                     self.old_accepts = False
-                case Resume():
+                case ResumeAccepting():
                     self.old_accepts = not self.old_ends
 
     def accepting(self, able: Callable[[], bool]) -> Iterator[Wait]:
@@ -151,7 +151,7 @@
 
     def receive(self, message: Any) -> None:
         if isinstance(message, Accepting):
-            self.front.blocking_send(Yield(lambda sock, name: None))
+            self.front.blocking_send(TransferClients(lambda sock, name: None))
         super().receive(message)
 
 
--- a/tests/test_host_crossings.py
+++ b/tests/test_host_crossings.py
@@ -21,8 +21,8 @@
 from harrieryoke.limits import Limits
 from harrieryoke.log import Log
 from harrieryoke.net import frames
-from harrieryoke.net.host import FIRST_OWN_ID, HostActor, Lost, Standing, Writable
-from harrieryoke.net.link import HostSocket, Link, Unsent, host_socket
+from harrieryoke.net.host import FIRST_INTERNAL_FRAME_ID, HostActor, LinkLost, HostStatus, LinkWritable
+from harrieryoke.net.link import HostSocket, Link, PendingFrame, host_socket
 
 PATIENCE = 20.0  # seconds for what should come at once
 KINDS = i.Settings((i.RequestClass("weight-read", 1000, 4000),))
@@ -73,7 +73,7 @@
         self.ends: list[tuple[Task, i.Outcome]] = []
         self.peers: list[Peer] = []
         self.dialling: Callable[[], object] = lambda: None
-        where = Standing(self.listening.getsockname())
+        where = HostStatus(self.listening.getsockname())
         limits = limits or Limits(write_ms=20000.0, silent_ms=20000.0)
         super().__init__("h", where, KINDS, limits, Log(), self.note, Metrics())
 
@@ -182,7 +182,7 @@
     stage.standing.drain, stage.standing.replaced = i.WorkerStatus.UP, False
     stage.send(marker)
     stage.until(lambda: stage.peers[0].heard)
-    assert stage.peers[0].heard == [(frames.HOLD, FIRST_OWN_ID + 1)] and stage.tries() == 0
+    assert stage.peers[0].heard == [(frames.HOLD, FIRST_INTERNAL_FRAME_ID + 1)] and stage.tries() == 0
 
 
 @pytest.mark.parametrize("news", NEWS)
@@ -278,7 +278,7 @@
             raise BlockingIOError(11, "full", 0)
 
     task = attempt(1)
-    frame = Unsent(frames.REQUEST, 1, task, b"data")
+    frame = PendingFrame(frames.REQUEST, 1, task, b"data")
     assert not Link(Unready(), frames.Decoder(0)).write(frame) and frame.data == b"data"
     assert not task.write_started and not frame.begun
 
@@ -355,7 +355,7 @@
     stage.send(old)
     stage.until(lambda: stage.peers[0].heard)
     stage.peers[0].sock.close()
-    stage.until(lambda: any(isinstance(m, Lost) for m in stage.mailbox), step=False)
+    stage.until(lambda: any(isinstance(m, LinkLost) for m in stage.mailbox), step=False)
     stage.send(new)
     stage.until(lambda: stage.peers[1].heard)
     assert stage.peers[1].heard == [request(2)] and stage.ends == [(old, RESET)]
@@ -366,7 +366,7 @@
     large, link = stage.blocked(LARGE[:9000])
     stage.send(queued)
     stage.reading.set()
-    stage.until(lambda: any(isinstance(m, Writable) for m in stage.mailbox), step=False)
+    stage.until(lambda: any(isinstance(m, LinkWritable) for m in stage.mailbox), step=False)
     begun = link.backlog[0]
     written = len(stage.encode(begun, large)) - len(begun.data)
     stage.until(lambda: len(stage.peers[0].decoder.rest) == written, step=False)  # there is room for both
--- a/tests/test_interleave.py
+++ b/tests/test_interleave.py
@@ -22,8 +22,8 @@
 from harrieryoke.limits import Limits
 from harrieryoke.log import Log
 from harrieryoke.net import frames, host, hostlist
-from harrieryoke.net.host import Heard, HostActor
-from harrieryoke.net.hostlist import BusEvent, BusSaid, HostListActor, Server, Topology, worker_number
+from harrieryoke.net.host import FramesReceived, HostActor
+from harrieryoke.net.hostlist import BusEvent, EventReceived, HostListActor, Server, Topology, worker_number
 from harrieryoke.reload import merge
 
 from .interleave import Counts, Failed, Thread, Wait, World, actor_thread, explore, pause, replay, shape
@@ -233,7 +233,7 @@
     def close(self) -> None: ...
 
     def sendall(self, data: bytes) -> None:
-        _, code, _, _, id = frames.HEAD.unpack_from(data)
+        _, code, _, _, id = frames.HEADER.unpack_from(data)
         if code == frames.REQUEST:
             self.actor.world.write(self.actor, id)
             pause("written")
@@ -302,7 +302,7 @@
         self.reports: Counter[Task] = Counter()
         self.list = WatchedList(SETTINGS, Limits(), self.log, self.core.blocking_send, self.report, Metrics())
         self.list.apply([Server("h1", "10.0.0.1:9", "active")], i.ListScope.REMEMBERED)
-        said = BusSaid(BusEvent(1, NEWS[news]))
+        said = EventReceived(BusEvent(1, NEWS[news]))
         self.threads |= {
             "client": [self.offer(0), self.offer(1), self.withdraw(1)],
             "bus": [("say", lambda: self.list.blocking_send(said))],
@@ -328,7 +328,7 @@
             yield Wait(lambda: self.asked, "answer", idle=True)
             actor, id = self.asked.pop(0)
             for link in actor.links:
-                actor.blocking_send(Heard(link, [frames.Frame(frames.OK, id, {})]))
+                actor.blocking_send(FramesReceived(link, [frames.Frame(frames.OK, id, {})]))
 
     def check(self) -> None:
         super().check()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -13,7 +13,7 @@
 from harrieryoke.limits import Limits
 from harrieryoke.log import Log
 from harrieryoke.net.frames import Decoder
-from harrieryoke.net.host import HostActor, Standing
+from harrieryoke.net.host import HostActor, HostStatus
 from harrieryoke.net.link import Link
 
 from .scenario import Scene, run
@@ -322,7 +322,7 @@
         return got
 
     monkeypatch.setattr(socket, "create_connection", dial)
-    actor = HostActor("h", Standing(("127.0.0.1", 9)), KINDS, Limits(), Log(), lambda ended: None, Metrics())
+    actor = HostActor("h", HostStatus(("127.0.0.1", 9)), KINDS, Limits(), Log(), lambda ended: None, Metrics())
     with actor.connect() as sock:
         assert sock and not said
     said.append(ConnectionRefusedError())
@@ -337,7 +337,7 @@
         def close(self) -> None: ...
 
     ends: list[TaskEnded] = []
-    actor = HostActor("h", Standing(("127.0.0.1", 9)), KINDS, Limits(), Log(), ends.append, Metrics())
+    actor = HostActor("h", HostStatus(("127.0.0.1", 9)), KINDS, Limits(), Log(), ends.append, Metrics())
     old, new = (AttemptTask(1, 1e18, 0.0, call=Call(f"{n:016x}", 0, "f", 1e18)) for n in (1, 2))
     link = Link(Broken(), Decoder(0), {1: old})
     actor.links.append(link)
--- a/tests/test_shutdown_crossings.py
+++ b/tests/test_shutdown_crossings.py
@@ -10,7 +10,7 @@
 from gevent.event import Event
 
 from harrieryoke.net.client import CloseIfIdle
-from harrieryoke.net.platform import Accepted, Resume, StopListening, Yield
+from harrieryoke.net.platform import ConnectionAccepted, ResumeAccepting, StopListening, TransferClients
 
 from .clients import BODY, PATIENCE, Connection, Front, line, read, until
 from .scenario import Scene, ending
@@ -124,9 +124,9 @@
 
 def test_front_ends_with_its_listener_unless_that_was_closed_on_purpose() -> None:
     f, broken = Front(), Event()
-    f.front.blocking_send(Yield(lambda sock, name: None))
+    f.front.blocking_send(TransferClients(lambda sock, name: None))
     until(lambda: f.front.yielded and not f.front.listeners, "the listener's end")
-    f.front.blocking_send(Resume())
+    f.front.blocking_send(ResumeAccepting())
     assert read(f.connect(line(1, "probe")), 1) == [(1, 0)]
 
     def fail(entry: socket.socket) -> None:
@@ -173,12 +173,12 @@
 
 def test_stop_waits_for_a_connection_in_the_mailbox() -> None:
     f = Front()
-    f.front.blocking_send(Yield(lambda sock, name: None))
+    f.front.blocking_send(TransferClients(lambda sock, name: None))
     until(lambda: f.front.yielded and not f.front.listeners, "the listener's end")
     sock = f.connect(line(1))
     served, _ = f.listening.accept()
     f.front.try_send(StopListening())
-    f.front.try_send(Accepted(served, "c:1", asked=True))
+    f.front.try_send(ConnectionAccepted(served, "c:1", asked=True))
     answered(f, sock)
 
 
