--- a/harrieryoke/council/greet.py
+++ b/harrieryoke/council/greet.py
@@ -55,7 +55,7 @@
     decoder = Decoder(pb.Frame, MOST_HELLO)
     while data := sock.recv(MOST_HELLO):
         for frame in decoder.feed(data):
-            if decoder.rest:
+            if decoder.buffer:
                 raise WireError("more was said than was asked for")
             return frame
     raise OSError("closed without an answer")
--- a/harrieryoke/council/listen.py
+++ b/harrieryoke/council/listen.py
@@ -163,13 +163,13 @@
     def read(self, one: Incoming, seat: Seat) -> None:
         decoder = Decoder(pb.Frame, MOST_FRAME)
         while True:
-            wait_ms = self.told.write_ms if decoder.rest else self.told.idle_ms
+            wait_ms = self.told.write_ms if decoder.buffer else self.told.idle_ms
             one.sock.settimeout(2 * wait_ms / 1000)
             try:
                 data = one.sock.recv(CHUNK)
             except TimeoutError:
-                if decoder.rest:
-                    raise WireError(f"nothing came after {len(decoder.rest)} bytes of a frame") from None
+                if decoder.buffer:
+                    raise WireError(f"nothing came after {len(decoder.buffer)} bytes of a frame") from None
                 raise
             if not data:
                 return
--- a/harrieryoke/net/bus_follower.py
+++ b/harrieryoke/net/bus_follower.py
@@ -15,8 +15,8 @@
 from ..log import Log
 from .heartbeats import Heartbeats
 from .hostlist_model import (
-    ListConfirmed,
     EventReceived,
+    ListConfirmed,
     ListReplaced,
     ListUpdate,
     Snapshot,
@@ -32,7 +32,7 @@
 class AddressChanged:
     """The bus has another address now."""
 
-    where: tuple[str, int]
+    address: tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,18 +57,18 @@
 
     def __init__(self, limits: Limits, now: float) -> None:
         self.limits, self.partial = limits, b""
-        self.heard = now  # when the last whole line came
-        self.begun = now  # when the first byte of the line that has begun came
+        self.last_line_at = now  # when the last whole line came
+        self.line_started_at = now  # when the first byte of the line that has begun came
 
     def feed(self, data: bytes, now: float) -> list[bytes]:
         """The lines that are whole now, without blank ones. Raises ValueError for a line without end."""
         *whole, partial = (self.partial + data).split(b"\n")
         if whole or not self.partial:
-            self.begun = now
+            self.line_started_at = now
         self.partial = partial
         lines = [line for line in whole if line.strip()]
         if lines:
-            self.heard = now
+            self.last_line_at = now
         elif now > self.deadline():
             raise ValueError("no whole line in time")
         if len(partial) > MAX_LINE_FACTOR * self.limits.line_bytes:
@@ -78,14 +78,14 @@
     def deadline(self) -> float:
         """When the next whole line has to be there."""
         if self.partial:
-            return self.begun + self.limits.bus_line_ms
-        return self.heard + self.limits.bus_quiet_ms
+            return self.line_started_at + self.limits.bus_line_ms
+        return self.last_line_at + self.limits.bus_quiet_ms
 
-    def resume(self, now: float) -> None:
+    def restart_deadline(self, now: float) -> None:
         """Waiting for room in the follower's mailbox is not the bus's silence."""
-        self.heard = self.begun = now
+        self.last_line_at = self.line_started_at = now
 
-    def patience_ms(self, now: float) -> float:
+    def read_timeout_ms(self, now: float) -> float:
         """How long the next read may take."""
         return max(1.0, min(self.deadline() - now, self.limits.bus_quiet_ms))
 
@@ -106,20 +106,22 @@
         tell: Callable[[EventReceived | ListReplaced | ListConfirmed], Any],
     ) -> None:
         super().__init__("event bus", limits.list_mailbox, log, reserve=limits.list_mailbox // 4)
-        self.where, self.last, self.limits, self.tell_list = where, last, limits, tell
+        self.address, self.last_offset, self.limits, self.send_to_list = where, last, limits, tell
         self.connection = 0
         self.heartbeats = Heartbeats(now_ms())
         self.incomplete = False  # a line that could not be read was left out, and no whole list came since
         self.reader: gevent.Greenlet | None = None
-        self.pause = limits.bus_backoff_ms
-        self.steady_at = (
+        self.backoff_ms = limits.bus_backoff_ms
+        self.stable_at = (
             0.0  # from then on a connection has stood long enough to begin with short pauses again
         )
         self.behind_since: float | None = None  # when the bus first named a number below `last`
         self.snapshot: Snapshot | None = None  # what has been fetched of a bus that numbers anew
-        self.unreadable = self.skipped = -1  # the event after which a line could not be read, or was left out
+        self.unreadable_after = (
+            self.skipped_after
+        ) = -1  # the event after which a line could not be read, or was left out
 
-    def move(self, where: tuple[str, int]) -> bool:
+    def change_address(self, where: tuple[str, int]) -> bool:
         """Follows the bus at another address, once the actor comes to it."""
         return self.blocking_send(AddressChanged(where))
 
@@ -134,19 +136,19 @@
             self.reader.kill(block=False)
         self.connection += 1
         self.heartbeats = Heartbeats(now_ms() + pause)
-        self.steady_at = now_ms() + pause + self.limits.bus_quiet_ms
+        self.stable_at = now_ms() + pause + self.limits.bus_quiet_ms
         self.behind_since = None
         if self.snapshot is not None:
-            self.snapshot, self.last = Snapshot(), 0
-        number, where, last = self.connection, self.where, self.last
+            self.snapshot, self.last_offset = Snapshot(), 0
+        number, where, last = self.connection, self.address, self.last_offset
         self.reader = spawn(
             self.log,
             "event bus reader",
-            lambda: self.read(number, where, last, pause),
+            lambda: self.run_connection(number, where, last, pause),
             lambda: self.blocking_send(ConnectionEnded(number, "its reader ended")),
         )
 
-    def read(self, number: int, where: tuple[str, int], last: int, pause: float) -> None:
+    def run_connection(self, number: int, where: tuple[str, int], last: int, pause: float) -> None:
         """One connection's life."""
         try:
             gevent.sleep(pause / 1000)
@@ -164,7 +166,7 @@
         ValueError when a line does not end."""
         buffer = LineBuffer(self.limits, now_ms())
         while True:
-            sock.settimeout(buffer.patience_ms(now_ms()) / 1000)
+            sock.settimeout(buffer.read_timeout_ms(now_ms()) / 1000)
             data = sock.recv(RECV_BYTES)
             if not data:
                 return
@@ -172,89 +174,96 @@
             for line in lines:
                 self.blocking_send(LineReceived(number, line))
             if lines:
-                buffer.resume(now_ms())
+                buffer.restart_deadline(now_ms())
 
     def receive(self, message: Any) -> None:
         """One message of the mailbox; those of an earlier connection are dropped."""
         match message:
-            case AddressChanged(where) if where != self.where:
-                self.log("bus-moved", f"to {where[0]}:{where[1]}, from event {self.last} on")
-                self.where, self.pause = where, self.limits.bus_backoff_ms
+            case AddressChanged(where) if where != self.address:
+                self.log("bus-moved", f"to {where[0]}:{where[1]}, from event {self.last_offset} on")
+                self.address, self.backoff_ms = where, self.limits.bus_backoff_ms
                 self.connect(0.0)
             case LineReceived(number, line) if number == self.connection:
                 try:
-                    self.line(line)
+                    self.handle_line(line)
                 except ValueError as error:
-                    self.lost(str(error))
+                    self.reconnect(str(error))
             case ConnectionEnded(number, reason) if number == self.connection:
-                self.lost(reason)
+                self.reconnect(reason)
 
-    def lost(self, reason: str) -> None:
+    def reconnect(self, reason: str) -> None:
         """The connection is given up and made anew, after a pause that grows up to its bound."""
-        self.log("bus-lost", f"after event {self.last}: {reason}")
-        pause = self.pause
-        self.pause = min(2 * pause, self.limits.bus_backoff_most_ms)
+        self.log("bus-lost", f"after event {self.last_offset}: {reason}")
+        pause = self.backoff_ms
+        self.backoff_ms = min(2 * pause, self.limits.bus_backoff_most_ms)
         self.connect(pause)
 
-    def line(self, line: bytes) -> None:
+    def handle_line(self, line: bytes) -> None:
         """A line of this connection. Raises ValueError where the connection can't be trusted further."""
         try:
             said = decode_line(line)
         except ValueError as error:
-            if self.unreadable != self.last:
-                self.unreadable = self.last  # it may have been spoilt on its way: asked for once more
+            if self.unreadable_after != self.last_offset:
+                self.unreadable_after = (
+                    self.last_offset
+                )  # it may have been spoilt on its way: asked for once more
                 raise
             # asked for again and again, it would keep all events behind it from being heard
-            self.skipped, self.incomplete = self.last, True
-            return self.log("bad-event", f"after event {self.last}, and again: {error}: {line[:200]!r}")
+            self.skipped_after, self.incomplete = self.last_offset, True
+            return self.log(
+                "bad-event", f"after event {self.last_offset}, and again: {error}: {line[:200]!r}"
+            )
         if isinstance(said, int):
-            self.number(said)
+            self.handle_heartbeat(said)
         else:
-            self.event(said)
-        if now_ms() >= self.steady_at:
-            self.pause = self.limits.bus_backoff_ms
+            self.handle_event(said)
+        if now_ms() >= self.stable_at:
+            self.backoff_ms = self.limits.bus_backoff_ms
 
-    def event(self, said: EventReceived) -> None:
+    def handle_event(self, said: EventReceived) -> None:
         """One event; an old or repeated one changes nothing."""
         offset = said.event.offset
-        if offset <= self.last:
+        if offset <= self.last_offset:
             return
-        self.last, self.behind_since = offset, None
+        self.last_offset, self.behind_since = offset, None
         if self.snapshot is not None:
             update = validate_event(said)
-            return self.snapshot.take(update) if update is not None else None
-        self.pause = self.limits.bus_backoff_ms
+            return self.snapshot.apply(update) if update is not None else None
+        self.backoff_ms = self.limits.bus_backoff_ms
         if said.event.topology is not None and said.event.topology.full:
             self.incomplete = False
-        self.tell_list(said)
+        self.send_to_list(said)
 
-    def number(self, number: int) -> None:
+    def handle_heartbeat(self, number: int) -> None:
         """The heartbeat: the number of the bus's last event."""
-        as_of = self.heartbeats.take(now_ms())
-        if number > self.last:
-            if self.skipped != self.last:
+        as_of = self.heartbeats.record(now_ms())
+        if number > self.last_offset:
+            if self.skipped_after != self.last_offset:
                 raise ValueError(f"the bus is at {number}, and its events have not come")
-            self.last = number
+            self.last_offset = number
         if self.snapshot is not None and number > 0:
-            self.last = number  # also where an event came under a higher offset: the bus's own number counts
-            self.finish_snapshot(self.snapshot.update(number))
-            return self.confirm(as_of)
-        if number >= self.last:
+            self.last_offset = (
+                number  # also where an event came under a higher offset: the bus's own number counts
+            )
+            self.finish_snapshot(self.snapshot.to_update(number))
+            return self.confirm_list(as_of)
+        if number >= self.last_offset:
             self.behind_since = None
-            self.confirm(as_of)
+            self.confirm_list(as_of)
         elif self.behind_since is None:
             self.behind_since = now_ms()
         elif now_ms() - self.behind_since > self.limits.bus_anew_ms:
             self.log(
-                "bus-anew", f"the bus is at {number}, below event {self.last}: its events are fetched anew"
+                "bus-anew",
+                f"the bus is at {number}, below event {self.last_offset}: its events are fetched anew",
             )
             self.snapshot = Snapshot()
             self.connect(0.0)
 
-    def confirm(self, as_of: float) -> None:
+    def confirm_list(self, as_of: float) -> None:
         """All changes before that time have come."""
         if not self.incomplete:
-            self.tell_list(ListConfirmed(as_of))
+            self.send_to_list(ListConfirmed(as_of))
         if self.heartbeats.lags(now_ms(), self.limits.bus_lag_ms):
             self.connect(0.0)
 
@@ -262,4 +271,4 @@
         """All events of a bus that numbers anew are there."""
         self.snapshot, self.incomplete = None, False
         self.log("bus-anew", f"{len(update.servers)} model hosts as of event {update.offset}")
-        self.tell_list(ListReplaced(update))
+        self.send_to_list(ListReplaced(update))
--- a/harrieryoke/net/client.py
+++ b/harrieryoke/net/client.py
@@ -58,7 +58,7 @@
 @dataclass(frozen=True, slots=True)
 class LineReceived:
     data: bytes
-    at: float
+    received_at: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +77,7 @@
     """Nothing more is expected here: the connection closes once no request is open on it and no line is half
     read. The line that was begun at `stalled`, and no other, has come to a stop and is not waited for."""
 
-    stalled: float | None = None
+    stalled_line_at: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,7 +85,7 @@
     """The connection goes to another process once no request is open on it: `to` gets the socket, and with it
     all that nobody has read yet, and the client's name."""
 
-    to: Callable[[socket.socket, str], object]
+    transfer: Callable[[socket.socket, str], object]
 
 
 class ClientActor(Actor):
@@ -106,24 +106,32 @@
         super().__init__(f"client {name}", limits.client_mailbox, log, reserve=limits.client_mailbox * 3 // 4)
         # a client that reads nothing for this long loses its connection
         sock.settimeout(limits.write_ms / 1000)
-        self.sock, self.maker, self.core, self.limits, self.gone = sock, maker, core, limits, gone
+        self.sock, self.maker, self.core, self.limits, self.on_closed = sock, maker, core, limits, gone
         self.pauses = pauses
         self.client, self.peer = name, name.rpartition(":")[0]
         self.open: dict[int, Call] = {}
         self.ids: dict[Call, int] = {}
-        self.stopping = False
-        self.stalled: float | None = None  # when a line was begun that is not waited for
-        self.going: TransferWhenIdle | None = None
+        self.close_requested = False
+        self.stalled_line_at: float | None = None  # when a line was begun that is not waited for
+        self.transfer_request: TransferWhenIdle | None = None
         self.partial = b""  # of a line that is not yet whole
         self.unposted: list[bytes] = []  # whole lines that are not in the mailbox yet, the newest first
-        self.came = 0.0  # when they came, at the earliest
-        self.used = now_ms()  # the last sign of life, or the first byte of a line that is not yet whole
-        self.asked = False  # a whole line has come
+        self.received_at = 0.0  # when they came, at the earliest
+        self.last_active = (
+            now_ms()
+        )  # the last sign of life, or the first byte of a line that is not yet whole
+        self.has_sent_line = False  # a whole line has come
         # usual answers to all requests that may be open at once, and some long ones among them
         usual_bytes = limits.open_per_connection * (limits.body_bytes * 4 // 3 + ANSWER_OVERHEAD_BYTES)
         most_bytes = usual_bytes + MAX_LONG_ANSWERS * limits.answer_bytes * 4 // 3
         self.outgoing = OutgoingQueue(
-            sock, self.name, MAX_UNSENT_MESSAGES, most_bytes, log, lambda: self.try_send(OutputDrained()), self.lost
+            sock,
+            self.name,
+            MAX_UNSENT_MESSAGES,
+            most_bytes,
+            log,
+            lambda: self.try_send(OutputDrained()),
+            self.write_failed,
         )
 
     # --- the core's side ---
@@ -142,23 +150,27 @@
 
     # --- the connection ---
 
-    def quiet(self, now: float) -> float | None:
+    def idle_ms(self, now: float) -> float | None:
         """For how long nothing has come that is whole; None while something is open. The front reads this."""
-        return None if self.open or self.mailbox or self.unposted or self.outgoing.unsent else now - self.used
+        return (
+            None
+            if self.open or self.mailbox or self.unposted or self.outgoing.unsent
+            else now - self.last_active
+        )
 
-    def stale(self, now: float, resumed: float) -> bool:
+    def is_stale(self, now: float, resumed: float) -> bool:
         """Whether the client never asks, has stopped within a line, or never closes: its descriptor is wanted
         for others. A pause of this process, the last of which ended at `resumed`, was no silence of the
         client."""
-        idle = self.asked and not self.partial
-        quiet = min(self.quiet(now) or 0.0, now - resumed)
+        idle = self.has_sent_line and not self.partial
+        quiet = min(self.idle_ms(now) or 0.0, now - resumed)
         return quiet > (self.limits.client_idle_ms if idle else self.limits.client_ask_ms)
 
-    def close_stale(self) -> bool:
+    def close_if_idle(self) -> bool:
         """Has the connection closed, unless the client goes on before its actor comes to it."""
-        return self.try_send(CloseIfIdle(self.used if self.partial else None))
+        return self.try_send(CloseIfIdle(self.last_active if self.partial else None))
 
-    def unread(self) -> bool:
+    def has_unread_bytes(self) -> bool:
         """Whether something has come that the reader has not taken yet."""
         self.sock.settimeout(0)
         try:
@@ -173,44 +185,48 @@
         self.start_reading()
 
     def start_reading(self) -> None:
-        self.reader = spawn(self.log, f"{self.name} reader", self.read)
+        self.reader = spawn(self.log, f"{self.name} reader", self.read_stream)
 
-    def read(self) -> None:
+    def read_stream(self) -> None:
         """The reader's greenlet: cuts the stream into lines."""
         try:
-            while self.post():
+            while self.post_lines():
                 try:
                     data = self.sock.recv(self.limits.line_bytes // 4)
                 except TimeoutError as error:
                     if is_broken_off(error):
                         break
                     continue
-                if not data or not self.cut(self.partial + data):
+                if not data or not self.split_lines(self.partial + data):
                     break
         except OSError:
             pass  # a reset: as the end of the stream
-        self.end()
+        self.end_connection()
 
-    def cut(self, data: bytes) -> bool:
+    def split_lines(self, data: bytes) -> bool:
         """Keeps the whole lines to be posted and the part behind them; False where a line is too long."""
         *lines, partial = data.split(b"\n")
         if max(map(len, [*lines, partial])) > self.limits.line_bytes:
             self.log("bad-client", f"{self.name}: a line of more than {self.limits.line_bytes} bytes")
             return False
         now = now_ms()
-        self.came = self.pauses.earliest(now)
+        self.received_at = self.pauses.earliest(now)
         if lines or not self.partial:
-            self.used = now
-        self.asked, self.partial, self.unposted = self.asked or bool(lines), partial, lines[::-1]
+            self.last_active = now
+        self.has_sent_line, self.partial, self.unposted = (
+            self.has_sent_line or bool(lines),
+            partial,
+            lines[::-1],
+        )
         return True
 
-    def post(self) -> bool:
+    def post_lines(self) -> bool:
         """Posts the whole lines; False where the connection has ended. Backpressure on the client: waits
         while the mailbox is full up to its reserve, unless the client goes. The end of the stream lies
         behind what was not read, so `recv` would show it too late."""
         while self.unposted and not self.finished:
             if len(self.mailbox) < self.capacity - self.reserve:
-                self.try_send(LineReceived(self.unposted.pop(), self.came))
+                self.try_send(LineReceived(self.unposted.pop(), self.received_at))
             elif has_hung_up(self.sock):
                 return False
             else:
@@ -218,7 +234,7 @@
                 self.space_available.wait(HANG_UP_POLL_MS / 1000)
         return not self.finished
 
-    def end(self) -> None:
+    def end_connection(self) -> None:
         """The connection is over, at once and ahead of what is in the mailbox: lines not yet handled are
         dropped, nothing is written, and no attempt may begin for what is open."""
         self.finished = True
@@ -228,37 +244,37 @@
         self.message_arrived.set()
         self.space_available.set()
 
-    def lost(self, reason: str) -> None:
+    def write_failed(self, reason: str) -> None:
         """Nothing more can be written to the client."""
         self.log("client-lost", f"{self.name}: {reason}")
-        self.end()
+        self.end_connection()
 
     def receive(self, message: Any) -> None:
         match message:
             case LineReceived(data, at):
                 if data.strip():
-                    self.line(data, at)
+                    self.handle_line(data, at)
             case AnswerReady(call, reply):
-                self.answer(call, reply)
+                self.write_answer(call, reply)
             case CloseIfIdle(stalled):
-                self.stopping, self.stalled = True, stalled
+                self.close_requested, self.stalled_line_at = True, stalled
             case TransferWhenIdle():
-                self.going = message
+                self.transfer_request = message
             case OutputDrained():
                 pass  # whoever waits for this goes on below
         if not (self.finished or self.open or self.mailbox or self.unposted or self.outgoing.unsent):
-            self.leave_if_asked()
+            self.close_or_transfer()
 
-    def leave_if_asked(self) -> None:
+    def close_or_transfer(self) -> None:
         """Nothing is open, unsent or on its way through the mailbox."""
-        if self.partial and self.stalled != self.used:
+        if self.partial and self.stalled_line_at != self.last_active:
             return
-        if self.going is not None and not self.partial:
-            self.hand_over(self.going)
-        elif self.stopping and not self.unread():
+        if self.transfer_request is not None and not self.partial:
+            self.transfer(self.transfer_request)
+        elif self.close_requested and not self.has_unread_bytes():
             self.finished = True
 
-    def hand_over(self, going: TransferWhenIdle) -> None:
+    def transfer(self, going: TransferWhenIdle) -> None:
         """The socket is another's from here: nothing is read or written on it. What the reader took off it
         as it was ended keeps the connection here for now."""
         self.reader.kill()
@@ -268,9 +284,9 @@
             return self.start_reading()
         self.finished, handed = True, self.sock
         self.sock = socket.socket()
-        going.to(handed, self.client)
+        going.transfer(handed, self.client)
 
-    def line(self, data: bytes, at: float) -> None:
+    def handle_line(self, data: bytes, at: float) -> None:
         id, method = None, ""
         try:
             m = decode_message(data)
@@ -278,7 +294,7 @@
             if m.jsonrpc != "2.0":
                 raise BadRequestError(INVALID, "jsonrpc: '2.0' is wanted")
             if method == "giveUp":
-                return self.give_up(m)
+                return self.handle_give_up(m)
             if m.id is None or m.id in self.open:
                 # a second answer could come under an id that is still open
                 raise BadRequestError(INVALID, "id: a new number is wanted")
@@ -287,19 +303,19 @@
                 return self.write({"id": id, "result": {"healthy": True}})
             if len(self.open) >= self.limits.open_per_connection:
                 raise BadRequestError(REFUSED, "too many open requests on this connection")
-            call = self.call(method, bytes(m.params), at)
+            call = self.create_call(method, bytes(m.params), at)
         except BadRequestError as error:
-            return self.reject(id, method, error)
+            return self.reject_line(id, method, error)
         self.open[id], self.ids[call] = call, id
         self.core.offer(call, self)
 
-    def reject(self, id: int | None, method: str, error: BadRequestError) -> None:
+    def reject_line(self, id: int | None, method: str, error: BadRequestError) -> None:
         self.log("bad-request", f"{self.name}: {error}")
         if method in self.maker.classes:
             self.core.figures.count_final_answer(method, "refused" if error.code == REFUSED else "failed")
         self.write({"id": id, "error": {"code": error.code, "message": str(error)}})
 
-    def call(self, method: str, params: bytes, at: float) -> Call:
+    def create_call(self, method: str, params: bytes, at: float) -> Call:
         if method not in self.maker.classes:
             raise BadRequestError(NO_METHOD, f"no class {method[:64]!r}")
         try:
@@ -312,7 +328,7 @@
         except (msgspec.MsgspecError, BadCall, ValueError) as error:
             raise BadRequestError(BAD_PARAMS, str(error)) from None
 
-    def give_up(self, m: Message) -> None:
+    def handle_give_up(self, m: Message) -> None:
         """Named by its id or its rid; after this nothing is written for it."""
         try:
             p: GiveUpParams = msgspec.json.decode(bytes(m.params), type=GiveUpParams)
@@ -326,10 +342,10 @@
             call.abandoned = True
             self.core.withdraw(call)
 
-    def answer(self, call: Call, reply: dict[str, Any]) -> None:
+    def write_answer(self, call: Call, reply: dict[str, Any]) -> None:
         if (id := self.ids.pop(call, None)) is not None:
             del self.open[id]
-            self.used = now_ms()
+            self.last_active = now_ms()
             self.write({"id": id} | reply)
 
     def write(self, reply: dict[str, Any]) -> None:
@@ -338,8 +354,8 @@
     def finish(self) -> None:
         """The connection is over: what was open on it is withdrawn."""
         super().finish()
-        self.end()
+        self.end_connection()
         self.sock.close()
         for call in self.ids:
             self.core.withdraw(call)
-        self.gone(self)
+        self.on_closed(self)
--- a/harrieryoke/net/frames.py
+++ b/harrieryoke/net/frames.py
@@ -49,23 +49,23 @@
     """Cuts a byte stream into frames; a length beyond `most` is a fault, not a wait for memory."""
 
     def __init__(self, most: int, mark: int = FROM_HOST) -> None:
-        self.most, self.mark, self.rest = most, mark, bytearray()
+        self.max_body_bytes, self.mark, self.buffer = most, mark, bytearray()
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        self.rest += data
-        while len(self.rest) >= HEADER.size:
-            mark, code, fields, body, id = HEADER.unpack_from(self.rest)
+        self.buffer += data
+        while len(self.buffer) >= HEADER.size:
+            mark, code, fields, body, id = HEADER.unpack_from(self.buffer)
             if mark != self.mark:
                 raise FrameError(f"mark {mark}")
-            if body > self.most:
+            if body > self.max_body_bytes:
                 raise FrameError(f"a body of {body} bytes")
             size = HEADER.size + fields + body
-            if len(self.rest) < size + CHECKSUM.size:
+            if len(self.buffer) < size + CHECKSUM.size:
                 return
-            told = bytes(self.rest[HEADER.size : HEADER.size + fields])
-            content = bytes(self.rest[HEADER.size + fields : size])
-            (check,) = CHECKSUM.unpack_from(self.rest, size)
-            del self.rest[: size + CHECKSUM.size]
+            told = bytes(self.buffer[HEADER.size : HEADER.size + fields])
+            content = bytes(self.buffer[HEADER.size + fields : size])
+            (check,) = CHECKSUM.unpack_from(self.buffer, size)
+            del self.buffer[: size + CHECKSUM.size]
             if check != crc32(content, crc32(told)):
                 raise FrameError("check sum")
             try:
--- a/harrieryoke/net/heartbeats.py
+++ b/harrieryoke/net/heartbeats.py
@@ -16,18 +16,18 @@
     """Those of one connection, which began to be made at `begun`. Times are milliseconds of one clock."""
 
     def __init__(self, begun: float) -> None:
-        self.begun, self.written = begun, begun - INTERVAL_MS
-        self.first_ms: float | None = None  # from the connection's begin to the first heartbeat
+        self.started_at, self.written_at = begun, begun - INTERVAL_MS
+        self.first_delay_ms: float | None = None  # from the connection's begin to the first heartbeat
 
-    def take(self, now: float) -> float:
+    def record(self, now: float) -> float:
         """One more has been read: return as of when all changes have come, if its number is ours."""
-        self.written = min(now, self.written + INTERVAL_MS)
-        if self.first_ms is None:
-            self.first_ms = now - self.begun
-        return self.written - PROPAGATION_DELAY_MS
+        self.written_at = min(now, self.written_at + INTERVAL_MS)
+        if self.first_delay_ms is None:
+            self.first_delay_ms = now - self.started_at
+        return self.written_at - PROPAGATION_DELAY_MS
 
     def lags(self, now: float, most: float) -> bool:
         """Whether heartbeats that come more rarely than expected have made the bound older than `most`. A lag
         that the first one had, too, comes from the link, and another connection would not be without it."""
-        lag = now - self.written
-        return self.first_ms is not None and lag > max(most, 2 * self.first_ms)
+        lag = now - self.written_at
+        return self.first_delay_ms is not None and lag > max(most, 2 * self.first_delay_ms)
--- a/harrieryoke/net/host.py
+++ b/harrieryoke/net/host.py
@@ -18,11 +18,16 @@
 from ..limits import Limits
 from ..log import Log
 from . import frames
-from .answers import OUTCOMES, COPY_LOOKUPS, parse_count, parse_load_report
+from .answers import COPY_LOOKUPS, OUTCOMES, parse_count, parse_load_report
 from .link import HostSocket, Link, PendingFrame, host_socket
 
-FIRST_INTERNAL_FRAME_ID = 1 << 63  # of orders and probes; requests bring their ids, and must not meet these on a link
-RETRYABLE_CONNECT_ERRORS = (errno.ETIMEDOUT, errno.EHOSTUNREACH)  # told by the kernel; no answer in time has no number
+FIRST_INTERNAL_FRAME_ID = (
+    1 << 63
+)  # of orders and probes; requests bring their ids, and must not meet these on a link
+RETRYABLE_CONNECT_ERRORS = (
+    errno.ETIMEDOUT,
+    errno.EHOSTUNREACH,
+)  # told by the kernel; no answer in time has no number
 
 
 class LinkUnavailableError(Exception):
@@ -34,14 +39,14 @@
     """What the worker list says of a host. The list's actor alone writes it; the host reads it."""
 
     address: tuple[str, int]
-    drain: i.WorkerStatus = i.WorkerStatus.UP
+    status: i.WorkerStatus = i.WorkerStatus.UP
     replaced: bool = False
 
-    def takes(self, task: Task) -> bool:
+    def accepts(self, task: Task) -> bool:
         """A draining, gone or replaced host gets nothing new; one that drains may still be asked."""
-        if self.replaced or self.drain is i.WorkerStatus.GONE:
+        if self.replaced or self.status is i.WorkerStatus.GONE:
             return False
-        return self.drain is i.WorkerStatus.UP or (isinstance(task, OrderTask) and task.copies == 0)
+        return self.status is i.WorkerStatus.UP or (isinstance(task, OrderTask) and task.copies == 0)
 
 
 @dataclass(slots=True)
@@ -83,7 +88,7 @@
 class HostRemoved:
     """The host has left the list: it ends once nothing is out on it, or now if its address is another's."""
 
-    now: bool = False
+    immediately: bool = False
 
 
 def answers_promptly(task: Task) -> bool:
@@ -105,19 +110,19 @@
         figures: Metrics,
     ) -> None:
         super().__init__(f"host {name}", limits.host_mailbox, log, reserve=limits.host_mailbox // 4)
-        self.standing, self.limits, self.report = standing, limits, report
-        self.figures = figures
-        self.retune(settings)
+        self.status, self.limits, self.report = standing, limits, report
+        self.metrics = figures
+        self.apply_settings(settings)
         self.links: list[Link] = []
-        self.places: dict[Task, tuple[Link, int]] = {}
-        self.serial = FIRST_INTERNAL_FRAME_ID
-        self.retiring = False
+        self.locations: dict[Task, tuple[Link, int]] = {}
+        self.last_internal_id = FIRST_INTERNAL_FRAME_ID
+        self.removed = False
 
-    def retune(self, settings: i.Settings) -> None:
+    def apply_settings(self, settings: i.Settings) -> None:
         """For whoever keeps the list, as with `Standing`."""
         self.classes = settings.classes
         # slow hosts still answer something in this time
-        self.silence = max(self.limits.silent_ms, 1.4 * settings.shortest_latency_target())
+        self.silence_limit_ms = max(self.limits.silent_ms, 1.4 * settings.shortest_latency_target())
 
     # --- the port that the module actor sees ---
 
@@ -134,130 +139,132 @@
 
     def run(self) -> None:
         while not self.finished:
-            owed = any(link.part_since is not None or link.asked is not None for link in self.links)
+            owed = any(
+                link.partial_since is not None or link.waiting_since is not None for link in self.links
+            )
             self.wait_for_message(self.limits.frame_ms / 2 if owed else self.limits.link_idle_ms / 4)
             self.process_mailbox()
-            self.tidy()
-            if self.retiring and not self.places and not self.mailbox:
+            self.close_dead_links()
+            if self.removed and not self.locations and not self.mailbox:
                 return
 
     def finish(self) -> None:
         """Whatever ended the actor: nothing that was out or queued stays without its end."""
         self.finished = True
         for link in list(self.links):
-            self.close(link, "the host's actor ended")
+            self.close_link(link, "the host's actor ended")
         for message in list(self.mailbox):
             if isinstance(message, StartTask):
-                self.end(message.task, i.Outcome.NOT_SENT)
+                self.end_task(message.task, i.Outcome.NOT_SENT)
         self.mailbox.clear()
         super().finish()
 
     def receive(self, message: Any) -> None:
         match message:
             case StartTask(task):
-                self.send(task)
+                self.send_task(task)
             case CancelTask(task):
-                self.give_up(task)
+                self.handle_cancel(task)
             case DropCopies(function):
-                self.unload(function)
+                self.send_drop_copies(function)
             case FramesReceived(link, heard):
-                link.asked = None
+                link.waiting_since = None
                 for frame in heard if link in self.links else []:
-                    self.answer(link, frame)
+                    self.handle_answer(link, frame)
                 if any(map(answers_promptly, link.open.values())):
-                    link.asked = now_ms()
+                    link.waiting_since = now_ms()
             case LinkLost(link, reason):
-                self.close(link, reason)
+                self.close_link(link, reason)
             case LinkWritable(link, error):
-                link.waiting = False
+                link.awaiting_writable = False
                 if error and link.backlog:
-                    self.close(link, error)
+                    self.close_link(link, error)
                 else:
                     self.flush(link)
             case HostRemoved(now):
-                self.retiring, self.finished = True, self.finished or now
+                self.removed, self.finished = True, self.finished or now
 
-    def end(self, task: Task, outcome: i.Outcome, **told: Any) -> None:
+    def end_task(self, task: Task, outcome: i.Outcome, **told: Any) -> None:
         self.report(TaskEnded(task, outcome, **told))
 
     # --- towards the host ---
 
-    def may_begin(self, task: Task) -> bool:
+    def may_start(self, task: Task) -> bool:
         """Whether the task is still to be written: asked again directly before its first byte."""
         now = now_ms()
         if not task.wanted or task.stop_at <= now or task.start_by <= now:
             return False
         if isinstance(task, AttemptTask) and task.call.abandoned:
             return False
-        return self.standing.takes(task)
+        return self.status.accepts(task)
 
-    def may_unload(self) -> bool:
-        return self.standing.drain is i.WorkerStatus.UP and not self.standing.replaced
+    def may_drop_copies(self) -> bool:
+        return self.status.status is i.WorkerStatus.UP and not self.status.replaced
 
-    def send(self, task: Task) -> None:
+    def send_task(self, task: Task) -> None:
         """Puts the task on a link. Much can change while a dial takes its time, or while the link takes
         nothing: `flush` looks again."""
-        if not self.may_begin(task):
-            return self.end(task, i.Outcome.NOT_SENT)
+        if not self.may_start(task):
+            return self.end_task(task, i.Outcome.NOT_SENT)
         try:
-            link = self.link_for(task)
+            link = self.select_link(task)
         except LinkUnavailableError:
-            return self.end(task, i.Outcome.NOT_SENT)
+            return self.end_task(task, i.Outcome.NOT_SENT)
         if link is None:
-            self.fail_queued()
-            return self.end(task, i.Outcome.NO_CONNECTION)
-        frame = self.frame_for(task, link)
-        self.places[task] = (link, frame.id)
-        self.post(link, frame)
+            self.fail_queued_tasks()
+            return self.end_task(task, i.Outcome.NO_CONNECTION)
+        frame = self.create_frame(task, link)
+        self.locations[task] = (link, frame.id)
+        self.enqueue_frame(link, frame)
 
-    def post(self, link: Link, frame: PendingFrame) -> None:
+    def enqueue_frame(self, link: Link, frame: PendingFrame) -> None:
         """Writes the frame at once, or once the host has read what lies before it."""
         link.backlog.append(frame)
-        if not link.waiting:
+        if not link.awaiting_writable:
             self.flush(link)
 
     def flush(self, link: Link) -> None:
         """Writes what waits on the link as far as the connection takes it, without waiting."""
         while link.backlog and not link.ended:
             frame = link.backlog[0]
-            if not frame.begun and not self.prepare(link, frame):
+            if not frame.started and not self.prepare_frame(link, frame):
                 continue
-            fresh = not frame.begun
+            fresh = not frame.started
             try:
                 whole = link.write(frame)
             except OSError as error:
-                return self.close(link, f"write: {error}")
-            if fresh and frame.begun and frame.task is not None:
-                self.note_begun(link, frame.id, frame.task)
+                return self.close_link(link, f"write: {error}")
+            if fresh and frame.started and frame.task is not None:
+                self.record_started(link, frame.id, frame.task)
             if not whole:
-                link.waiting = True
+                link.awaiting_writable = True
                 spawn(self.log, f"{self.name} writer", lambda: self.wait_writable(link))
                 return
             link.backlog.popleft()
-            link.used = now_ms()
+            link.last_used = now_ms()
             if isinstance(frame.task, AttemptTask):
-                self.figures.for_class(self.classes[frame.task.call.class_index].name).tries += 1
+                self.metrics.for_class(self.classes[frame.task.call.class_index].name).tries += 1
 
-    def prepare(self, link: Link, frame: PendingFrame) -> bool:
+    def prepare_frame(self, link: Link, frame: PendingFrame) -> bool:
         """Directly before the first byte of a frame: what is not wanted any more is left out."""
         task = frame.task
         if task is None:
-            if frame.code != frames.UNLOAD or self.may_unload():
+            if frame.code != frames.UNLOAD or self.may_drop_copies():
                 return True
             link.backlog.popleft()
             return False
-        if not self.may_begin(task):
+        if not self.may_start(task):
             link.backlog.popleft()
-            del self.places[task]
-            self.end(task, i.Outcome.NOT_SENT)
+            del self.locations[task]
+            self.end_task(task, i.Outcome.NOT_SENT)
             return False
-        frame.data = self.encode(frame, task)
+        frame.unwritten = self.encode_task(frame, task)
         return True
 
-    def note_begun(self, link: Link, id: int, task: Task) -> None:
+    def record_started(self, link: Link, id: int, task: Task) -> None:
         link.open[id] = task
-        if link.asked is None and answers_promptly(task):
-            link.asked = now_ms()
+        if link.waiting_since is None and answers_promptly(task):
+            link.waiting_since = now_ms()
 
     def wait_writable(self, link: Link) -> None:
         """The writer's greenlet, there only while something is unsent."""
@@ -268,15 +275,17 @@
             error = f"write: {failed}"
         self.blocking_send(LinkWritable(link, error))
 
-    def frame_for(self, task: Task, link: Link) -> PendingFrame:
+    def create_frame(self, task: Task, link: Link) -> PendingFrame:
         if isinstance(task, AttemptTask):
             return PendingFrame(frames.REQUEST, int(task.call.request_id, 16), task)
-        self.serial += 1
-        while self.serial in link.open:
-            self.serial += 1
-        return PendingFrame(frames.HOLD if isinstance(task, OrderTask) else frames.PROBE_LOAD, self.serial, task)
+        self.last_internal_id += 1
+        while self.last_internal_id in link.open:
+            self.last_internal_id += 1
+        return PendingFrame(
+            frames.HOLD if isinstance(task, OrderTask) else frames.PROBE_LOAD, self.last_internal_id, task
+        )
 
-    def encode(self, frame: PendingFrame, task: Task) -> bytes:
+    def encode_task(self, frame: PendingFrame, task: Task) -> bytes:
         if isinstance(task, AttemptTask):
             call = task.call
             fields = {
@@ -292,33 +301,37 @@
             return frames.encode(frame.code, frame.id, held)
         return frames.encode(frame.code, frame.id)
 
-    def give_up(self, task: Task) -> None:
+    def handle_cancel(self, task: Task) -> None:
         """A request is given up with a word, an order just is not waited for any more, and what has not begun
         is left out."""
-        if (place := self.places.pop(task, None)) is None:
+        if (place := self.locations.pop(task, None)) is None:
             return
         link, id = place
         if link.open.get(id) is not task:
             link.backlog.remove(next(frame for frame in link.backlog if frame.task is task))
             return
         del link.open[id]
-        if not link.open and not self.silent(link):
-            link.asked = None  # what was given up early tells nothing of the host
+        if not link.open and not self.is_silent(link):
+            link.waiting_since = None  # what was given up early tells nothing of the host
         if isinstance(task, AttemptTask):
-            self.post(link, PendingFrame(frames.GIVE_UP, id, data=frames.encode(frames.GIVE_UP, id)))
+            self.enqueue_frame(
+                link, PendingFrame(frames.GIVE_UP, id, unwritten=frames.encode(frames.GIVE_UP, id))
+            )
 
-    def unload(self, function: str) -> None:
+    def send_drop_copies(self, function: str) -> None:
         try:
-            link = self.link_for(None) if self.may_unload() else None
+            link = self.select_link(None) if self.may_drop_copies() else None
         except LinkUnavailableError:
             return
         if link is not None:
             id = int(function, 16)
-            self.post(link, PendingFrame(frames.UNLOAD, id, data=frames.encode(frames.UNLOAD, id)))
+            self.enqueue_frame(
+                link, PendingFrame(frames.UNLOAD, id, unwritten=frames.encode(frames.UNLOAD, id))
+            )
 
     # --- links ---
 
-    def link_for(self, task: Task | None) -> Link | None:
+    def select_link(self, task: Task | None) -> Link | None:
         """The newest link with room, rather one that takes bytes; a further one only when all are full, or
         silent. An ask whether the host lives goes by none that owes an answer for longer than a dial would
         take. None where the host can't be reached. Raises NoRoomForLinkError."""
@@ -326,18 +339,18 @@
         id = int(task.call.request_id, 16) if isinstance(task, AttemptTask) else None
         blocked: Link | None = None
         for link in reversed(self.links):
-            quiet = now_ms() - link.asked if ask and link.asked is not None else 0.0
-            free = not link.ended and link.load < self.limits.streams_per_link and not link.holds(id)
-            if free and quiet <= self.limits.dial_ms and not self.silent(link):
-                if not link.waiting:
+            quiet = now_ms() - link.waiting_since if ask and link.waiting_since is not None else 0.0
+            free = not link.ended and link.load < self.limits.streams_per_link and not link.has_frame(id)
+            if free and quiet <= self.limits.dial_ms and not self.is_silent(link):
+                if not link.awaiting_writable:
                     return link
                 blocked = blocked or link
-        return blocked or self.another_link(ask)
+        return blocked or self.open_link(ask)
 
-    def another_link(self, ask: bool) -> Link | None:
+    def open_link(self, ask: bool) -> Link | None:
         if len(self.links) >= self.limits.links_per_host:
-            for link in list(filter(self.silent, self.links)):
-                self.close(link, "silent")
+            for link in list(filter(self.is_silent, self.links)):
+                self.close_link(link, "silent")
         if len(self.links) >= self.limits.links_per_host:
             if ask:
                 return None
@@ -345,9 +358,11 @@
             raise LinkUnavailableError("all links to the host are full")
         return self.dial()
 
-    def silent(self, link: Link, times: int = 1) -> bool:
+    def is_silent(self, link: Link, times: int = 1) -> bool:
         """Guards against a connection that stays open and brings nothing more, while a new one would."""
-        return link.asked is not None and now_ms() - link.asked > times * self.silence
+        return (
+            link.waiting_since is not None and now_ms() - link.waiting_since > times * self.silence_limit_ms
+        )
 
     def connect(self) -> HostSocket:
         """Raises OSError; of one that may have passed already, the second."""
@@ -360,7 +375,7 @@
             return self.connect_once()
 
     def connect_once(self) -> HostSocket:
-        sock = host_socket(socket.create_connection(self.standing.address, self.limits.dial_ms / 1000))
+        sock = host_socket(socket.create_connection(self.status.address, self.limits.dial_ms / 1000))
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             # guards against a host that vanished: what it does not acknowledge in this time ends the link
@@ -379,20 +394,20 @@
             if is_local(error):
                 raise LinkUnavailableError(str(error)) from error
             return None
-        link = Link(sock, frames.Decoder(self.limits.answer_bytes), used=now_ms())
+        link = Link(sock, frames.Decoder(self.limits.answer_bytes), last_used=now_ms())
         self.links.append(link)
-        spawn(self.log, f"{self.name} reader", lambda: self.read(link))
+        spawn(self.log, f"{self.name} reader", lambda: self.read_link(link))
         return link
 
-    def fail_queued(self) -> None:
+    def fail_queued_tasks(self) -> None:
         """What waited behind a failed dial fails with it: nobody waits for one dial after the other."""
         queued = [m for m in self.mailbox if isinstance(m, StartTask)]
         for message in queued:
             self.mailbox.remove(message)
-            fits = self.may_begin(message.task)
-            self.end(message.task, i.Outcome.NO_CONNECTION if fits else i.Outcome.NOT_SENT)
+            fits = self.may_start(message.task)
+            self.end_task(message.task, i.Outcome.NO_CONNECTION if fits else i.Outcome.NOT_SENT)
 
-    def read(self, link: Link) -> None:
+    def read_link(self, link: Link) -> None:
         """The reader's greenlet: turns bytes into messages, and says how the link ended."""
         reason = "closed by the host"
         try:
@@ -412,8 +427,8 @@
                 finally:
                     # good answers ahead of a bad frame count; and a frame that has only begun wakes the actor
                     # too, so that somebody looks whether more of it comes: a long one may take its time
-                    began, partial = link.part_since, bool(link.decoder.rest)
-                    link.part_since = now_ms() if partial else None
+                    began, partial = link.partial_since, bool(link.decoder.buffer)
+                    link.partial_since = now_ms() if partial else None
                     if heard or (began is None and partial):
                         self.blocking_send(FramesReceived(link, heard))
         except frames.FrameError as error:
@@ -424,14 +439,14 @@
         link.ended = True  # nothing more is to begin here, also while the message waits in the mailbox
         self.blocking_send(LinkLost(link, reason))
 
-    def close(self, link: Link, reason: str) -> None:
+    def close_link(self, link: Link, reason: str) -> None:
         """What was out on a link that ends may have run; the host has given it up. What was never written
         whole has not run: a host acts on whole frames alone."""
         if link not in self.links:
             return
         self.links.remove(link)
         link.sock.close()
-        unwritten = [frame.task for frame in link.backlog if frame.task in self.places]
+        unwritten = [frame.task for frame in link.backlog if frame.task in self.locations]
         whole = [task for task in link.open.values() if task not in unwritten]
         link.open.clear()
         link.backlog.clear()
@@ -440,41 +455,41 @@
         else:
             self.log("link-closed", f"{self.name}: {reason}")
         for task in whole + unwritten:
-            del self.places[task]
-            self.end(task, i.Outcome.RESET if task in whole else i.Outcome.NOT_SENT)
+            del self.locations[task]
+            self.end_task(task, i.Outcome.RESET if task in whole else i.Outcome.NOT_SENT)
 
-    def tidy(self) -> None:
+    def close_dead_links(self) -> None:
         """Closes links that lie idle a little before the host would: no request crosses such a close."""
         now = now_ms()
         for link in list(self.links):
-            if link.part_since is not None and now - link.part_since > self.limits.frame_ms:
+            if link.partial_since is not None and now - link.partial_since > self.limits.frame_ms:
                 # guards against an answer that stops short: what comes behind it would be its rest
                 self.log("bad-frame", f"{self.name}: the rest of a frame has not come")
-                self.close(link, "a frame stopped short")
-        for link in [k for k in self.links if self.silent(k) and (not k.open or self.silent(k, 3))]:
-            self.close(link, "silent")
+                self.close_link(link, "a frame stopped short")
+        for link in [k for k in self.links if self.is_silent(k) and (not k.open or self.is_silent(k, 3))]:
+            self.close_link(link, "silent")
         late = now - 0.8 * self.limits.link_idle_ms
-        for link in [k for k in self.links if not k.load and (k.used < late or self.retiring)]:
-            self.close(link, "idle")
+        for link in [k for k in self.links if not k.load and (k.last_used < late or self.removed)]:
+            self.close_link(link, "idle")
 
     # --- from the host ---
 
-    def answer(self, link: Link, frame: frames.Frame) -> None:
+    def handle_answer(self, link: Link, frame: frames.Frame) -> None:
         task = link.open.get(frame.id)
         if task is None:
             return  # it was given up while the answer was on its way
         probed = frame.code >= frames.HEALTHY
         if frame.code not in OUTCOMES or probed == isinstance(task, AttemptTask | OrderTask):
             self.log("bad-frame", f"{self.name}: code {frame.code} for {type(task).__name__}")
-            return self.close(link, f"code {frame.code}")
-        del link.open[frame.id], self.places[task]
-        link.used = now_ms()
+            return self.close_link(link, f"code {frame.code}")
+        del link.open[frame.id], self.locations[task]
+        link.last_used = now_ms()
         note = frame.fields.get("n", "")
         outcome = OUTCOMES[frame.code]
         if isinstance(task, OrderTask):
-            return self.end(task, outcome, copies=parse_count(frame.fields.get("pods")) or 0)
+            return self.end_task(task, outcome, copies=parse_count(frame.fields.get("pods")) or 0)
         report, crowd = parse_load_report(frame.fields.get("l")), parse_count(frame.fields.get("depth"))
-        self.end(
+        self.end_task(
             task,
             outcome,
             body=frame.body,
--- a/harrieryoke/net/host_starts.py
+++ b/harrieryoke/net/host_starts.py
@@ -21,8 +21,8 @@
     """One start: the list's time for it, and the same moment on the clock of this process, both in
     milliseconds."""
 
-    stamp: float
-    at: float
+    listed_start: float
+    started_at: float
 
 
 class HostStarts:
@@ -32,7 +32,7 @@
         self.clock, self.wall = clock, wall
         self.starts: dict[str, HostStart] = {}
 
-    def learn_earlier(self, servers: Iterable[Server]) -> None:
+    def learn_initial(self, servers: Iterable[Server]) -> None:
         """Take the starts of the first list, which lay before this process. The newest of them may have been
         just now; the others are older by what the list says, unless the wall clock says less."""
         stamps = {server.id: server.started_ms for server in servers if server.started_ms}
@@ -41,13 +41,13 @@
             age = max(0.0, min(newest, wall) - stamp)
             self.starts[id] = HostStart(stamp, now - age)
 
-    def read(self, server: Server) -> HostStart | None:
+    def observe(self, server: Server) -> HostStart | None:
         """Return the start that the list tells of; None where it lies long past."""
         if not server.started_ms:
             self.forget(server.id)
             return None
         known = self.starts.get(server.id)
-        if known is None or known.stamp != server.started_ms:
+        if known is None or known.listed_start != server.started_ms:
             known = self.starts[server.id] = HostStart(server.started_ms, self.clock())
         return known
 
--- a/harrieryoke/net/hostlist.py
+++ b/harrieryoke/net/hostlist.py
@@ -20,19 +20,19 @@
 from .hostlist_model import (
     STATUS_BY_STATE,
     BadServerError,
-    ListConfirmed,
     BusEvent,
     EventReceived,
     KnownEvents,
+    ListConfirmed,
     ListReplaced,
     ListUpdate,
     Server,
     Snapshot,
     Topology,
-    parse_address,
+    find_unknown_names,
     in_apply_order,
+    parse_address,
     validate_event,
-    find_unknown_names,
     worker_number,
 )
 
@@ -57,9 +57,9 @@
     id that was never listed."""
 
     id: str
-    on: bool
-    told: AsyncResult
-    known: bool = False  # another process has listed it
+    banned: bool
+    reply: AsyncResult
+    from_peer: bool = False  # another process has listed it
 
 
 @dataclass(slots=True)
@@ -70,15 +70,15 @@
     ports: dict[int, HostPort] = field(default_factory=dict)
     names: dict[int, HostName] = field(default_factory=dict)
 
-    def say(self, entry: i.WorkerEntry, server: Server, actor: HostActor | None) -> None:
+    def add(self, entry: i.WorkerEntry, server: Server, actor: HostActor | None) -> None:
         """A host as listed; no actor where it has gone."""
-        self.gone(entry.worker)
+        self.mark_gone(entry.worker)
         self.entries[entry.worker] = entry
         self.names[entry.worker] = HostName(server.id, server.zone, server.kind, server.state)
         if actor is not None:
             self.ports[entry.worker] = actor
 
-    def gone(self, worker: int) -> None:
+    def mark_gone(self, worker: int) -> None:
         """A host has been replaced; the bus may say so later, or never."""
         self.ports.pop(worker, None)
         self.names.pop(worker, None)
@@ -101,32 +101,36 @@
     ) -> None:
         super().__init__("worker list", limits.list_mailbox, log)
         self.settings, self.limits = settings, limits
-        self.tell_module, self.report = tell_module, report
-        self.figures = figures
+        self.send_to_module, self.report = tell_module, report
+        self.metrics = figures
         self.hosts: dict[str, tuple[HostStatus, HostActor]] = {}
         self.servers: dict[str, Server] = {}  # the list's last word on each, the latest last
         self.doubtful: set[str] = set()  # listed hosts whose last entry could not be read
-        self.unnamed = False  # an entry could not be read that may have meant any host
-        self.starts = HostStarts()
+        self.has_unattributed_error = False  # an entry could not be read that may have meant any host
+        self.host_starts = HostStarts()
         self.banned: set[str] = set()
-        self.keep: Callable[[str, bool], object] = lambda id, on: None  # so that it outlives the process
+        self.on_ban_changed: Callable[[str, bool], object] = (
+            lambda id, on: None
+        )  # so that it outlives the process
 
-    def begin(self, known: KnownEvents, banned: Iterable[str] = (), as_of: float | None = None) -> None:
+    def load_initial(
+        self, known: KnownEvents, banned: Iterable[str] = (), as_of: float | None = None
+    ) -> None:
         """The list as it was at the start, at `as_of` in milliseconds of the process's clock where that is
         known, and who is left out, listed yet or not; before the actor runs."""
         self.banned = set(banned)
         snapshot = Snapshot()
         for event in known.batch:
             if (update := validate_event(EventReceived(event))) is not None:
-                self.report_bad(update)
-                self.note_doubtful(update, snapshot.servers.keys())
+                self.log_errors(update)
+                self.update_doubtful(update, snapshot.servers.keys())
                 for server in update.servers.values():
-                    self.remember(server)
-                snapshot.take(update)
-        self.starts.learn_earlier(snapshot.servers.values())
-        self.apply(list(snapshot.servers.values()), i.ListScope.REMEMBERED)
+                    self.remember_server(server)
+                snapshot.apply(update)
+        self.host_starts.learn_initial(snapshot.servers.values())
+        self.apply_entries(list(snapshot.servers.values()), i.ListScope.REMEMBERED)
         if as_of is not None:
-            self.confirm(as_of - PROPAGATION_DELAY_MS)
+            self.confirm_list(as_of - PROPAGATION_DELAY_MS)
 
     def bans(self) -> list[str]:
         """The ids that operators left out."""
@@ -137,57 +141,59 @@
         match message:
             case EventReceived():
                 if (update := validate_event(message)) is not None:
-                    self.take(update)
+                    self.apply_update(update)
             case ListReplaced(update):
-                self.take(update)
+                self.apply_update(update)
             case ListConfirmed(at):
-                self.confirm(at)
+                self.confirm_list(at)
             case Ban(id, on, told, known):
-                told.set(self.ban(id, on, known))
+                told.set(self.set_banned(id, on, known))
 
-    def take(self, update: ListUpdate) -> None:
+    def apply_update(self, update: ListUpdate) -> None:
         """An event. Hosts of spoilt entries keep their former state."""
-        self.report_bad(update)
-        self.note_doubtful(update, self.hosts.keys())
+        self.log_errors(update)
+        self.update_doubtful(update, self.hosts.keys())
         servers = list(update.servers.values())
-        if update.whole and not self.hosts:
-            self.starts.learn_earlier(servers)
-        if not update.whole:
-            return self.apply(servers, i.ListScope.CHANGES)
-        kept = [self.servers[id] for id in update.kept() if id in self.hosts]
-        self.apply(kept + servers, i.ListScope.WHOLE)
-
-    def note_doubtful(self, update: ListUpdate, listed: Collection[str]) -> None:
+        if update.is_full and not self.hosts:
+            self.host_starts.learn_initial(servers)
+        if not update.is_full:
+            return self.apply_entries(servers, i.ListScope.CHANGES)
+        kept = [self.servers[id] for id in update.invalid_hosts() if id in self.hosts]
+        self.apply_entries(kept + servers, i.ListScope.WHOLE)
+
+    def update_doubtful(self, update: ListUpdate, listed: Collection[str]) -> None:
         """What discovery tells counts as told, readable or not: a host whose entry could not be read may have
         been told to drain."""
-        if update.whole:
-            self.doubtful, self.unnamed = set(), False
+        if update.is_full:
+            self.doubtful, self.has_unattributed_error = set(), False
         self.doubtful -= update.servers.keys()
-        self.doubtful |= update.kept() & set(listed)
-        self.unnamed = self.unnamed or not all(error.host for error in update.bad)
+        self.doubtful |= update.invalid_hosts() & set(listed)
+        self.has_unattributed_error = self.has_unattributed_error or not all(
+            error.host for error in update.errors
+        )
 
-    def confirm(self, at: float) -> None:
+    def confirm_list(self, at: float) -> None:
         """The module hears how old the list is, and where its word is not discovery's last."""
         doubtful = frozenset(worker_number(id) for id in self.doubtful & self.hosts.keys())
-        if not self.unnamed:
-            self.tell_module(WorkerListConfirmed(i.ListConfirmed(at, doubtful)))
+        if not self.has_unattributed_error:
+            self.send_to_module(WorkerListConfirmed(i.ListConfirmed(at, doubtful)))
 
-    def report_bad(self, update: ListUpdate) -> None:
+    def log_errors(self, update: ListUpdate) -> None:
         """One line of the log for all that is spoilt in an event."""
-        if update.bad:
-            self.log_bad(update.offset, list(update.bad), "former state kept; correct it at the bus")
+        if update.errors:
+            self.log_bad_event(update.offset, list(update.errors), "former state kept; correct it at the bus")
         unknown = [e for s in update.servers.values() for e in find_unknown_names(s, self.settings)]
         if unknown:
-            self.log_bad(
+            self.log_bad_event(
                 update.offset, unknown, "name it in the settings and send SIGHUP, or correct the bus"
             )
 
-    def log_bad(self, offset: int, errors: list[BadServerError], advice: str) -> None:
+    def log_bad_event(self, offset: int, errors: list[BadServerError], advice: str) -> None:
         """The first of the errors, and how many more there are."""
         more = f" (and {len(errors) - 1} more)" if len(errors) > 1 else ""
         self.log("bad-event", f"event {offset}: {errors[0]}{more}; {advice}")
 
-    def ban(self, id: str, on: bool, known: bool) -> bool:
+    def set_banned(self, id: str, on: bool, known: bool) -> bool:
         """The host's actor and the module have heard when this returns. False for an id never listed."""
         if not known and id not in self.servers and id not in self.banned:
             return False
@@ -195,11 +201,11 @@
             self.log("banned" if on else "unbanned", id)
             self.banned ^= {id}
             if id in self.hosts:
-                self.apply([self.servers[id]], i.ListScope.CHANGES)
-            self.keep(id, on)
+                self.apply_entries([self.servers[id]], i.ListScope.CHANGES)
+            self.on_ban_changed(id, on)
         return True
 
-    def remember(self, server: Server) -> None:
+    def remember_server(self, server: Server) -> None:
         """The list's last word on a host."""
         self.servers.pop(server.id, None)
         self.servers[server.id] = server
@@ -209,40 +215,40 @@
             if (spare := next((id for id in self.servers if id not in needed), None)) is not None:
                 del self.servers[spare]
 
-    def retune(self, settings: i.Settings) -> None:
+    def apply_settings(self, settings: i.Settings) -> None:
         """The service alone calls it, before any call of a new class is made. Not by a message: a mailbox
         may be full or behind, and a host would get a call of a class that it can't name."""
         self.settings = settings
         for _, actor in self.hosts.values():
-            actor.retune(settings)
+            actor.apply_settings(settings)
 
-    def apply(self, servers: list[Server], scope: i.ListScope) -> None:
+    def apply_entries(self, servers: list[Server], scope: i.ListScope) -> None:
         """Checked entries, one for each host: the hosts' actors and then the module hear of them."""
         how = "changed" if scope is i.ListScope.CHANGES else "in all"
         self.log("list", f"{len(servers)} model hosts {how}")
         if scope is i.ListScope.WHOLE:
             named = {s.id for s in servers}
             for id in [id for id in self.hosts if id not in named]:
-                self.starts.forget(id)
-                self.strike(id)
+                self.host_starts.forget(id)
+                self.remove_host(id)
         news = WorkerChanges()
         for server in in_apply_order(servers):
-            self.remember(server)
-            entry = self.entry(server)
+            self.remember_server(server)
+            entry = self.worker_entry(server)
             if entry.status is i.WorkerStatus.GONE:
-                self.starts.forget(server.id)
-                self.strike(server.id)
+                self.host_starts.forget(server.id)
+                self.remove_host(server.id)
                 actor = None
             else:
-                self.replace(server, news)
-                actor = self.host(server, entry.status)
-            news.say(entry, server, actor)
-        self.figures.pool_size = len(self.hosts)
-        self.figures.banned = len(self.banned & self.hosts.keys())
+                self.remove_previous_host(server, news)
+                actor = self.ensure_host(server, entry.status)
+            news.add(entry, server, actor)
+        self.metrics.pool_size = len(self.hosts)
+        self.metrics.banned = len(self.banned & self.hosts.keys())
         event = i.WorkersListed(scope, tuple(news.entries.values()))
-        self.tell_module(WorkersChanged(event, news.ports, news.names))
+        self.send_to_module(WorkersChanged(event, news.ports, news.names))
 
-    def entry(self, server: Server) -> i.WorkerEntry:
+    def worker_entry(self, server: Server) -> i.WorkerEntry:
         """One host as the module sees it."""
         drain = STATUS_BY_STATE[server.state]
         if server.id in self.banned and drain is i.WorkerStatus.UP:
@@ -250,7 +256,7 @@
         zones, kinds = self.settings.zones, self.settings.kinds
         zone = zones.index(server.zone) if server.zone in zones else 0
         kind = kinds.index(server.kind) if server.kind in kinds else 0
-        start = self.starts.read(server)
+        start = self.host_starts.observe(server)
         return i.WorkerEntry(
             worker_number(server.id),
             zone,
@@ -258,41 +264,41 @@
             server.cell,
             drain,
             server.weight,
-            None if start is None else start.at,
-            None if start is None else start.stamp,
+            None if start is None else start.started_at,
+            None if start is None else start.listed_start,
         )
 
-    def replace(self, server: Server, news: WorkerChanges) -> None:
+    def remove_previous_host(self, server: Server, news: WorkerChanges) -> None:
         """Whoever had the server's address so far has gone: the address speaks for another host now."""
         where = parse_address(server.addr)
         for id, (standing, _) in list(self.hosts.items()):
             if standing.address == where and id != server.id:
                 standing.replaced = True
-                self.starts.forget(id)
-                self.strike(id, now=True)
-                news.gone(worker_number(id))
+                self.host_starts.forget(id)
+                self.remove_host(id, now=True)
+                news.mark_gone(worker_number(id))
 
-    def host(self, server: Server, drain: i.WorkerStatus) -> HostActor:
+    def ensure_host(self, server: Server, drain: i.WorkerStatus) -> HostActor:
         """The actor of a listed host; a new one where it has another address."""
         where = parse_address(server.addr)
         if server.id in self.hosts:
             standing, actor = self.hosts[server.id]
             if standing.address == where and not actor.finished:
-                standing.drain = drain
+                standing.status = drain
                 return actor
-            self.strike(server.id)
+            self.remove_host(server.id)
         standing = HostStatus(where, drain)
         actor = HostActor(
-            server.id, standing, self.settings, self.limits, self.log, self.report, self.figures
+            server.id, standing, self.settings, self.limits, self.log, self.report, self.metrics
         )
         actor.start()
         self.hosts[server.id] = (standing, actor)
         return actor
 
-    def strike(self, id: str, now: bool = False) -> None:
+    def remove_host(self, id: str, now: bool = False) -> None:
         if id in self.hosts:
             standing, actor = self.hosts.pop(id)
-            standing.drain = i.WorkerStatus.GONE
+            standing.status = i.WorkerStatus.GONE
             if not actor.try_send(HostRemoved(now)):
                 # no waiting here for a host whose mailbox is full: the others need their news
                 spawn(self.log, f"retire {id}", lambda: actor.blocking_send(HostRemoved(now)))
--- a/harrieryoke/net/hostlist_model.py
+++ b/harrieryoke/net/hostlist_model.py
@@ -12,7 +12,11 @@
 
 from .. import interface as i
 
-STATUS_BY_STATE = {"active": i.WorkerStatus.UP, "leaving": i.WorkerStatus.DRAINING, "left": i.WorkerStatus.GONE}
+STATUS_BY_STATE = {
+    "active": i.WorkerStatus.UP,
+    "leaving": i.WorkerStatus.DRAINING,
+    "left": i.WorkerStatus.GONE,
+}
 APPLY_ORDER = ("leaving", "active", "left")  # the order of an event's entries, see `in_order`
 MAX_SAFE_INTEGER = 2**53  # all JSON readers agree on whole numbers up to here
 MAX_ID_LENGTH = 256  # characters
@@ -101,7 +105,7 @@
     """An event for the list's actor, and the entries of it that have the wrong types."""
 
     event: BusEvent
-    bad: tuple[BadServerError, ...] = ()
+    errors: tuple[BadServerError, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -110,13 +114,13 @@
     their former state."""
 
     offset: int
-    whole: bool
+    is_full: bool
     servers: dict[str, Server]
-    bad: tuple[BadServerError, ...] = ()
+    errors: tuple[BadServerError, ...] = ()
 
-    def kept(self) -> set[str]:
+    def invalid_hosts(self) -> set[str]:
         """Hosts that are named by spoilt entries alone."""
-        return {error.host for error in self.bad} - self.servers.keys()
+        return {error.host for error in self.errors} - self.servers.keys()
 
 
 @dataclass(frozen=True, slots=True)
@@ -130,7 +134,7 @@
 class ListConfirmed:
     """All changes before `at` have come, in milliseconds of this process's clock."""
 
-    at: float
+    as_of: float
 
 
 def parse_address(text: str) -> tuple[str, int]:
@@ -169,7 +173,9 @@
     if not (math.isfinite(server.weight) and server.weight >= 0):
         raise BadServerError(server.id, "weight", f"{server.weight} is not a finite number from 0 on")
     if not 0 <= server.started_ms <= MAX_SAFE_INTEGER:
-        raise BadServerError(server.id, "started_ms", f"{server.started_ms} is not from 0 to {MAX_SAFE_INTEGER}")
+        raise BadServerError(
+            server.id, "started_ms", f"{server.started_ms} is not from 0 to {MAX_SAFE_INTEGER}"
+        )
 
 
 def find_unknown_names(server: Server, settings: i.Settings) -> list[BadServerError]:
@@ -225,7 +231,7 @@
     topology = said.event.topology
     if topology is None:
         return None
-    servers, bad = dict[str, Server](), list(said.bad)
+    servers, bad = dict[str, Server](), list(said.errors)
     for server in topology.servers:
         try:
             check_server(server)
@@ -251,23 +257,23 @@
     """The net result of events in their order."""
 
     servers: dict[str, Server] = field(default_factory=dict)
-    whole: bool = False  # one of the events was
-    bad: dict[str, BadServerError] = field(default_factory=dict)
+    is_full: bool = False  # one of the events was
+    errors: dict[str, BadServerError] = field(default_factory=dict)
 
-    def take(self, update: ListUpdate) -> None:
+    def apply(self, update: ListUpdate) -> None:
         """The next event."""
-        if update.whole:
-            kept = update.kept()
+        if update.is_full:
+            kept = update.invalid_hosts()
             self.servers = {id: s for id, s in self.servers.items() if id in kept}
-            self.whole, self.bad = True, {}
-        for error in update.bad:
-            self.bad[error.host] = error
+            self.is_full, self.errors = True, {}
+        for error in update.errors:
+            self.errors[error.host] = error
         for server in in_apply_order(update.servers.values()):
-            self.place(server)
+            self.put(server)
 
-    def place(self, server: Server) -> None:
+    def put(self, server: Server) -> None:
         """The last word on a host; whoever had its address before has gone."""
-        self.bad.pop(server.id, None)
+        self.errors.pop(server.id, None)
         self.servers.pop(server.id, None)
         if server.state == "left":
             return
@@ -275,6 +281,6 @@
             del self.servers[id]
         self.servers[server.id] = server
 
-    def update(self, offset: int) -> ListUpdate:
+    def to_update(self, offset: int) -> ListUpdate:
         """All of it as one event."""
-        return ListUpdate(offset, self.whole, self.servers, tuple(self.bad.values()))
+        return ListUpdate(offset, self.is_full, self.servers, tuple(self.errors.values()))
--- a/harrieryoke/net/link.py
+++ b/harrieryoke/net/link.py
@@ -47,8 +47,8 @@
     code: int
     id: int
     task: Task | None = None
-    data: bytes = b""  # what is still to be written
-    begun: bool = False  # its first byte is written: it has to be finished, or the link is spoilt
+    unwritten: bytes = b""  # what is still to be written
+    started: bool = False  # its first byte is written: it has to be finished, or the link is spoilt
 
 
 @dataclass(slots=True, eq=False)
@@ -58,11 +58,11 @@
     sock: socket.socket
     decoder: frames.Decoder
     open: dict[int, Task] = field(default_factory=dict)
-    used: float = 0.0
-    asked: float | None = None  # since when something is owed an answer soon and nothing has come
-    part_since: float | None = None  # the last bytes of a frame not yet whole came then; set by its reader
+    last_used: float = 0.0
+    waiting_since: float | None = None  # since when something is owed an answer soon and nothing has come
+    partial_since: float | None = None  # the last bytes of a frame not yet whole came then; set by its reader
     backlog: deque[PendingFrame] = field(default_factory=deque)
-    waiting: bool = False  # a greenlet waits until the connection takes more
+    awaiting_writable: bool = False  # a greenlet waits until the connection takes more
     ended: bool = False  # the host has closed it, or it failed; its reader alone writes it
 
     @property
@@ -70,7 +70,7 @@
         """Tasks that are out on it, and frames that are not yet written whole; a half-written one is both."""
         return len(self.open) + len(self.backlog)
 
-    def holds(self, id: int | None) -> bool:
+    def has_frame(self, id: int | None) -> bool:
         """Whether a frame with this id is out on it or waits: a second one could not be told from it."""
         return id in self.open or any(frame.id == id for frame in self.backlog)
 
@@ -81,12 +81,12 @@
         if task is not None:
             task.write_started = True
         try:
-            self.sock.sendall(frame.data)
+            self.sock.sendall(frame.unwritten)
         except BlockingIOError as blocked:
-            frame.begun = frame.begun or blocked.characters_written > 0
-            frame.data = frame.data[blocked.characters_written :]
+            frame.started = frame.started or blocked.characters_written > 0
+            frame.unwritten = frame.unwritten[blocked.characters_written :]
             if task is not None:
-                task.write_started = frame.begun
+                task.write_started = frame.started
             return False
-        frame.begun = True
+        frame.started = True
         return True
--- a/harrieryoke/net/outgoing.py
+++ b/harrieryoke/net/outgoing.py
@@ -25,14 +25,14 @@
     __slots__ = (
         "closed",
         "log",
-        "lost",
-        "most_bytes",
-        "most_messages",
+        "max_bytes",
+        "max_messages",
         "name",
-        "sent",
-        "size",
+        "on_drained",
+        "on_failed",
         "sock",
         "unsent",
+        "unsent_bytes",
         "writer",
     )
 
@@ -46,10 +46,10 @@
         sent: Callable[[], object],
         lost: Callable[[str], object],
     ) -> None:
-        self.sock, self.name, self.log, self.sent, self.lost = sock, name, log, sent, lost
-        self.most_messages, self.most_bytes = most_messages, most_bytes
+        self.sock, self.name, self.log, self.on_drained, self.on_failed = sock, name, log, sent, lost
+        self.max_messages, self.max_bytes = most_messages, most_bytes
         self.unsent: list[bytes] = []
-        self.size = 0  # bytes in `unsent`
+        self.unsent_bytes = 0  # bytes in `unsent`
         self.writer: gevent.Greenlet | None = None
         self.closed = False
 
@@ -57,49 +57,49 @@
         """Writes the message behind those given before."""
         if self.closed:
             return
-        if len(self.unsent) >= self.most_messages or self.size + len(data) > self.most_bytes:
-            return self.fail(f"{len(self.unsent)} messages of {self.size} bytes are unsent")
+        if len(self.unsent) >= self.max_messages or self.unsent_bytes + len(data) > self.max_bytes:
+            return self.fail(f"{len(self.unsent)} messages of {self.unsent_bytes} bytes are unsent")
         self.unsent.append(data)
-        self.size += len(data)
+        self.unsent_bytes += len(data)
         if self.writer is None:
-            self.send_at_once()
+            self.send_without_waiting()
 
-    def send_at_once(self) -> None:
+    def send_without_waiting(self) -> None:
         """As much as the socket takes without a wait; a greenlet writes what remains."""
         try:
-            self.send(timeout=0.0)
+            self.send_first(timeout=0.0)
         except BlockingIOError:
             pass
         except OSError as error:
             return self.fail(str(error))
         if self.unsent:
-            self.writer = spawn(self.log, f"{self.name} writer", self.write)
+            self.writer = spawn(self.log, f"{self.name} writer", self.run_writer)
 
-    def send(self, **timeout: float) -> None:
+    def send_first(self, **timeout: float) -> None:
         data = self.unsent[0]
         count = self.sock.send(data, **timeout)
         if self.closed:
             return
-        self.size -= count
+        self.unsent_bytes -= count
         if count < len(data):
             self.unsent[0] = data[count:]
         else:
             self.unsent.pop(0)
 
-    def write(self) -> None:
+    def run_writer(self) -> None:
         """The writer's greenlet: each send waits for the socket's time-out at most."""
         try:
             while self.unsent:
-                self.send()
+                self.send_first()
         except OSError as error:
             return self.fail(str(error))
         self.writer = None
         if not self.closed:
-            self.sent()
+            self.on_drained()
 
     def fail(self, reason: str) -> None:
         if not self.closed:
-            lost = self.lost
+            lost = self.on_failed
             self.close()
             lost(reason)
 
@@ -108,5 +108,5 @@
         keeps the memory of a connection that has ended until the next full collection."""
         self.closed = True
         self.unsent.clear()
-        self.size = 0
-        self.sent = self.lost = ignore_callback
+        self.unsent_bytes = 0
+        self.on_drained = self.on_failed = ignore_callback
--- a/harrieryoke/net/platform.py
+++ b/harrieryoke/net/platform.py
@@ -29,7 +29,7 @@
 
     sock: socket.socket
     name: str
-    asked: bool = False
+    served_before: bool = False
 
 
 @dataclass(slots=True)
@@ -41,7 +41,7 @@
 class AcceptorEnded:
     """The listener's greenlet for this descriptor accepts no more."""
 
-    entry: socket.socket
+    acceptor: socket.socket
 
 
 class StopListening:
@@ -52,7 +52,7 @@
 class TransferClients:
     """Another process accepts now; clients that are here go there through `to`, as they become idle."""
 
-    to: Callable[[socket.socket, str], object]
+    transfer: Callable[[socket.socket, str], object]
 
 
 class CloseIdleClient:
@@ -81,13 +81,16 @@
         self, where: tuple[str, int], maker: CallMaker, core: ModuleActor, limits: Limits, log: Log
     ) -> None:
         super().__init__("platform front", limits.client_mailbox, log)
-        self.where, self.maker, self.core, self.limits = where, maker, core, limits
+        self.address, self.maker, self.core, self.limits = where, maker, core, limits
         self.clients: dict[ClientActor, bool] = {}  # whether it was told to leave
-        self.few, self.most = limits.sockets // 2, limits.sockets * 2 // 3  # usual clients hold a third
-        self.stopping, self.empty = False, Event()
-        self.room = Event()  # a client has gone
-        self.listeners = 0  # greenlets that accept, or have accepted and still hold a connection
-        self.yielded: TransferWhenIdle | None = None
+        self.soft_limit, self.hard_limit = (
+            limits.sockets // 2,
+            limits.sockets * 2 // 3,
+        )  # usual clients hold a third
+        self.stopping, self.all_closed = False, Event()
+        self.client_closed = Event()  # a client has gone
+        self.running_acceptors = 0  # greenlets that accept, or have accepted and still hold a connection
+        self.transfer_request: TransferWhenIdle | None = None
         self.listening: socket.socket | None = None
         self.pauses = PauseWatch(now_ms(), limits.sweep_ms, log)
 
@@ -95,23 +98,26 @@
         """Accepts on the listening socket that another process handed over, or on one of its own, which
         others may be `shared` with where that handing over can fail. Raises OSError."""
         if listening is None:
-            listening = wait_for_listener(self.where, BACKLOG, self.limits, self.log, shared)
+            listening = wait_for_listener(self.address, BACKLOG, self.limits, self.log, shared)
         self.listening = listening
         self.pauses.restart(now_ms())
         super().start()
-        self.open()
+        self.start_accepting()
 
-    def open(self) -> None:
+    def start_accepting(self) -> None:
         """A descriptor of its own to accept on: while others accept, the listening socket is kept. Raises
         OSError."""
         assert self.listening is not None, "open comes after start"
-        self.entry = entry = retry_local("listen", self.listening.dup, self.limits.start_ms, self.log)
-        self.listeners += 1
+        self.acceptor = entry = retry_local("listen", self.listening.dup, self.limits.start_ms, self.log)
+        self.running_acceptors += 1
         spawn(
-            self.log, "listener", lambda: self.accept(entry), lambda: self.blocking_send(AcceptorEnded(entry))
+            self.log,
+            "listener",
+            lambda: self.run_acceptor(entry),
+            lambda: self.blocking_send(AcceptorEnded(entry)),
         )
 
-    def accept(self, entry: socket.socket) -> None:
+    def run_acceptor(self, entry: socket.socket) -> None:
         """The listener's greenlet, until its descriptor is closed."""
         pauses = Pauses()
         while not self.finished:
@@ -132,19 +138,22 @@
     def wait_for_room(self, entry: socket.socket) -> None:
         """Newcomers wait in the backlog while clients hold all that they may and some of them are about to
         leave. Where all are busy nobody waits: a newcomer is turned away at once, as it may try elsewhere."""
-        while entry.fileno() >= 0 and self.is_full() and self.may_leave():
-            self.room.clear()
+        while entry.fileno() >= 0 and self.is_full() and self.has_idle_client():
+            self.client_closed.clear()
             self.try_send(CloseIdleClient())
-            self.room.wait(self.limits.client_fresh_ms / 1000)
+            self.client_closed.wait(self.limits.client_fresh_ms / 1000)
 
     def is_full(self) -> bool:
         """With those on their way through the mailbox."""
-        return len(self.clients) + sum(isinstance(m, ConnectionAccepted) for m in self.mailbox) >= self.most
+        return (
+            len(self.clients) + sum(isinstance(m, ConnectionAccepted) for m in self.mailbox)
+            >= self.hard_limit
+        )
 
-    def may_leave(self) -> bool:
+    def has_idle_client(self) -> bool:
         """Whether some client has nothing open and is not within a line."""
         now = now_ms()
-        return any(c.quiet(now) is not None and not c.partial for c in self.clients)
+        return any(c.idle_ms(now) is not None and not c.partial for c in self.clients)
 
     def run(self) -> None:
         swept = now_ms()
@@ -157,18 +166,18 @@
                 swept = now
                 # after a pause of this process, all idle clients look stale at once, and would be closed with
                 # a request of theirs on its way
-                for client in [c for c in self.clients if c.stale(now, self.pauses.resumed)]:
+                for client in [c for c in self.clients if c.is_stale(now, self.pauses.resumed)]:
                     self.log("client-closed", f"{client.client}: it was silent for too long")
-                    self.clients[client] = client.close_stale()
-                self.send_away()
+                    self.clients[client] = client.close_if_idle()
+                self.transfer_clients()
 
-    def send_away(self) -> None:
+    def transfer_clients(self) -> None:
         """To the process that has taken over, if one has: whoever is here and was not told so yet."""
-        if self.yielded is not None:
+        if self.transfer_request is not None:
             for client in [c for c, leaves in self.clients.items() if not leaves]:
-                self.clients[client] = client.try_send(self.yielded)
+                self.clients[client] = client.try_send(self.transfer_request)
 
-    def dismiss(self, client: ClientActor, reason: str) -> None:
+    def close_when_idle(self, client: ClientActor, reason: str) -> None:
         """Have the connection closed once nothing is open on it."""
         self.log("client-closed", f"{client.client}: {reason}")
         self.clients[client] = client.try_send(CloseIfIdle())
@@ -176,40 +185,40 @@
     def receive(self, message: Any) -> None:
         match message:
             case ConnectionAccepted(sock, name, asked):
-                self.accepted(sock, name, asked)
+                self.add_client(sock, name, asked)
             case ClientClosed(client):
                 self.clients.pop(client, None)
-                self.room.set()
+                self.client_closed.set()
             case CloseIdleClient():
-                self.make_room()
+                self.close_idle_client()
             case TransferClients(to) if not self.stopping:
-                self.yielded = TransferWhenIdle(to)
-                self.entry.close()
-                self.send_away()
-            case ResumeAccepting() if self.yielded is not None and not self.stopping:
-                self.yielded = None
-                self.open()
+                self.transfer_request = TransferWhenIdle(to)
+                self.acceptor.close()
+                self.transfer_clients()
+            case ResumeAccepting() if self.transfer_request is not None and not self.stopping:
+                self.transfer_request = None
+                self.start_accepting()
             case AcceptorEnded(entry):
-                self.listeners -= 1
+                self.running_acceptors -= 1
                 # a front that accepts nobody, and was not told so, ends: the service sees that
                 self.finished = entry.fileno() >= 0
             case StopListening():
                 self.stop_listening()
-        if self.stopping and not (self.clients or self.mailbox or self.listeners):
-            self.empty.set()
+        if self.stopping and not (self.clients or self.mailbox or self.running_acceptors):
+            self.all_closed.set()
 
     def stop_listening(self) -> None:
         self.stopping = True
-        if self.yielded is None:
-            self.take_backlog()
-        self.entry.close()
+        if self.transfer_request is None:
+            self.accept_backlog()
+        self.acceptor.close()
         if self.listening is not None:
             self.listening.close()
-        self.send_away()
+        self.transfer_clients()
         for client in [c for c, leaves in self.clients.items() if not leaves]:
-            self.dismiss(client, "the process stops")
+            self.close_when_idle(client, "the process stops")
 
-    def take_backlog(self) -> None:
+    def accept_backlog(self) -> None:
         """Connections that the machine has accepted and nobody has taken: the close would reset them. Where
         none can be taken at the moment they are waited for."""
         if self.listening is None:
@@ -229,12 +238,12 @@
                 continue
             pauses.reset()
             if (accepted := prepare_connection(sock, peer, self.log)) is not None:
-                self.accepted(accepted.sock, accepted.name, accepted.asked)
+                self.add_client(accepted.sock, accepted.name, accepted.served_before)
 
-    def accepted(self, sock: socket.socket, name: str, asked: bool) -> None:
-        if len(self.clients) - sum(self.clients.values()) >= self.few:
-            self.make_room()
-        if len(self.clients) >= self.most:
+    def add_client(self, sock: socket.socket, name: str, asked: bool) -> None:
+        if len(self.clients) - sum(self.clients.values()) >= self.soft_limit:
+            self.close_idle_client()
+        if len(self.clients) >= self.hard_limit:
             self.log("too-many-clients", f"{len(self.clients)} connections are open")
             sock.close()
             return
@@ -248,17 +257,17 @@
             lambda c: self.blocking_send(ClientClosed(c)),
             self.pauses,
         )
-        self.clients[client], client.asked = False, asked
+        self.clients[client], client.has_sent_line = False, asked
         client.start()
         if self.stopping:
-            self.dismiss(client, "the process stops")
+            self.close_when_idle(client, "the process stops")
 
-    def make_room(self) -> None:
+    def close_idle_client(self) -> None:
         """The client that has been quiet longest leaves, unless it is within a line: a newcomer most likely
         is there to ask. So the usual clients find room beside others that ask once, or never, and keep their
         connections."""
         now = now_ms()
         staying = [c for c, leaves in self.clients.items() if not leaves and not c.partial]
-        quiet = {c: q for c in staying if (q := c.quiet(now)) is not None}
+        quiet = {c: q for c in staying if (q := c.idle_ms(now)) is not None}
         if quiet and max(quiet.values()) > self.limits.client_fresh_ms:
-            self.dismiss(max(quiet, key=quiet.__getitem__), "a newcomer needs room")
+            self.close_when_idle(max(quiet, key=quiet.__getitem__), "a newcomer needs room")
--- a/harrieryoke/service.py
+++ b/harrieryoke/service.py
@@ -68,7 +68,7 @@
         self.start_management()
         self.open_council()
         listening, banned = self.take_over()
-        self.hosts.begin(self.config.known, banned, self.config.written)
+        self.hosts.load_initial(self.config.known, banned, self.config.written)
         for before in (self.gate, self.parts.door):
             if before is not None:
                 before.start()
@@ -192,7 +192,7 @@
             if limit not in own:
                 setattr(self.limits, limit, value)
         self.put_in_force(settings)
-        self.bus.move(new.bus)
+        self.bus.change_address(new.bus)
         if self.gate is not None:
             self.gate.ask_swap(None, self.limits.write_ms)
         if self.parts.ledger is not None:
@@ -207,7 +207,7 @@
     def put_in_force(self, settings: i.Settings) -> None:
         """Whoever a call comes to knows its class by then: the hosts at once, the parts on its way through
         mailboxes that keep the order, and last the fronts, which name the new classes from here."""
-        self.hosts.retune(settings)
+        self.hosts.apply_settings(settings)
         self.core.figures.add_classes(settings.active_classes())
         for part in (self.core, self.gate, self.parts.door, self.parts.ledger):
             if part is not None:
@@ -239,10 +239,10 @@
             self.parts.council.push_stop()
         if self.broker is not None:
             self.broker.push_stop()
-        if self.front.yielded is None:
+        if self.front.transfer_request is None:
             gevent.sleep(self.limits.stop_accepting_ms / 1000)
         self.front.blocking_send(StopListening())
-        self.front.empty.wait((by + 100.0 - now_ms()) / 1000)
+        self.front.all_closed.wait((by + 100.0 - now_ms()) / 1000)
         if self.broker is not None:
             self.broker.gone.wait(max(0.0, by + 100.0 - now_ms()) / 1000)
         if self.parts.ledger is not None:
--- a/harrieryoke/upgrade/link.py
+++ b/harrieryoke/upgrade/link.py
@@ -125,11 +125,11 @@
         super().__init__("upgrade", limits.list_mailbox, log)
         self.front, self.core, self.hosts, self.limits = front, core, hosts, limits
         self.path = path.with_name(f"{path.name}.sock")
-        self.file = BanFile(path.with_name(f"{path.name}.bans"))
+        self.ban_file = BanFile(path.with_name(f"{path.name}.bans"))
         self.links: list[Link] = []  # to processes that have sent hello, and to the predecessor
         self.reading: set[Link] = set()  # links with a reader
         self.predecessor: Predecessor | None = None
-        hosts.keep = self.record_ban
+        hosts.on_ban_changed = self.record_ban
         self.successor: Link | None = None  # the process that has taken over
         self.stopping = False
         self.listening: socket.socket | None = None
@@ -141,18 +141,18 @@
             self.links.append(Link(self.predecessor.sock))
             return self.predecessor.listening, self.predecessor.bans
         try:
-            return None, self.file.read()
+            return None, self.ban_file.read()
         except BansError as error:
-            self.log("bans-damaged", f"{self.file.path}: {error}")
+            self.log("bans-damaged", f"{self.ban_file.path}: {error}")
             return None, []
 
     def record_ban(self, id: str, on: bool) -> None:
         """Write the ban to the file and send it to the other process, before the operator gets a yes."""
         try:
-            self.file.write(self.hosts.bans())
+            self.ban_file.write(self.hosts.bans())
         except OSError as error:
             # on a full disk the ban still holds, and a successor receives it over the link
-            self.log("bans-not-kept", f"{self.file.path}: {error}")
+            self.log("bans-not-kept", f"{self.ban_file.path}: {error}")
         self.try_send(LocalBanChange(id, on))
 
     def restore_state(self) -> None:
@@ -267,11 +267,11 @@
                 self.core.blocking_send(ActiveChanged(False))
             case PeerMessageReceived(_, ClientTransfer(name), int(descriptor)):
                 sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, fileno=descriptor)
-                self.front.blocking_send(ConnectionAccepted(sock, name, asked=True))
+                self.front.blocking_send(ConnectionAccepted(sock, name, served_before=True))
             case ClientReleased(sock, name):
                 self.transfer_client(sock, name)
             case PeerMessageReceived(_, BanChange(id, on)):
-                self.hosts.blocking_send(Ban(id, on, AsyncResult(), known=True))
+                self.hosts.blocking_send(Ban(id, on, AsyncResult(), from_peer=True))
             case LocalBanChange(id, on):
                 for link in self.links:
                     self.send(link, BanChange(id, on))
@@ -310,7 +310,7 @@
                 return
         except OSError as error:
             self.log("upgrade-link", str(error))
-        self.front.blocking_send(ConnectionAccepted(sock, name, asked=True))
+        self.front.blocking_send(ConnectionAccepted(sock, name, served_before=True))
 
     def close(self, link: Link) -> None:
         """Close the link and the descriptors that no line has claimed."""
--- a/harrieryoke/wire/frames.py
+++ b/harrieryoke/wire/frames.py
@@ -30,31 +30,31 @@
     WireError; after that nothing more can be read."""
 
     def __init__(self, kind: type[F], most: int) -> None:
-        self.kind, self.most, self.rest = kind, most, bytearray()
+        self.frame_type, self.max_bytes, self.buffer = kind, most, bytearray()
 
     def feed(self, data: bytes) -> Iterator[F]:
-        self.rest += data
-        while (found := self.length()) is not None and len(self.rest) >= found[0] + found[1]:
+        self.buffer += data
+        while (found := self.read_header()) is not None and len(self.buffer) >= found[0] + found[1]:
             head, size = found
-            body = bytes(self.rest[head : head + size])
-            del self.rest[: head + size]
+            body = bytes(self.buffer[head : head + size])
+            del self.buffer[: head + size]
             try:
-                frame = self.kind.FromString(body)
+                frame = self.frame_type.FromString(body)
             except DecodeError as error:
                 raise WireError(f"no frame: {error}") from None
             if frame.WhichOneof("said") is None:
                 raise WireError("a frame that says nothing")
             yield frame
 
-    def length(self) -> tuple[int, int] | None:
+    def read_header(self) -> tuple[int, int] | None:
         """Bytes of the head, and the length that it tells."""
         size = 0
-        for place, byte in enumerate(self.rest[:5]):
+        for place, byte in enumerate(self.buffer[:5]):
             size |= (byte & 127) << 7 * place
-            if size > self.most:
+            if size > self.max_bytes:
                 break
             if byte < 128:
                 return place + 1, size
-        if len(self.rest) >= 5 or size > self.most:
-            raise WireError(f"a frame of more than {self.most} bytes")
+        if len(self.buffer) >= 5 or size > self.max_bytes:
+            raise WireError(f"a frame of more than {self.max_bytes} bytes")
         return None
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -26,7 +26,16 @@
 from harrieryoke.errors import Busy
 from harrieryoke.limits import Limits
 from harrieryoke.log import Log
-from harrieryoke.net.hostlist import STATUS_BY_STATE, Ban, BusEvent, EventReceived, HostListActor, KnownEvents, Server, Topology
+from harrieryoke.net.hostlist import (
+    STATUS_BY_STATE,
+    Ban,
+    BusEvent,
+    EventReceived,
+    HostListActor,
+    KnownEvents,
+    Server,
+    Topology,
+)
 from harrieryoke.net.hostlist import worker_number as number
 
 from .rig import SETTINGS
@@ -68,7 +77,7 @@
         self.seen: dict[int, i.WorkerEntry] = {}  # what the module knows
         self.kept: set[str] = set()  # what the next process would know
         self.actor = opened(self.heard)
-        self.actor.keep = lambda id, on: self.kept.add(id) if on else self.kept.discard(id)
+        self.actor.on_ban_changed = lambda id, on: self.kept.add(id) if on else self.kept.discard(id)
         self.offset = self.events = 0
 
     def drain(self, id: str) -> i.WorkerStatus:
@@ -85,7 +94,7 @@
     @precondition(lambda self: not self.events)
     def begin(self, banned: set[str]) -> None:
         """Bans of an earlier process, for ids that are not listed yet."""
-        self.actor.begin(KnownEvents(), banned)
+        self.actor.load_initial(KnownEvents(), banned)
         self.banned, self.kept, self.events = set(banned), set(banned), self.events + 1
 
     @rule(
@@ -130,7 +139,7 @@
         }
         live = [id for id in self.words if self.drain(id) is not i.WorkerStatus.GONE]
         assert seen == {number(id): (self.drain(id), self.words[id].started_ms or None) for id in live}
-        figures = self.actor.figures
+        figures = self.actor.metrics
         assert (figures.pool_size, figures.banned) == (len(live), len(self.banned.intersection(live)))
 
     @invariant()
@@ -138,11 +147,11 @@
         assert {id for id, w in self.words.items() if w.state != "left"} == set(self.actor.hosts)
         for id, (standing, _) in self.actor.hosts.items():
             up = self.drain(id) is i.WorkerStatus.UP
-            assert [standing.takes(task) for task in BINDING] == [up] * 3 and standing.takes(ASK)
+            assert [standing.accepts(task) for task in BINDING] == [up] * 3 and standing.accepts(ASK)
 
     def teardown(self) -> None:
         for id in list(self.actor.hosts):
-            self.actor.strike(id, now=True)
+            self.actor.remove_host(id, now=True)
         gevent.sleep(0)
 
 
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -102,7 +102,9 @@
         c.ask(1)
         c.send(*(line(n, "probe") for n in range(2, 42)))
         until(lambda: len(c.actor.mailbox) == 16 and c.actor.unposted, "a full mailbox")
-        c.actor.try_send(CloseIfIdle() if how == "close" else TransferWhenIdle(lambda sock, name: handed.append(sock)))
+        c.actor.try_send(
+            CloseIfIdle() if how == "close" else TransferWhenIdle(lambda sock, name: handed.append(sock))
+        )
         c.core.gate.set()
         assert sorted(id for id, _ in c.read(41)) == list(range(1, 42))
         assert c.gone.wait(10) and len(handed) == (how == "hand-over")
--- a/tests/test_discovery_crossings.py
+++ b/tests/test_discovery_crossings.py
@@ -21,7 +21,7 @@
 from harrieryoke.limits import Limits
 from harrieryoke.log import Log
 from harrieryoke.net import bus_follower
-from harrieryoke.net.bus_follower import BusFollower, LineBuffer, AddressChanged, LineReceived
+from harrieryoke.net.bus_follower import AddressChanged, BusFollower, LineBuffer, LineReceived
 from harrieryoke.net.heartbeats import PROPAGATION_DELAY_MS
 from harrieryoke.net.hostlist import BusEvent, EventReceived, HostListActor, KnownEvents, Topology
 from harrieryoke.net.hostlist_model import ListConfirmed, ListReplaced, Server, decode_line, worker_number
@@ -93,7 +93,12 @@
 
     def __init__(self, last: int = 1, **limits: Any) -> None:
         usual: dict[str, Any] = {"bus_backoff_ms": 10.0, "bus_quiet_ms": 5000.0} | limits
-        self.bus, self.told, self.log, self.gate = Bus(), list[EventReceived | ListReplaced](), Lines(), Event()
+        self.bus, self.told, self.log, self.gate = (
+            Bus(),
+            list[EventReceived | ListReplaced](),
+            Lines(),
+            Event(),
+        )
         self.confirmed: list[float] = []
         self.gate.set()
         where = self.bus.listening.getsockname()[:2]
@@ -102,7 +107,7 @@
 
     def tell(self, said: EventReceived | ListReplaced | ListConfirmed) -> None:
         if isinstance(said, ListConfirmed):
-            return self.confirmed.append(said.at)
+            return self.confirmed.append(said.as_of)
         self.told.append(said)
         self.gate.wait()
 
@@ -155,9 +160,9 @@
 
 def test_a_read_waits_no_longer_than_until_the_line_is_due() -> None:
     buffer = LineBuffer(Limits(bus_quiet_ms=2000.0, bus_line_ms=4000.0), 0.0)
-    assert buffer.feed(b"1\n\n", 500.0) == [b"1"] and buffer.patience_ms(700.0) == 1800.0
-    assert buffer.feed(b"{", 2000.0) == [] and buffer.patience_ms(2500.0) == 2000.0
-    assert buffer.feed(b"}", 5900.0) == [] and buffer.patience_ms(5900.0) == 100.0
+    assert buffer.feed(b"1\n\n", 500.0) == [b"1"] and buffer.read_timeout_ms(700.0) == 1800.0
+    assert buffer.feed(b"{", 2000.0) == [] and buffer.read_timeout_ms(2500.0) == 2000.0
+    assert buffer.feed(b"}", 5900.0) == [] and buffer.read_timeout_ms(5900.0) == 100.0
     with pytest.raises(ValueError, match="no whole line in time"):
         buffer.feed(b" ", 6001.0)
 
@@ -192,7 +197,7 @@
     pauses = []
     for _ in range(5):
         assert w.bus.asked() == "from 1"
-        pauses.append(w.follower.pause)
+        pauses.append(w.follower.backoff_ms)
         w.bus.conn.sendall(said)
         if closes:
             w.bus.conn.close()
@@ -214,7 +219,7 @@
     assert w.bus.asked() == "from 1"
     w.bus.conn.sendall(event(2, entry("h1", 1)) + event(3, entry("old", 2))[:30])
     w.until(lambda: w.offsets() == [2])
-    w.follower.move(other.listening.getsockname()[:2])
+    w.follower.change_address(other.listening.getsockname()[:2])
     assert other.asked() == "from 2" and w.bus.ended()
     other.conn.sendall(event(3, entry("new", 2)))
     w.until(lambda: w.offsets() == [2, 3])
@@ -228,7 +233,7 @@
     w.gate.clear()
     w.bus.conn.sendall(event(2) + event(3))
     w.until(lambda: w.told and len(w.follower.mailbox) == 1)  # 2 is in hand, 3 is queued
-    w.follower.move(other.listening.getsockname()[:2])
+    w.follower.change_address(other.listening.getsockname()[:2])
     w.bus.conn.sendall(event(4))
     w.until(lambda: len(w.follower.mailbox) == 3)
     w.gate.set()
@@ -256,7 +261,7 @@
     w.bus.conn.sendall(ANEW + b"2\n" + event(2, entry("old", 9)) + event(3, entry("h4", 4)))
     w.until(lambda: w.offsets() == [-2, 3])
     assert isinstance(said := w.told[0], ListReplaced)
-    assert said.update.whole and {s.id: s.addr[-1] for s in said.update.servers.values()} == {
+    assert said.update.is_full and {s.id: s.addr[-1] for s in said.update.servers.values()} == {
         "h1": "1",
         "h3": "3",
     }
@@ -299,10 +304,10 @@
     for at in (0.0, 8000.0, 9000.0):
         clock[0] = at
         follower.receive(LineReceived(follower.connection, b"0"))
-    assert told == [] and follower.last == 0
+    assert told == [] and follower.last_offset == 0
     for line in (event(1, entry("h1", 1)), b"1"):
         follower.receive(LineReceived(follower.connection, line))
-    assert [t.update.whole for t in told] == [False]
+    assert [t.update.is_full for t in told] == [False]
 
 
 def test_an_event_under_a_spoilt_high_offset_keeps_later_ones_from_being_heard_for_a_while_only(
@@ -328,9 +333,14 @@
         follower.receive(LineReceived(follower.connection, b"2"))
     first, second = ANEW.splitlines()
     old = follower.connection
-    for message in (LineReceived(old, first), AddressChanged(("", 2)), LineReceived(old, second), LineReceived(old, b"2")):
+    for message in (
+        LineReceived(old, first),
+        AddressChanged(("", 2)),
+        LineReceived(old, second),
+        LineReceived(old, b"2"),
+    ):
         follower.receive(message)
-    assert told == [] and follower.last == 0
+    assert told == [] and follower.last_offset == 0
     for line in (event(1, entry("h7", 7)), b"1"):  # not whole, so that nothing but the move clears the others
         follower.receive(LineReceived(follower.connection, line))
     assert [list(t.update.servers) for t in told] == [["h7"]]
@@ -364,11 +374,11 @@
     lines, expected = CONFIRMED[case]
     follower, _, clock = followed(monkeypatch, 5)
     heard: list[Any] = []
-    follower.tell_list = heard.append
+    follower.send_to_list = heard.append
     for at, line in lines:
         clock[0] = at
         follower.receive(LineReceived(follower.connection, line))
-    confirmed = [said.at + PROPAGATION_DELAY_MS for said in heard if isinstance(said, ListConfirmed)]
+    confirmed = [said.as_of + PROPAGATION_DELAY_MS for said in heard if isinstance(said, ListConfirmed)]
     assert confirmed == expected
 
 
@@ -382,12 +392,12 @@
     """Where they only come late, by a slow link, another connection would not help."""
     follower, _, clock = followed(monkeypatch, 5)
     heard: list[Any] = []
-    follower.tell_list = heard.append
+    follower.send_to_list = heard.append
     first, most = follower.connection, max(follower.limits.bus_lag_ms, 2 * (latency + period))
     for n in range(1, 601):
         clock[0] = n * period + latency
         follower.receive(LineReceived(follower.connection, b"5"))
-        assert clock[0] - heard[-1].at <= most + PROPAGATION_DELAY_MS + period
+        assert clock[0] - heard[-1].as_of <= most + PROPAGATION_DELAY_MS + period
     assert follower.connection - first == remade
 
 
@@ -424,7 +434,7 @@
     def state(self) -> dict[str, tuple[i.WorkerStatus, int]]:
         """Drain and port of each host; the module and the hosts' actors agree on them."""
         hosts = self.actor.hosts
-        state = {id: (standing.drain, standing.address[1]) for id, (standing, _) in hosts.items()}
+        state = {id: (standing.status, standing.address[1]) for id, (standing, _) in hosts.items()}
         assert {worker_number(id): drain for id, (drain, _) in state.items()} == {
             worker: e.status for worker, e in self.module.items()
         }
@@ -440,7 +450,7 @@
     made.say(entry("h1", 1), entry("h2", 2), full=True)
     yield made
     for id in list(made.actor.hosts):
-        made.actor.strike(id, now=True)
+        made.actor.remove_host(id, now=True)
     gevent.sleep(0)
 
 
@@ -528,9 +538,9 @@
 
 def test_the_list_of_the_start_is_as_old_as_the_file_that_holds_it() -> None:
     made = List()
-    made.actor.begin(KnownEvents(1, [BusEvent(1, Topology([Server(**entry("h1", 1))]))]), as_of=5.0)
+    made.actor.load_initial(KnownEvents(1, [BusEvent(1, Topology([Server(**entry("h1", 1))]))]), as_of=5.0)
     assert made.confirmed == [i.ListConfirmed(5.0 - PROPAGATION_DELAY_MS)]
-    made.actor.strike("h1", now=True)
+    made.actor.remove_host("h1", now=True)
     gevent.sleep(0)
 
 
@@ -568,8 +578,8 @@
         follower.receive(LineReceived(follower.connection, line))
     for said in told:
         made.actor.receive(said)
-    assert made.state() == {"h4": (UP, 4)} and follower.last == 4
-    made.actor.strike("h4", now=True)
+    assert made.state() == {"h4": (UP, 4)} and follower.last_offset == 4
+    made.actor.remove_host("h4", now=True)
     gevent.sleep(0)
 
 
@@ -597,7 +607,7 @@
     assert listed.state() == expected
     for id, (standing, _) in before.items():
         where = {port: other for other, (_, port) in expected.items()}.get(standing.address[1], id)
-        assert standing.replaced or where == id or standing.drain is GONE
+        assert standing.replaced or where == id or standing.status is GONE
     if "n" in expected:
         assert before["h1"][0].replaced
 
@@ -609,13 +619,13 @@
     steps += [entry("h2", 2, "left"), entry("h2", 2), entry("h2", 2, "left"), entry("h3", 3), entry("h4", 3)]
     servers = [Server(**step) for step in steps]
     if begins:
-        made.actor.begin(KnownEvents(8, [BusEvent(n, Topology([s])) for n, s in enumerate(servers)]))
+        made.actor.load_initial(KnownEvents(8, [BusEvent(n, Topology([s])) for n, s in enumerate(servers)]))
     else:
         made.actor.receive(EventReceived(BusEvent(1, Topology(servers))))
     assert made.state() == {"h1": (UP, 1), "h4": (UP, 3)}
     assert made.module[worker_number("h1")].start_stamp == 5
     for id in list(made.actor.hosts):
-        made.actor.strike(id, now=True)
+        made.actor.remove_host(id, now=True)
     gevent.sleep(0)
 
 
@@ -623,7 +633,7 @@
     made = List()
     steps = [entry("h1", 1), entry("h2", 1), entry("h2", 1, "left")]
     batch = [BusEvent(n, Topology([Server(**step)])) for n, step in enumerate(steps)]
-    made.actor.begin(KnownEvents(2, batch))
+    made.actor.load_initial(KnownEvents(2, batch))
     assert made.state() == {}
 
 
@@ -669,7 +679,7 @@
     assert len(made.log.of("list")) > changes or made.state() == before
     assert made.state() is not None
     for id in list(made.actor.hosts):
-        made.actor.strike(id, now=True)
+        made.actor.remove_host(id, now=True)
     gevent.sleep(0)
 
 
--- a/tests/test_host_crossings.py
+++ b/tests/test_host_crossings.py
@@ -21,7 +21,7 @@
 from harrieryoke.limits import Limits
 from harrieryoke.log import Log
 from harrieryoke.net import frames
-from harrieryoke.net.host import FIRST_INTERNAL_FRAME_ID, HostActor, LinkLost, HostStatus, LinkWritable
+from harrieryoke.net.host import FIRST_INTERNAL_FRAME_ID, HostActor, HostStatus, LinkLost, LinkWritable
 from harrieryoke.net.link import HostSocket, Link, PendingFrame, host_socket
 
 PATIENCE = 20.0  # seconds for what should come at once
@@ -87,7 +87,7 @@
         else:
             plain = socket.socket()
             plain.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4608)
-            plain.connect(self.standing.address)
+            plain.connect(self.status.address)
             sock = host_socket(plain)
         self.peers.append(Peer(self.listening.accept()[0], self.reading))
         return sock
@@ -105,13 +105,13 @@
         """A request of which a part is written, on a link whose host does not read."""
         self.reading.clear()
         large = attempt(0xA, body=body)
-        self.send(large)
+        self.send_task(large)
         link = self.links[-1]
-        assert link.waiting and link.backlog[0].begun and large.write_started
+        assert link.awaiting_writable and link.backlog[0].started and large.write_started
         return large, link
 
     def tries(self) -> int:
-        return self.figures.for_class("weight-read").tries
+        return self.metrics.for_class("weight-read").tries
 
 
 @pytest.fixture
@@ -153,11 +153,11 @@
 
 
 def drain(stage: Stage, task: AttemptTask) -> None:
-    stage.standing.drain = i.WorkerStatus.DRAINING
+    stage.status.status = i.WorkerStatus.DRAINING
 
 
 def replaced(stage: Stage, task: AttemptTask) -> None:
-    stage.standing.replaced = True
+    stage.status.replaced = True
 
 
 def time_over(stage: Stage, task: AttemptTask) -> None:
@@ -177,10 +177,10 @@
 ) -> None:
     stage, task, marker = stages(), attempt(1), OrderTask(1, 1e15, 0.0, function="f", copies=0)
     stage.dialling = lambda: news(stage, task)
-    stage.send(task)
-    assert stage.ends == [(task, NOT_SENT)] and not task.write_started and not stage.places
-    stage.standing.drain, stage.standing.replaced = i.WorkerStatus.UP, False
-    stage.send(marker)
+    stage.send_task(task)
+    assert stage.ends == [(task, NOT_SENT)] and not task.write_started and not stage.locations
+    stage.status.status, stage.status.replaced = i.WorkerStatus.UP, False
+    stage.send_task(marker)
     stage.until(lambda: stage.peers[0].heard)
     assert stage.peers[0].heard == [(frames.HOLD, FIRST_INTERNAL_FRAME_ID + 1)] and stage.tries() == 0
 
@@ -191,14 +191,14 @@
 ) -> None:
     stage, task, later = stages(narrow=True), attempt(1), attempt(2)
     stage.blocked()
-    stage.send(task)
+    stage.send_task(task)
     assert not task.write_started
     news(stage, task)
     stage.reading.set()
     stage.until(lambda: stage.ends)
     assert stage.ends == [(task, NOT_SENT)] and not task.write_started
-    stage.standing.drain, stage.standing.replaced = i.WorkerStatus.UP, False
-    stage.send(later)
+    stage.status.status, stage.status.replaced = i.WorkerStatus.UP, False
+    stage.send_task(later)
     stage.until(lambda: len(stage.peers[0].heard) == 2)
     assert stage.peers[0].heard == [request(0xA), request(2)] and stage.tries() == 2
 
@@ -208,19 +208,19 @@
 
 def test_a_host_that_does_not_read_keeps_the_actor_from_nothing(stages: Make) -> None:
     stage, early, given_up = stages(narrow=True), attempt(1), attempt(2)
-    stage.send(early)
+    stage.send_task(early)
     stage.until(lambda: stage.peers[0].heard)
     large, link = stage.blocked()
-    stage.send(given_up)
-    stage.give_up(given_up)
+    stage.send_task(given_up)
+    stage.handle_cancel(given_up)
     stage.peers[0].answer(frames.OK, early)
     stage.until(lambda: stage.ends)
-    assert stage.ends == [(early, OK)] and link.waiting and not given_up.write_started
-    stage.give_up(large)
+    assert stage.ends == [(early, OK)] and link.awaiting_writable and not given_up.write_started
+    stage.handle_cancel(large)
     stage.reading.set()
     stage.until(lambda: len(stage.peers[0].heard) == 3)
     assert stage.peers[0].heard == [request(1), request(0xA), (frames.GIVE_UP, 0xA)]
-    assert stage.tries() == 2 and not stage.places and not link.backlog and not link.waiting
+    assert stage.tries() == 2 and not stage.locations and not link.backlog and not link.awaiting_writable
 
 
 def test_a_link_that_takes_nothing_for_its_time_ends_and_only_what_was_whole_may_have_run(
@@ -231,10 +231,10 @@
         attempt(1),
         attempt(2),
     )
-    stage.send(whole)
+    stage.send_task(whole)
     stage.until(lambda: stage.peers[0].heard)
     large, _ = stage.blocked()
-    stage.send(queued)
+    stage.send_task(queued)
     stage.until(lambda: len(stage.ends) == 3)
     assert dict(stage.ends) == {whole: RESET, large: NOT_SENT, queued: NOT_SENT}
     assert not stage.links and stage.tries() == 1
@@ -243,31 +243,31 @@
 def test_a_link_closed_while_its_writer_waits_ends_each_task_once(stages: Make) -> None:
     stage, queued = stages(narrow=True), attempt(2)
     large, link = stage.blocked()
-    stage.send(queued)
-    stage.close(link, "the test")
-    stage.until(lambda: not link.waiting)
+    stage.send_task(queued)
+    stage.close_link(link, "the test")
+    stage.until(lambda: not link.awaiting_writable)
     assert sorted(stage.ends, key=lambda e: e[0] is large) == [(queued, NOT_SENT), (large, NOT_SENT)]
 
 
 def test_a_request_goes_rather_by_a_link_whose_host_reads(stages: Make) -> None:
     stage, tasks = stages(Limits(streams_per_link=3), narrow=True), [attempt(n) for n in (1, 2, 3, 4)]
     for task in tasks[:3]:
-        stage.send(task)
+        stage.send_task(task)
     stage.blocked()
-    stage.give_up(tasks[0])
-    stage.send(tasks[3])
-    assert tasks[3].write_started and stage.places[tasks[3]][0] is stage.links[0]
+    stage.handle_cancel(tasks[0])
+    stage.send_task(tasks[3])
+    assert tasks[3].write_started and stage.locations[tasks[3]][0] is stage.links[0]
 
 
 def test_an_unload_that_has_not_begun_does_not_go_to_a_host_that_drains(stages: Make) -> None:
     stage, later = stages(narrow=True), attempt(2)
     stage.blocked()
-    stage.unload("f")
-    stage.standing.drain = i.WorkerStatus.DRAINING
+    stage.send_drop_copies("f")
+    stage.status.status = i.WorkerStatus.DRAINING
     stage.reading.set()
-    stage.until(lambda: stage.peers[0].heard and not stage.links[0].waiting)
-    stage.standing.drain = i.WorkerStatus.UP
-    stage.send(later)
+    stage.until(lambda: stage.peers[0].heard and not stage.links[0].awaiting_writable)
+    stage.status.status = i.WorkerStatus.UP
+    stage.send_task(later)
     stage.until(lambda: len(stage.peers[0].heard) == 2)
     assert stage.peers[0].heard == [request(0xA), request(2)]
 
@@ -279,8 +279,8 @@
 
     task = attempt(1)
     frame = PendingFrame(frames.REQUEST, 1, task, b"data")
-    assert not Link(Unready(), frames.Decoder(0)).write(frame) and frame.data == b"data"
-    assert not task.write_started and not frame.begun
+    assert not Link(Unready(), frames.Decoder(0)).write(frame) and frame.unwritten == b"data"
+    assert not task.write_started and not frame.started
 
 
 # --- the window in which a request may be repeated ---
@@ -341,22 +341,22 @@
 def test_a_reset_ends_each_request_on_the_link_once(stages: Make) -> None:
     stage, tasks = stages(), [attempt(n) for n in (1, 2, 3)]
     for task in tasks:
-        stage.send(task)
+        stage.send_task(task)
     stage.until(lambda: len(stage.peers[0].heard) == 3)
     stage.peers[0].reset()
     stage.until(lambda: len(stage.ends) == 3)
-    assert stage.ends == [(task, RESET) for task in tasks] and not stage.links and not stage.places
+    assert stage.ends == [(task, RESET) for task in tasks] and not stage.links and not stage.locations
 
 
 def test_nothing_begins_on_a_link_that_the_host_has_closed_while_the_news_lies_in_the_mailbox(
     stages: Make,
 ) -> None:
     stage, old, new = stages(), attempt(1), attempt(2)
-    stage.send(old)
+    stage.send_task(old)
     stage.until(lambda: stage.peers[0].heard)
     stage.peers[0].sock.close()
     stage.until(lambda: any(isinstance(m, LinkLost) for m in stage.mailbox), step=False)
-    stage.send(new)
+    stage.send_task(new)
     stage.until(lambda: stage.peers[1].heard)
     assert stage.peers[1].heard == [request(2)] and stage.ends == [(old, RESET)]
 
@@ -364,12 +364,12 @@
 def test_what_waits_on_a_link_that_the_host_closes_never_begins(stages: Make) -> None:
     stage, queued = stages(narrow=True), attempt(2)
     large, link = stage.blocked(LARGE[:9000])
-    stage.send(queued)
+    stage.send_task(queued)
     stage.reading.set()
     stage.until(lambda: any(isinstance(m, LinkWritable) for m in stage.mailbox), step=False)
     begun = link.backlog[0]
-    written = len(stage.encode(begun, large)) - len(begun.data)
-    stage.until(lambda: len(stage.peers[0].decoder.rest) == written, step=False)  # there is room for both
+    written = len(stage.encode_task(begun, large)) - len(begun.unwritten)
+    stage.until(lambda: len(stage.peers[0].decoder.buffer) == written, step=False)  # there is room for both
     stage.peers[0].sock.shutdown(socket.SHUT_WR)  # it would still read
     stage.until(lambda: link.ended, step=False)
     stage.until(lambda: len(stage.ends) == 2)
@@ -386,9 +386,9 @@
     for task in tasks[1:]:
         stage.start_task(task)
     tasks[2].call.abandoned = True
-    stage.send(tasks[0])
+    stage.send_task(tasks[0])
     assert dict(stage.ends) == dict(zip(tasks, (NO_CONNECTION, NO_CONNECTION, NOT_SENT), strict=True))
-    assert len(stage.ends) == 3 and not stage.mailbox and not stage.places
+    assert len(stage.ends) == 3 and not stage.mailbox and not stage.locations
     for sock in held:
         sock.close()
 
@@ -401,7 +401,7 @@
     os.close(free)
     resource.setrlimit(resource.RLIMIT_NOFILE, (free, hard))
     try:
-        stage.send(task)
+        stage.send_task(task)
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
     assert stage.ends == [(task, NOT_SENT)] and len(stage.mailbox) == 1
@@ -413,7 +413,7 @@
     stage, tasks = stages(Limits(links_per_host=2, streams_per_link=1)), [attempt(n) for n in (1, 2, 3, 4)]
     stage.start_task(tasks[3])
     for task in tasks[:3]:
-        stage.send(task)
+        stage.send_task(task)
     assert stage.ends == [(tasks[2], NOT_SENT)] and len(stage.mailbox) == 1
 
 
@@ -423,12 +423,12 @@
     if narrow:
         stage.blocked()
     first, second = attempt(1), attempt(1, number=1)
-    stage.send(first)
-    stage.send(second)
+    stage.send_task(first)
+    stage.send_task(second)
     assert first.write_started is not narrow and second.write_started
-    stage.give_up(first)
+    stage.handle_cancel(first)
     stage.reading.set()
     stage.until(lambda: stage.peers[1].heard)
     stage.peers[1].answer(frames.OK, second)
     stage.until(lambda: stage.ends)
-    assert stage.ends == [(second, OK)] and first not in stage.places
+    assert stage.ends == [(second, OK)] and first not in stage.locations
--- a/tests/test_host_starts.py
+++ b/tests/test_host_starts.py
@@ -28,9 +28,9 @@
     def ages(self, *seconds_ago: float) -> list[float | None]:
         """For how many seconds hosts of a first list are held to be up that started so long ago."""
         servers = [server(f"h{n}", UNIX_MS - 1000 * ago) for n, ago in enumerate(seconds_ago)]
-        self.starts.learn_earlier(servers)
-        read = [self.starts.read(each) for each in servers]
-        return [None if start is None else (self.now - start.at) / 1000 for start in read]
+        self.starts.learn_initial(servers)
+        read = [self.starts.observe(each) for each in servers]
+        return [None if start is None else (self.now - start.started_at) / 1000 for start in read]
 
 
 def server(id: str, started_ms: float) -> Server:
@@ -40,13 +40,13 @@
 @pytest.mark.parametrize("error", WALL_ERRORS)
 def test_a_start_that_is_told_later_counts_from_when_it_is_heard_of(error: str) -> None:
     machine = Machine(WALL_ERRORS[error])
-    first = machine.starts.read(server("h", UNIX_MS - 500))
-    assert first is not None and first.at == NOW_MS
+    first = machine.starts.observe(server("h", UNIX_MS - 500))
+    assert first is not None and first.started_at == NOW_MS
     machine.now, machine.error = NOW_MS + 2000, machine.error + HOUR_MS
-    assert machine.starts.read(server("h", UNIX_MS - 500)) == first, "told again, it is the same start"
-    again = machine.starts.read(server("h", UNIX_MS + 1900))
-    assert again is not None and again.at == NOW_MS + 2000
-    assert machine.starts.read(server("h", 0.0)) is None and not machine.starts.starts
+    assert machine.starts.observe(server("h", UNIX_MS - 500)) == first, "told again, it is the same start"
+    again = machine.starts.observe(server("h", UNIX_MS + 1900))
+    assert again is not None and again.started_at == NOW_MS + 2000
+    assert machine.starts.observe(server("h", 0.0)) is None and not machine.starts.starts
 
 
 @pytest.mark.parametrize("error", WALL_ERRORS)
--- a/tests/test_interleave.py
+++ b/tests/test_interleave.py
@@ -261,11 +261,11 @@
 class HastyHost(StubHost):
     """Planted: looks at the host's standing once, before the dial."""
 
-    def send(self, task: Task) -> None:
-        standing = self.standing
-        self.standing = replace(standing)
-        super().send(task)
-        self.standing = standing
+    def send_task(self, task: Task) -> None:
+        standing = self.status
+        self.status = replace(standing)
+        super().send_task(task)
+        self.status = standing
 
 
 class WatchedList(HostListActor):
@@ -273,8 +273,8 @@
 
     applied = 0
 
-    def apply(self, servers: list[Server], scope: i.ListScope) -> None:
-        super().apply(servers, scope)
+    def apply_entries(self, servers: list[Server], scope: i.ListScope) -> None:
+        super().apply_entries(servers, scope)
         self.applied += 1
 
 
@@ -301,7 +301,7 @@
         self.written, self.asked = list[str](), list[tuple[StubHost, int]]()
         self.reports: Counter[Task] = Counter()
         self.list = WatchedList(SETTINGS, Limits(), self.log, self.core.blocking_send, self.report, Metrics())
-        self.list.apply([Server("h1", "10.0.0.1:9", "active")], i.ListScope.REMEMBERED)
+        self.list.apply_entries([Server("h1", "10.0.0.1:9", "active")], i.ListScope.REMEMBERED)
         said = EventReceived(BusEvent(1, NEWS[news]))
         self.threads |= {
             "client": [self.offer(0), self.offer(1), self.withdraw(1)],
@@ -343,10 +343,10 @@
             (
                 a.mailbox,
                 getattr(a.mailbox, "hand", None),
-                [(k.open, k.asked, k.used) for k in a.links],
-                list(a.places),
-                a.standing,
-                a.retiring,
+                [(k.open, k.waiting_since, k.last_used) for k in a.links],
+                list(a.locations),
+                a.status,
+                a.removed,
                 a.finished,
             )
             for a in self.actors
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -322,7 +322,9 @@
         return got
 
     monkeypatch.setattr(socket, "create_connection", dial)
-    actor = HostActor("h", HostStatus(("127.0.0.1", 9)), KINDS, Limits(), Log(), lambda ended: None, Metrics())
+    actor = HostActor(
+        "h", HostStatus(("127.0.0.1", 9)), KINDS, Limits(), Log(), lambda ended: None, Metrics()
+    )
     with actor.connect() as sock:
         assert sock and not said
     said.append(ConnectionRefusedError())
@@ -341,8 +343,8 @@
     old, new = (AttemptTask(1, 1e18, 0.0, call=Call(f"{n:016x}", 0, "f", 1e18)) for n in (1, 2))
     link = Link(Broken(), Decoder(0), {1: old})
     actor.links.append(link)
-    actor.places[old] = (link, 1)
-    actor.send(new)
+    actor.locations[old] = (link, 1)
+    actor.send_task(new)
     assert {e.task: e.outcome for e in ends} == {old: i.Outcome.RESET, new: i.Outcome.NOT_SENT}
 
 
--- a/tests/test_shutdown_crossings.py
+++ b/tests/test_shutdown_crossings.py
@@ -87,11 +87,11 @@
     c = Connection()
     c.send(line(1, "probe")[:30])
     until(lambda: c.actor.partial, "half a line")
-    begun = c.actor.used
+    begun = c.actor.last_active
     c.send(line(1, "probe")[30:] + line(2, "probe")[:30])
     assert c.read(1) == [(1, 0)]
-    c.actor.try_send(CloseIfIdle(stalled=begun))
-    until(lambda: c.actor.stopping, "told to close")
+    c.actor.try_send(CloseIfIdle(stalled_line_at=begun))
+    until(lambda: c.actor.close_requested, "told to close")
     c.send(line(2, "probe")[30:])
     assert c.read(1) == [(2, 0)]
     c.close()
@@ -102,7 +102,7 @@
     sock = f.connect(line(1)[:30])
     until(lambda: any(c.partial for c in f.front.clients), "half a line")
     f.front.try_send(StopListening())
-    assert sock.recv(1) == b"" and f.front.empty.wait(PATIENCE)
+    assert sock.recv(1) == b"" and f.front.all_closed.wait(PATIENCE)
 
 
 def test_listener_outlives_a_connection_that_was_reset_at_once() -> None:
@@ -125,7 +125,7 @@
 def test_front_ends_with_its_listener_unless_that_was_closed_on_purpose() -> None:
     f, broken = Front(), Event()
     f.front.blocking_send(TransferClients(lambda sock, name: None))
-    until(lambda: f.front.yielded and not f.front.listeners, "the listener's end")
+    until(lambda: f.front.transfer_request and not f.front.running_acceptors, "the listener's end")
     f.front.blocking_send(ResumeAccepting())
     assert read(f.connect(line(1, "probe")), 1) == [(1, 0)]
 
@@ -159,26 +159,26 @@
     for n, sock in enumerate(socks, 1):
         assert read(sock, 1) == [(n, 1)] and sock.recv(1) == b""
     asleep.set()
-    assert f.front.empty.wait(PATIENCE)
+    assert f.front.all_closed.wait(PATIENCE)
 
 
 def answered(f: Front, sock: socket.socket) -> None:
     """The stop waits for the call that came on its way through the front, and ends with its answer."""
     until(lambda: f.core.offered, "offered")
-    assert not f.front.empty.is_set()
+    assert not f.front.all_closed.is_set()
     (client,) = f.front.clients
     client.served(f.core.offered[1], b"")
-    assert read(sock, 1) == [(1, 0)] and f.front.empty.wait(PATIENCE)
+    assert read(sock, 1) == [(1, 0)] and f.front.all_closed.wait(PATIENCE)
 
 
 def test_stop_waits_for_a_connection_in_the_mailbox() -> None:
     f = Front()
     f.front.blocking_send(TransferClients(lambda sock, name: None))
-    until(lambda: f.front.yielded and not f.front.listeners, "the listener's end")
+    until(lambda: f.front.transfer_request and not f.front.running_acceptors, "the listener's end")
     sock = f.connect(line(1))
     served, _ = f.listening.accept()
     f.front.try_send(StopListening())
-    f.front.try_send(ConnectionAccepted(served, "c:1", asked=True))
+    f.front.try_send(ConnectionAccepted(served, "c:1", served_before=True))
     answered(f, sock)
 
 
@@ -196,8 +196,8 @@
     sock = f.connect(line(1))
     until(lambda: held, "accepted")
     f.front.try_send(StopListening())
-    until(lambda: f.front.entry.fileno() < 0, "the entry closed")
-    assert not f.front.empty.is_set()
+    until(lambda: f.front.acceptor.fileno() < 0, "the entry closed")
+    assert not f.front.all_closed.is_set()
     release.set()
     answered(f, sock)
 
@@ -210,7 +210,7 @@
     client.served(f.core.offered[1], BODY)
     until(lambda: not client.mailbox and client.outgoing.unsent, "a half written answer")
     f.front.try_send(StopListening())
-    until(lambda: client.stopping, "told to close")
-    assert not f.front.empty.is_set()
+    until(lambda: client.close_requested, "told to close")
+    assert not f.front.all_closed.is_set()
     assert read(sock, 1) == [(1, len(BODY))] and sock.recv(1) == b""
-    assert f.front.empty.wait(PATIENCE)
+    assert f.front.all_closed.wait(PATIENCE)
