--- a/harrieryoke/net/bus_follower.py
+++ b/harrieryoke/net/bus_follower.py
@@ -61,16 +61,16 @@
         self.line_started_at = now  # when the first byte of the line that has begun came
 
     def feed(self, data: bytes, now: float) -> list[bytes]:
-        """The lines that are whole now, without blank ones. Raises ValueError for a line without end."""
-        *whole, partial = (self.partial + data).split(b"\n")
-        if whole or not self.partial:
+        """The lines that are complete now, without blank ones. Raises ValueError for a line without end."""
+        *complete, partial = (self.partial + data).split(b"\n")
+        if complete or not self.partial:
             self.line_started_at = now
         self.partial = partial
-        lines = [line for line in whole if line.strip()]
+        lines = [line for line in complete if line.strip()]
         if lines:
             self.last_line_at = now
         elif now > self.deadline():
-            raise ValueError("no whole line in time")
+            raise ValueError("no complete line in time")
         if len(partial) > MAX_LINE_FACTOR * self.limits.line_bytes:
             raise ValueError("a line without end")
         return lines
@@ -99,14 +99,15 @@
 
     def __init__(
         self,
-        where: tuple[str, int],
-        last: int,
+        address: tuple[str, int],
+        last_offset: int,
         limits: Limits,
         log: Log,
-        tell: Callable[[EventReceived | ListReplaced | ListConfirmed], Any],
+        send_to_list: Callable[[EventReceived | ListReplaced | ListConfirmed], Any],
     ) -> None:
         super().__init__("event bus", limits.list_mailbox, log, reserve=limits.list_mailbox // 4)
-        self.address, self.last_offset, self.limits, self.send_to_list = where, last, limits, tell
+        self.address, self.last_offset = address, last_offset
+        self.limits, self.send_to_list = limits, send_to_list
         self.connection = 0
         self.heartbeats = Heartbeats(now_ms())
         self.incomplete = False  # a line that could not be read was left out, and no whole list came since
@@ -115,53 +116,55 @@
         self.stable_at = (
             0.0  # from then on a connection has stood long enough to begin with short pauses again
         )
-        self.behind_since: float | None = None  # when the bus first named a number below `last`
+        self.behind_since: float | None = None  # when the bus first named a number below `last_offset`
         self.snapshot: Snapshot | None = None  # what has been fetched of a bus that numbers anew
         self.unreadable_after = (
             self.skipped_after
         ) = -1  # the event after which a line could not be read, or was left out
 
-    def change_address(self, where: tuple[str, int]) -> bool:
+    def change_address(self, address: tuple[str, int]) -> bool:
         """Follows the bus at another address, once the actor comes to it."""
-        return self.blocking_send(AddressChanged(where))
+        return self.blocking_send(AddressChanged(address))
 
     def run(self) -> None:
         """The actor's greenlet."""
         self.connect(0.0)
         super().run()
 
-    def connect(self, pause: float) -> None:
-        """Ends the connection there is, if any, and opens another after a pause."""
+    def connect(self, delay_ms: float) -> None:
+        """Ends the connection there is, if any, and opens another after a delay_ms."""
         if self.reader is not None:
             self.reader.kill(block=False)
         self.connection += 1
-        self.heartbeats = Heartbeats(now_ms() + pause)
-        self.stable_at = now_ms() + pause + self.limits.bus_quiet_ms
+        self.heartbeats = Heartbeats(now_ms() + delay_ms)
+        self.stable_at = now_ms() + delay_ms + self.limits.bus_quiet_ms
         self.behind_since = None
         if self.snapshot is not None:
             self.snapshot, self.last_offset = Snapshot(), 0
-        number, where, last = self.connection, self.address, self.last_offset
+        connection, address, last_offset = self.connection, self.address, self.last_offset
         self.reader = spawn(
             self.log,
             "event bus reader",
-            lambda: self.run_connection(number, where, last, pause),
-            lambda: self.blocking_send(ConnectionEnded(number, "its reader ended")),
+            lambda: self.run_connection(connection, address, last_offset, delay_ms),
+            lambda: self.blocking_send(ConnectionEnded(connection, "its reader ended")),
         )
 
-    def run_connection(self, number: int, where: tuple[str, int], last: int, pause: float) -> None:
+    def run_connection(
+        self, connection: int, address: tuple[str, int], last_offset: int, delay_ms: float
+    ) -> None:
         """One connection's life."""
         try:
-            gevent.sleep(pause / 1000)
-            with socket.create_connection(where, self.limits.bus_dial_ms / 1000) as sock:
+            gevent.sleep(delay_ms / 1000)
+            with socket.create_connection(address, self.limits.bus_dial_ms / 1000) as sock:
                 sock.settimeout(self.limits.bus_quiet_ms / 1000)
-                sock.sendall(b"from %d\n" % last)
-                self.read_lines(number, sock)
+                sock.sendall(b"from %d\n" % last_offset)
+                self.read_lines(connection, sock)
             reason = "closed by the bus"
         except (OSError, ValueError) as error:
             reason = str(error)
-        self.blocking_send(ConnectionEnded(number, reason))
+        self.blocking_send(ConnectionEnded(connection, reason))
 
-    def read_lines(self, number: int, sock: socket.socket) -> None:
+    def read_lines(self, connection: int, sock: socket.socket) -> None:
         """Until the bus closes. Raises TimeoutError when it keeps quiet for longer than its second, and
         ValueError when a line does not end."""
         buffer = LineBuffer(self.limits, now_ms())
@@ -172,36 +175,36 @@
                 return
             lines = buffer.feed(data, now_ms())
             for line in lines:
-                self.blocking_send(LineReceived(number, line))
+                self.blocking_send(LineReceived(connection, line))
             if lines:
                 buffer.restart_deadline(now_ms())
 
     def receive(self, message: Any) -> None:
         """One message of the mailbox; those of an earlier connection are dropped."""
         match message:
-            case AddressChanged(where) if where != self.address:
-                self.log("bus-moved", f"to {where[0]}:{where[1]}, from event {self.last_offset} on")
-                self.address, self.backoff_ms = where, self.limits.bus_backoff_ms
+            case AddressChanged(address) if address != self.address:
+                self.log("bus-moved", f"to {address[0]}:{address[1]}, from event {self.last_offset} on")
+                self.address, self.backoff_ms = address, self.limits.bus_backoff_ms
                 self.connect(0.0)
-            case LineReceived(number, line) if number == self.connection:
+            case LineReceived(connection, line) if connection == self.connection:
                 try:
                     self.handle_line(line)
                 except ValueError as error:
                     self.reconnect(str(error))
-            case ConnectionEnded(number, reason) if number == self.connection:
+            case ConnectionEnded(connection, reason) if connection == self.connection:
                 self.reconnect(reason)
 
     def reconnect(self, reason: str) -> None:
-        """The connection is given up and made anew, after a pause that grows up to its bound."""
+        """The connection is given up and made anew, after a delay_ms that grows up to its bound."""
         self.log("bus-lost", f"after event {self.last_offset}: {reason}")
-        pause = self.backoff_ms
-        self.backoff_ms = min(2 * pause, self.limits.bus_backoff_most_ms)
-        self.connect(pause)
+        delay_ms = self.backoff_ms
+        self.backoff_ms = min(2 * delay_ms, self.limits.bus_backoff_most_ms)
+        self.connect(delay_ms)
 
     def handle_line(self, line: bytes) -> None:
         """A line of this connection. Raises ValueError where the connection can't be trusted further."""
         try:
-            said = decode_line(line)
+            event = decode_line(line)
         except ValueError as error:
             if self.unreadable_after != self.last_offset:
                 self.unreadable_after = (
@@ -213,41 +216,41 @@
             return self.log(
                 "bad-event", f"after event {self.last_offset}, and again: {error}: {line[:200]!r}"
             )
-        if isinstance(said, int):
-            self.handle_heartbeat(said)
+        if isinstance(event, int):
+            self.handle_heartbeat(event)
         else:
-            self.handle_event(said)
+            self.handle_event(event)
         if now_ms() >= self.stable_at:
             self.backoff_ms = self.limits.bus_backoff_ms
 
-    def handle_event(self, said: EventReceived) -> None:
+    def handle_event(self, received: EventReceived) -> None:
         """One event; an old or repeated one changes nothing."""
-        offset = said.event.offset
+        offset = received.event.offset
         if offset <= self.last_offset:
             return
         self.last_offset, self.behind_since = offset, None
         if self.snapshot is not None:
-            update = validate_event(said)
+            update = validate_event(received)
             return self.snapshot.apply(update) if update is not None else None
         self.backoff_ms = self.limits.bus_backoff_ms
-        if said.event.topology is not None and said.event.topology.full:
+        if received.event.topology is not None and received.event.topology.full:
             self.incomplete = False
-        self.send_to_list(said)
+        self.send_to_list(received)
 
-    def handle_heartbeat(self, number: int) -> None:
-        """The heartbeat: the number of the bus's last event."""
+    def handle_heartbeat(self, offset: int) -> None:
+        """The heartbeat: the offset of the bus's last event."""
         as_of = self.heartbeats.record(now_ms())
-        if number > self.last_offset:
+        if offset > self.last_offset:
             if self.skipped_after != self.last_offset:
-                raise ValueError(f"the bus is at {number}, and its events have not come")
-            self.last_offset = number
-        if self.snapshot is not None and number > 0:
+                raise ValueError(f"the bus is at {offset}, and its events have not come")
+            self.last_offset = offset
+        if self.snapshot is not None and offset > 0:
             self.last_offset = (
-                number  # also where an event came under a higher offset: the bus's own number counts
+                offset  # also where an event came under a higher offset: the bus's own offset counts
             )
-            self.finish_snapshot(self.snapshot.to_update(number))
+            self.finish_snapshot(self.snapshot.to_update(offset))
             return self.confirm_list(as_of)
-        if number >= self.last_offset:
+        if offset >= self.last_offset:
             self.behind_since = None
             self.confirm_list(as_of)
         elif self.behind_since is None:
@@ -255,7 +258,7 @@
         elif now_ms() - self.behind_since > self.limits.bus_anew_ms:
             self.log(
                 "bus-anew",
-                f"the bus is at {number}, below event {self.last_offset}: its events are fetched anew",
+                f"the bus is at {offset}, below event {self.last_offset}: its events are fetched anew",
             )
             self.snapshot = Snapshot()
             self.connect(0.0)
--- a/harrieryoke/net/client.py
+++ b/harrieryoke/net/client.py
@@ -99,14 +99,14 @@
         core: ModuleActor,
         limits: Limits,
         log: Log,
-        gone: Callable[[ClientActor], object],
+        on_closed: Callable[[ClientActor], object],
         pauses: PauseWatch,
     ) -> None:
         # the reserve is kept for answers: they must find room however fast a client writes
         super().__init__(f"client {name}", limits.client_mailbox, log, reserve=limits.client_mailbox * 3 // 4)
         # a client that reads nothing for this long loses its connection
         sock.settimeout(limits.write_ms / 1000)
-        self.sock, self.maker, self.core, self.limits, self.on_closed = sock, maker, core, limits, gone
+        self.sock, self.maker, self.core, self.limits, self.on_closed = sock, maker, core, limits, on_closed
         self.pauses = pauses
         self.client, self.peer = name, name.rpartition(":")[0]
         self.open: dict[int, Call] = {}
@@ -122,13 +122,13 @@
         )  # the last sign of life, or the first byte of a line that is not yet whole
         self.has_sent_line = False  # a whole line has come
         # usual answers to all requests that may be open at once, and some long ones among them
-        usual_bytes = limits.open_per_connection * (limits.body_bytes * 4 // 3 + ANSWER_OVERHEAD_BYTES)
-        most_bytes = usual_bytes + MAX_LONG_ANSWERS * limits.answer_bytes * 4 // 3
+        typical_bytes = limits.open_per_connection * (limits.body_bytes * 4 // 3 + ANSWER_OVERHEAD_BYTES)
+        max_bytes = typical_bytes + MAX_LONG_ANSWERS * limits.answer_bytes * 4 // 3
         self.outgoing = OutgoingQueue(
             sock,
             self.name,
             MAX_UNSENT_MESSAGES,
-            most_bytes,
+            max_bytes,
             log,
             lambda: self.try_send(OutputDrained()),
             self.write_failed,
@@ -162,9 +162,9 @@
         """Whether the client never asks, has stopped within a line, or never closes: its descriptor is wanted
         for others. A pause of this process, the last of which ended at `resumed`, was no silence of the
         client."""
-        idle = self.has_sent_line and not self.partial
-        quiet = min(self.idle_ms(now) or 0.0, now - resumed)
-        return quiet > (self.limits.client_idle_ms if idle else self.limits.client_ask_ms)
+        between_requests = self.has_sent_line and not self.partial
+        idle_ms = min(self.idle_ms(now) or 0.0, now - resumed)
+        return idle_ms > (self.limits.client_idle_ms if between_requests else self.limits.client_ask_ms)
 
     def close_if_idle(self) -> bool:
         """Has the connection closed, unless the client goes on before its actor comes to it."""
@@ -204,19 +204,19 @@
         self.end_connection()
 
     def split_lines(self, data: bytes) -> bool:
-        """Keeps the whole lines to be posted and the part behind them; False where a line is too long."""
-        *lines, partial = data.split(b"\n")
-        if max(map(len, [*lines, partial])) > self.limits.line_bytes:
+        """Keeps the whole complete to be posted and the part behind them; False where a line is too long."""
+        *complete, partial = data.split(b"\n")
+        if max(map(len, [*complete, partial])) > self.limits.line_bytes:
             self.log("bad-client", f"{self.name}: a line of more than {self.limits.line_bytes} bytes")
             return False
         now = now_ms()
         self.received_at = self.pauses.earliest(now)
-        if lines or not self.partial:
+        if complete or not self.partial:
             self.last_active = now
         self.has_sent_line, self.partial, self.unposted = (
-            self.has_sent_line or bool(lines),
+            self.has_sent_line or bool(complete),
             partial,
-            lines[::-1],
+            complete[::-1],
         )
         return True
 
@@ -251,13 +251,13 @@
 
     def receive(self, message: Any) -> None:
         match message:
-            case LineReceived(data, at):
+            case LineReceived(data, received_at):
                 if data.strip():
-                    self.handle_line(data, at)
+                    self.handle_line(data, received_at)
             case AnswerReady(call, reply):
                 self.write_answer(call, reply)
-            case CloseIfIdle(stalled):
-                self.close_requested, self.stalled_line_at = True, stalled
+            case CloseIfIdle(stalled_line_at):
+                self.close_requested, self.stalled_line_at = True, stalled_line_at
             case TransferWhenIdle():
                 self.transfer_request = message
             case OutputDrained():
@@ -274,7 +274,7 @@
         elif self.close_requested and not self.has_unread_bytes():
             self.finished = True
 
-    def transfer(self, going: TransferWhenIdle) -> None:
+    def transfer(self, request: TransferWhenIdle) -> None:
         """The socket is another's from here: nothing is read or written on it. What the reader took off it
         as it was ended keeps the connection here for now."""
         self.reader.kill()
@@ -282,28 +282,28 @@
             return
         if self.mailbox or self.unposted or self.partial:
             return self.start_reading()
-        self.finished, handed = True, self.sock
+        self.finished, sock = True, self.sock
         self.sock = socket.socket()
-        going.transfer(handed, self.client)
+        request.transfer(sock, self.client)
 
-    def handle_line(self, data: bytes, at: float) -> None:
+    def handle_line(self, data: bytes, received_at: float) -> None:
         id, method = None, ""
         try:
-            m = decode_message(data)
-            method = m.method
-            if m.jsonrpc != "2.0":
+            message = decode_message(data)
+            method = message.method
+            if message.jsonrpc != "2.0":
                 raise BadRequestError(INVALID, "jsonrpc: '2.0' is wanted")
             if method == "giveUp":
-                return self.handle_give_up(m)
-            if m.id is None or m.id in self.open:
+                return self.handle_give_up(message)
+            if message.id is None or message.id in self.open:
                 # a second answer could come under an id that is still open
                 raise BadRequestError(INVALID, "id: a new number is wanted")
-            id = m.id
+            id = message.id
             if method == "probe":
                 return self.write({"id": id, "result": {"healthy": True}})
             if len(self.open) >= self.limits.open_per_connection:
                 raise BadRequestError(REFUSED, "too many open requests on this connection")
-            call = self.create_call(method, bytes(m.params), at)
+            call = self.create_call(method, bytes(message.params), received_at)
         except BadRequestError as error:
             return self.reject_line(id, method, error)
         self.open[id], self.ids[call] = call, id
@@ -315,28 +315,36 @@
             self.core.figures.count_final_answer(method, "refused" if error.code == REFUSED else "failed")
         self.write({"id": id, "error": {"code": error.code, "message": str(error)}})
 
-    def create_call(self, method: str, params: bytes, at: float) -> Call:
+    def create_call(self, method: str, params: bytes, received_at: float) -> Call:
         if method not in self.maker.classes:
             raise BadRequestError(NO_METHOD, f"no class {method[:64]!r}")
         try:
-            p: CallParams = msgspec.json.decode(params, type=CallParams)
-            made = self.maker.make(
-                method, p.rid, p.obj, p.budget, at, p.blob, p.token, p.acct, parse_props(p.props)
+            call_params: CallParams = msgspec.json.decode(params, type=CallParams)
+            call = self.maker.make(
+                method,
+                call_params.rid,
+                call_params.obj,
+                call_params.budget,
+                received_at,
+                call_params.blob,
+                call_params.token,
+                call_params.acct,
+                parse_props(call_params.props),
             )
-            made.client = self.peer
-            return made
+            call.client = self.peer
+            return call
         except (msgspec.MsgspecError, BadCall, ValueError) as error:
             raise BadRequestError(BAD_PARAMS, str(error)) from None
 
-    def handle_give_up(self, m: Message) -> None:
+    def handle_give_up(self, message: Message) -> None:
         """Named by its id or its rid; after this nothing is written for it."""
         try:
-            p: GiveUpParams = msgspec.json.decode(bytes(m.params), type=GiveUpParams)
+            params: GiveUpParams = msgspec.json.decode(bytes(message.params), type=GiveUpParams)
         except msgspec.MsgspecError as error:
             raise BadRequestError(BAD_PARAMS, str(error)) from None
-        id = p.id if p.id is not None else m.id
-        if p.rid is not None:
-            id = next((n for n, call in self.open.items() if call.request_id == p.rid), None)
+        id = params.id if params.id is not None else message.id
+        if params.rid is not None:
+            id = next((open_id for open_id, call in self.open.items() if call.request_id == params.rid), None)
         if id is not None and (call := self.open.pop(id, None)) is not None:
             del self.ids[call]
             call.abandoned = True
--- a/harrieryoke/net/frames.py
+++ b/harrieryoke/net/frames.py
@@ -27,17 +27,17 @@
 
 
 def encode(
-    code: int, id: int, fields: dict[str, str] | None = None, body: bytes = b"", mark: int = TO_HOST
+    code: int, id: int, fields: dict[str, str] | None = None, body: bytes = b"", magic: int = TO_HOST
 ) -> bytes:
     """One whole frame."""
-    told = ",".join(f"{k}={v}" for k, v in (fields or {}).items()).encode()
-    head = HEADER.pack(mark, code, len(told), len(body), id)
-    return b"".join((head, told, body, CHECKSUM.pack(crc32(body, crc32(told)))))
+    encoded_fields = ",".join(f"{k}={v}" for k, v in (fields or {}).items()).encode()
+    header = HEADER.pack(magic, code, len(encoded_fields), len(body), id)
+    return b"".join((header, encoded_fields, body, CHECKSUM.pack(crc32(body, crc32(encoded_fields)))))
 
 
-def decode_fields(told: bytes) -> dict[str, str]:
+def decode_fields(encoded: bytes) -> dict[str, str]:
     fields = {}
-    for pair in told.decode("utf-8").split(",") if told else []:
+    for pair in encoded.decode("utf-8").split(",") if encoded else []:
         name, equals, value = pair.partition("=")
         if not equals:
             raise FrameError(f"a field without a value: {pair[:40]!r}")
@@ -48,27 +48,27 @@
 class Decoder:
     """Cuts a byte stream into frames; a length beyond `most` is a fault, not a wait for memory."""
 
-    def __init__(self, most: int, mark: int = FROM_HOST) -> None:
-        self.max_body_bytes, self.mark, self.buffer = most, mark, bytearray()
+    def __init__(self, max_body_bytes: int, magic: int = FROM_HOST) -> None:
+        self.max_body_bytes, self.magic, self.buffer = max_body_bytes, magic, bytearray()
 
     def feed(self, data: bytes) -> Iterator[Frame]:
         self.buffer += data
         while len(self.buffer) >= HEADER.size:
-            mark, code, fields, body, id = HEADER.unpack_from(self.buffer)
-            if mark != self.mark:
-                raise FrameError(f"mark {mark}")
-            if body > self.max_body_bytes:
-                raise FrameError(f"a body of {body} bytes")
-            size = HEADER.size + fields + body
+            magic, code, fields_size, body_size, id = HEADER.unpack_from(self.buffer)
+            if magic != self.magic:
+                raise FrameError(f"unexpected magic number {magic}")
+            if body_size > self.max_body_bytes:
+                raise FrameError(f"a body of {body_size} bytes")
+            size = HEADER.size + fields_size + body_size
             if len(self.buffer) < size + CHECKSUM.size:
                 return
-            told = bytes(self.buffer[HEADER.size : HEADER.size + fields])
-            content = bytes(self.buffer[HEADER.size + fields : size])
-            (check,) = CHECKSUM.unpack_from(self.buffer, size)
+            encoded_fields = bytes(self.buffer[HEADER.size : HEADER.size + fields_size])
+            body = bytes(self.buffer[HEADER.size + fields_size : size])
+            (checksum,) = CHECKSUM.unpack_from(self.buffer, size)
             del self.buffer[: size + CHECKSUM.size]
-            if check != crc32(content, crc32(told)):
-                raise FrameError("check sum")
+            if checksum != crc32(body, crc32(encoded_fields)):
+                raise FrameError("wrong checksum")
             try:
-                yield Frame(code, id, decode_fields(told), content)
+                yield Frame(code, id, decode_fields(encoded_fields), body)
             except UnicodeDecodeError:
-                raise FrameError("fields are not text") from None
+                raise FrameError("fields are not UTF-8 text") from None
--- a/harrieryoke/net/heartbeats.py
+++ b/harrieryoke/net/heartbeats.py
@@ -15,8 +15,8 @@
 class Heartbeats:
     """Those of one connection, which began to be made at `begun`. Times are milliseconds of one clock."""
 
-    def __init__(self, begun: float) -> None:
-        self.started_at, self.written_at = begun, begun - INTERVAL_MS
+    def __init__(self, started_at: float) -> None:
+        self.started_at, self.written_at = started_at, started_at - INTERVAL_MS
         self.first_delay_ms: float | None = None  # from the connection's begin to the first heartbeat
 
     def record(self, now: float) -> float:
@@ -26,8 +26,8 @@
             self.first_delay_ms = now - self.started_at
         return self.written_at - PROPAGATION_DELAY_MS
 
-    def lags(self, now: float, most: float) -> bool:
-        """Whether heartbeats that come more rarely than expected have made the bound older than `most`. A lag
+    def lags(self, now: float, max_lag_ms: float) -> bool:
+        """Whether heartbeats that come more rarely than expected have made the bound older than `max_lag_ms`. A lag
         that the first one had, too, comes from the link, and another connection would not be without it."""
         lag = now - self.written_at
-        return self.first_delay_ms is not None and lag > max(most, 2 * self.first_delay_ms)
+        return self.first_delay_ms is not None and lag > max(max_lag_ms, 2 * self.first_delay_ms)
--- a/harrieryoke/net/host.py
+++ b/harrieryoke/net/host.py
@@ -39,14 +39,14 @@
     """What the worker list says of a host. The list's actor alone writes it; the host reads it."""
 
     address: tuple[str, int]
-    status: i.WorkerStatus = i.WorkerStatus.UP
+    state: i.WorkerStatus = i.WorkerStatus.UP
     replaced: bool = False
 
     def accepts(self, task: Task) -> bool:
         """A draining, gone or replaced host gets nothing new; one that drains may still be asked."""
-        if self.replaced or self.status is i.WorkerStatus.GONE:
+        if self.replaced or self.state is i.WorkerStatus.GONE:
             return False
-        return self.status is i.WorkerStatus.UP or (isinstance(task, OrderTask) and task.copies == 0)
+        return self.state is i.WorkerStatus.UP or (isinstance(task, OrderTask) and task.copies == 0)
 
 
 @dataclass(slots=True)
@@ -102,16 +102,16 @@
     def __init__(
         self,
         name: str,
-        standing: HostStatus,
+        status: HostStatus,
         settings: i.Settings,
         limits: Limits,
         log: Log,
         report: Callable[[TaskEnded], object],
-        figures: Metrics,
+        metrics: Metrics,
     ) -> None:
         super().__init__(f"host {name}", limits.host_mailbox, log, reserve=limits.host_mailbox // 4)
-        self.status, self.limits, self.report = standing, limits, report
-        self.metrics = figures
+        self.status, self.limits, self.report = status, limits, report
+        self.metrics = metrics
         self.apply_settings(settings)
         self.links: list[Link] = []
         self.locations: dict[Task, tuple[Link, int]] = {}
@@ -139,10 +139,10 @@
 
     def run(self) -> None:
         while not self.finished:
-            owed = any(
+            answer_due = any(
                 link.partial_since is not None or link.waiting_since is not None for link in self.links
             )
-            self.wait_for_message(self.limits.frame_ms / 2 if owed else self.limits.link_idle_ms / 4)
+            self.wait_for_message(self.limits.frame_ms / 2 if answer_due else self.limits.link_idle_ms / 4)
             self.process_mailbox()
             self.close_dead_links()
             if self.removed and not self.locations and not self.mailbox:
@@ -167,9 +167,9 @@
                 self.handle_cancel(task)
             case DropCopies(function):
                 self.send_drop_copies(function)
-            case FramesReceived(link, heard):
+            case FramesReceived(link, received):
                 link.waiting_since = None
-                for frame in heard if link in self.links else []:
+                for frame in received if link in self.links else []:
                     self.handle_answer(link, frame)
                 if any(map(answers_promptly, link.open.values())):
                     link.waiting_since = now_ms()
@@ -181,11 +181,11 @@
                     self.close_link(link, error)
                 else:
                     self.flush(link)
-            case HostRemoved(now):
-                self.removed, self.finished = True, self.finished or now
+            case HostRemoved(immediately):
+                self.removed, self.finished = True, self.finished or immediately
 
-    def end_task(self, task: Task, outcome: i.Outcome, **told: Any) -> None:
-        self.report(TaskEnded(task, outcome, **told))
+    def end_task(self, task: Task, outcome: i.Outcome, **details: Any) -> None:
+        self.report(TaskEnded(task, outcome, **details))
 
     # --- towards the host ---
 
@@ -199,7 +199,7 @@
         return self.status.accepts(task)
 
     def may_drop_copies(self) -> bool:
-        return self.status.status is i.WorkerStatus.UP and not self.status.replaced
+        return self.status.state is i.WorkerStatus.UP and not self.status.replaced
 
     def send_task(self, task: Task) -> None:
         """Puts the task on a link. Much can change while a dial takes its time, or while the link takes
@@ -229,14 +229,14 @@
             frame = link.backlog[0]
             if not frame.started and not self.prepare_frame(link, frame):
                 continue
-            fresh = not frame.started
+            unstarted = not frame.started
             try:
-                whole = link.write(frame)
+                complete = link.write(frame)
             except OSError as error:
                 return self.close_link(link, f"write: {error}")
-            if fresh and frame.started and frame.task is not None:
+            if unstarted and frame.started and frame.task is not None:
                 self.record_started(link, frame.id, frame.task)
-            if not whole:
+            if not complete:
                 link.awaiting_writable = True
                 spawn(self.log, f"{self.name} writer", lambda: self.wait_writable(link))
                 return
@@ -297,16 +297,16 @@
                 fields["op"] = call.key
             return frames.encode(frame.code, frame.id, fields, call.body)
         if isinstance(task, OrderTask):
-            held = {"asset": task.function, "pods": str(task.copies)}
-            return frames.encode(frame.code, frame.id, held)
+            fields = {"asset": task.function, "pods": str(task.copies)}
+            return frames.encode(frame.code, frame.id, fields)
         return frames.encode(frame.code, frame.id)
 
     def handle_cancel(self, task: Task) -> None:
         """A request is given up with a word, an order just is not waited for any more, and what has not begun
         is left out."""
-        if (place := self.locations.pop(task, None)) is None:
+        if (location := self.locations.pop(task, None)) is None:
             return
-        link, id = place
+        link, id = location
         if link.open.get(id) is not task:
             link.backlog.remove(next(frame for frame in link.backlog if frame.task is task))
             return
@@ -333,35 +333,35 @@
 
     def select_link(self, task: Task | None) -> Link | None:
         """The newest link with room, rather one that takes bytes; a further one only when all are full, or
-        silent. An ask whether the host lives goes by none that owes an answer for longer than a dial would
+        silent. An is_probe whether the host lives goes by none that owes an answer for longer than a dial would
         take. None where the host can't be reached. Raises NoRoomForLinkError."""
-        ask = isinstance(task, OrderTask) and task.copies == 0
+        is_probe = isinstance(task, OrderTask) and task.copies == 0
         id = int(task.call.request_id, 16) if isinstance(task, AttemptTask) else None
         blocked: Link | None = None
         for link in reversed(self.links):
-            quiet = now_ms() - link.waiting_since if ask and link.waiting_since is not None else 0.0
-            free = not link.ended and link.load < self.limits.streams_per_link and not link.has_frame(id)
-            if free and quiet <= self.limits.dial_ms and not self.is_silent(link):
+            waited_ms = now_ms() - link.waiting_since if is_probe and link.waiting_since is not None else 0.0
+            has_space = not link.ended and link.load < self.limits.streams_per_link and not link.has_frame(id)
+            if has_space and waited_ms <= self.limits.dial_ms and not self.is_silent(link):
                 if not link.awaiting_writable:
                     return link
                 blocked = blocked or link
-        return blocked or self.open_link(ask)
+        return blocked or self.open_link(is_probe)
 
-    def open_link(self, ask: bool) -> Link | None:
+    def open_link(self, is_probe: bool) -> Link | None:
         if len(self.links) >= self.limits.links_per_host:
             for link in list(filter(self.is_silent, self.links)):
                 self.close_link(link, "silent")
         if len(self.links) >= self.limits.links_per_host:
-            if ask:
+            if is_probe:
                 return None
             # a host that is just busy must not be taken for dead, its copies lost
             raise LinkUnavailableError("all links to the host are full")
         return self.dial()
 
-    def is_silent(self, link: Link, times: int = 1) -> bool:
+    def is_silent(self, link: Link, factor: int = 1) -> bool:
         """Guards against a connection that stays open and brings nothing more, while a new one would."""
         return (
-            link.waiting_since is not None and now_ms() - link.waiting_since > times * self.silence_limit_ms
+            link.waiting_since is not None and now_ms() - link.waiting_since > factor * self.silence_limit_ms
         )
 
     def connect(self) -> HostSocket:
@@ -404,8 +404,8 @@
         queued = [m for m in self.mailbox if isinstance(m, StartTask)]
         for message in queued:
             self.mailbox.remove(message)
-            fits = self.may_start(message.task)
-            self.end_task(message.task, i.Outcome.NO_CONNECTION if fits else i.Outcome.NOT_SENT)
+            startable = self.may_start(message.task)
+            self.end_task(message.task, i.Outcome.NO_CONNECTION if startable else i.Outcome.NOT_SENT)
 
     def read_link(self, link: Link) -> None:
         """The reader's greenlet: turns bytes into messages, and says how the link ended."""
@@ -420,17 +420,17 @@
                     continue
                 if not data:
                     break
-                heard: list[frames.Frame] = []
+                received: list[frames.Frame] = []
                 try:
                     for frame in link.decoder.feed(data):
-                        heard.append(frame)
+                        received.append(frame)
                 finally:
                     # good answers ahead of a bad frame count; and a frame that has only begun wakes the actor
                     # too, so that somebody looks whether more of it comes: a long one may take its time
-                    began, partial = link.partial_since, bool(link.decoder.buffer)
+                    previous, partial = link.partial_since, bool(link.decoder.buffer)
                     link.partial_since = now_ms() if partial else None
-                    if heard or (began is None and partial):
-                        self.blocking_send(FramesReceived(link, heard))
+                    if received or (previous is None and partial):
+                        self.blocking_send(FramesReceived(link, received))
         except frames.FrameError as error:
             reason = f"bad frame: {error}"
             self.log("bad-frame", f"{self.name}: {error}")
@@ -441,22 +441,22 @@
 
     def close_link(self, link: Link, reason: str) -> None:
         """What was out on a link that ends may have run; the host has given it up. What was never written
-        whole has not run: a host acts on whole frames alone."""
+        sent has not run: a host acts on sent frames alone."""
         if link not in self.links:
             return
         self.links.remove(link)
         link.sock.close()
-        unwritten = [frame.task for frame in link.backlog if frame.task in self.locations]
-        whole = [task for task in link.open.values() if task not in unwritten]
+        not_sent = [frame.task for frame in link.backlog if frame.task in self.locations]
+        sent = [task for task in link.open.values() if task not in not_sent]
         link.open.clear()
         link.backlog.clear()
-        if whole or unwritten:
-            self.log("link-lost", f"{self.name}: {reason}; {len(whole)} out, {len(unwritten)} not written")
+        if sent or not_sent:
+            self.log("link-lost", f"{self.name}: {reason}; {len(sent)} out, {len(not_sent)} not written")
         else:
             self.log("link-closed", f"{self.name}: {reason}")
-        for task in whole + unwritten:
+        for task in sent + not_sent:
             del self.locations[task]
-            self.end_task(task, i.Outcome.RESET if task in whole else i.Outcome.NOT_SENT)
+            self.end_task(task, i.Outcome.RESET if task in sent else i.Outcome.NOT_SENT)
 
     def close_dead_links(self) -> None:
         """Closes links that lie idle a little before the host would: no request crosses such a close."""
@@ -468,8 +468,8 @@
                 self.close_link(link, "a frame stopped short")
         for link in [k for k in self.links if self.is_silent(k) and (not k.open or self.is_silent(k, 3))]:
             self.close_link(link, "silent")
-        late = now - 0.8 * self.limits.link_idle_ms
-        for link in [k for k in self.links if not k.load and (k.last_used < late or self.removed)]:
+        idle_before = now - 0.8 * self.limits.link_idle_ms
+        for link in [k for k in self.links if not k.load and (k.last_used < idle_before or self.removed)]:
             self.close_link(link, "idle")
 
     # --- from the host ---
@@ -478,8 +478,8 @@
         task = link.open.get(frame.id)
         if task is None:
             return  # it was given up while the answer was on its way
-        probed = frame.code >= frames.HEALTHY
-        if frame.code not in OUTCOMES or probed == isinstance(task, AttemptTask | OrderTask):
+        is_probe_answer = frame.code >= frames.HEALTHY
+        if frame.code not in OUTCOMES or is_probe_answer == isinstance(task, AttemptTask | OrderTask):
             self.log("bad-frame", f"{self.name}: code {frame.code} for {type(task).__name__}")
             return self.close_link(link, f"code {frame.code}")
         del link.open[frame.id], self.locations[task]
@@ -488,13 +488,13 @@
         outcome = OUTCOMES[frame.code]
         if isinstance(task, OrderTask):
             return self.end_task(task, outcome, copies=parse_count(frame.fields.get("pods")) or 0)
-        report, crowd = parse_load_report(frame.fields.get("l")), parse_count(frame.fields.get("depth"))
+        report, concurrent = parse_load_report(frame.fields.get("l")), parse_count(frame.fields.get("depth"))
         self.end_task(
             task,
             outcome,
             body=frame.body,
             copy_lookup=COPY_LOOKUPS.get(note),
             load_failed=note == "f",
-            concurrent_requests=crowd,
+            concurrent_requests=concurrent,
             report=report,
         )
--- a/harrieryoke/net/host_starts.py
+++ b/harrieryoke/net/host_starts.py
@@ -35,11 +35,11 @@
     def learn_initial(self, servers: Iterable[Server]) -> None:
         """Take the starts of the first list, which lay before this process. The newest of them may have been
         just now; the others are older by what the list says, unless the wall clock says less."""
-        stamps = {server.id: server.started_ms for server in servers if server.started_ms}
-        newest, now, wall = max(stamps.values(), default=0.0), self.clock(), self.wall()
-        for id, stamp in stamps.items():
-            age = max(0.0, min(newest, wall) - stamp)
-            self.starts[id] = HostStart(stamp, now - age)
+        listed_starts = {server.id: server.started_ms for server in servers if server.started_ms}
+        newest, now, wall = max(listed_starts.values(), default=0.0), self.clock(), self.wall()
+        for id, listed_start in listed_starts.items():
+            age = max(0.0, min(newest, wall) - listed_start)
+            self.starts[id] = HostStart(listed_start, now - age)
 
     def observe(self, server: Server) -> HostStart | None:
         """Return the start that the list tells of; None where it lies long past."""
--- a/harrieryoke/net/hostlist.py
+++ b/harrieryoke/net/hostlist.py
@@ -95,14 +95,14 @@
         settings: i.Settings,
         limits: Limits,
         log: Log,
-        tell_module: Callable[[WorkersChanged | WorkerListConfirmed], object],
+        send_to_module: Callable[[WorkersChanged | WorkerListConfirmed], object],
         report: Callable[[TaskEnded], object],
-        figures: Metrics,
+        metrics: Metrics,
     ) -> None:
         super().__init__("worker list", limits.list_mailbox, log)
         self.settings, self.limits = settings, limits
-        self.send_to_module, self.report = tell_module, report
-        self.metrics = figures
+        self.send_to_module, self.report = send_to_module, report
+        self.metrics = metrics
         self.hosts: dict[str, tuple[HostStatus, HostActor]] = {}
         self.servers: dict[str, Server] = {}  # the list's last word on each, the latest last
         self.doubtful: set[str] = set()  # listed hosts whose last entry could not be read
@@ -114,13 +114,13 @@
         )  # so that it outlives the process
 
     def load_initial(
-        self, known: KnownEvents, banned: Iterable[str] = (), as_of: float | None = None
+        self, known_events: KnownEvents, banned: Iterable[str] = (), as_of: float | None = None
     ) -> None:
         """The list as it was at the start, at `as_of` in milliseconds of the process's clock where that is
-        known, and who is left out, listed yet or not; before the actor runs."""
+        known_events, and who is left out, listed yet or not; before the actor runs."""
         self.banned = set(banned)
         snapshot = Snapshot()
-        for event in known.batch:
+        for event in known_events.batch:
             if (update := validate_event(EventReceived(event))) is not None:
                 self.log_errors(update)
                 self.update_doubtful(update, snapshot.servers.keys())
@@ -144,10 +144,10 @@
                     self.apply_update(update)
             case ListReplaced(update):
                 self.apply_update(update)
-            case ListConfirmed(at):
-                self.confirm_list(at)
-            case Ban(id, on, told, known):
-                told.set(self.set_banned(id, on, known))
+            case ListConfirmed(as_of):
+                self.confirm_list(as_of)
+            case Ban(id, banned, reply, from_peer):
+                reply.set(self.set_banned(id, banned, from_peer))
 
     def apply_update(self, update: ListUpdate) -> None:
         """An event. Hosts of spoilt entries keep their former state."""
@@ -158,8 +158,8 @@
             self.host_starts.learn_initial(servers)
         if not update.is_full:
             return self.apply_entries(servers, i.ListScope.CHANGES)
-        kept = [self.servers[id] for id in update.invalid_hosts() if id in self.hosts]
-        self.apply_entries(kept + servers, i.ListScope.WHOLE)
+        unchanged = [self.servers[id] for id in update.invalid_hosts() if id in self.hosts]
+        self.apply_entries(unchanged + servers, i.ListScope.WHOLE)
 
     def update_doubtful(self, update: ListUpdate, listed: Collection[str]) -> None:
         """What discovery tells counts as told, readable or not: a host whose entry could not be read may have
@@ -172,11 +172,11 @@
             error.host for error in update.errors
         )
 
-    def confirm_list(self, at: float) -> None:
+    def confirm_list(self, as_of: float) -> None:
         """The module hears how old the list is, and where its word is not discovery's last."""
         doubtful = frozenset(worker_number(id) for id in self.doubtful & self.hosts.keys())
         if not self.has_unattributed_error:
-            self.send_to_module(WorkerListConfirmed(i.ListConfirmed(at, doubtful)))
+            self.send_to_module(WorkerListConfirmed(i.ListConfirmed(as_of, doubtful)))
 
     def log_errors(self, update: ListUpdate) -> None:
         """One line of the log for all that is spoilt in an event."""
@@ -193,16 +193,16 @@
         more = f" (and {len(errors) - 1} more)" if len(errors) > 1 else ""
         self.log("bad-event", f"event {offset}: {errors[0]}{more}; {advice}")
 
-    def set_banned(self, id: str, on: bool, known: bool) -> bool:
+    def set_banned(self, id: str, banned: bool, from_peer: bool) -> bool:
         """The host's actor and the module have heard when this returns. False for an id never listed."""
-        if not known and id not in self.servers and id not in self.banned:
+        if not from_peer and id not in self.servers and id not in self.banned:
             return False
-        if on != (id in self.banned):
-            self.log("banned" if on else "unbanned", id)
+        if banned != (id in self.banned):
+            self.log("banned" if banned else "unbanned", id)
             self.banned ^= {id}
             if id in self.hosts:
                 self.apply_entries([self.servers[id]], i.ListScope.CHANGES)
-            self.on_ban_changed(id, on)
+            self.on_ban_changed(id, banned)
         return True
 
     def remember_server(self, server: Server) -> None:
@@ -211,9 +211,9 @@
         self.servers[server.id] = server
         if len(self.servers) > self.limits.ids_remembered:
             # hosts may come under ever new ids, and memory is bounded; bans are an operator's, and few
-            needed = self.hosts.keys() | self.banned | {server.id}
-            if (spare := next((id for id in self.servers if id not in needed), None)) is not None:
-                del self.servers[spare]
+            in_use = self.hosts.keys() | self.banned | {server.id}
+            if (oldest := next((id for id in self.servers if id not in in_use), None)) is not None:
+                del self.servers[oldest]
 
     def apply_settings(self, settings: i.Settings) -> None:
         """The service alone calls it, before any call of a new class is made. Not by a message: a mailbox
@@ -224,14 +224,14 @@
 
     def apply_entries(self, servers: list[Server], scope: i.ListScope) -> None:
         """Checked entries, one for each host: the hosts' actors and then the module hear of them."""
-        how = "changed" if scope is i.ListScope.CHANGES else "in all"
-        self.log("list", f"{len(servers)} model hosts {how}")
+        extent = "changed" if scope is i.ListScope.CHANGES else "in all"
+        self.log("list", f"{len(servers)} model hosts {extent}")
         if scope is i.ListScope.WHOLE:
-            named = {s.id for s in servers}
-            for id in [id for id in self.hosts if id not in named]:
+            listed = {s.id for s in servers}
+            for id in [id for id in self.hosts if id not in listed]:
                 self.host_starts.forget(id)
                 self.remove_host(id)
-        news = WorkerChanges()
+        changes = WorkerChanges()
         for server in in_apply_order(servers):
             self.remember_server(server)
             entry = self.worker_entry(server)
@@ -240,19 +240,19 @@
                 self.remove_host(server.id)
                 actor = None
             else:
-                self.remove_previous_host(server, news)
+                self.remove_previous_host(server, changes)
                 actor = self.ensure_host(server, entry.status)
-            news.add(entry, server, actor)
+            changes.add(entry, server, actor)
         self.metrics.pool_size = len(self.hosts)
         self.metrics.banned = len(self.banned & self.hosts.keys())
-        event = i.WorkersListed(scope, tuple(news.entries.values()))
-        self.send_to_module(WorkersChanged(event, news.ports, news.names))
+        event = i.WorkersListed(scope, tuple(changes.entries.values()))
+        self.send_to_module(WorkersChanged(event, changes.ports, changes.names))
 
     def worker_entry(self, server: Server) -> i.WorkerEntry:
         """One host as the module sees it."""
-        drain = STATUS_BY_STATE[server.state]
-        if server.id in self.banned and drain is i.WorkerStatus.UP:
-            drain = i.WorkerStatus.DRAINING
+        status = STATUS_BY_STATE[server.state]
+        if server.id in self.banned and status is i.WorkerStatus.UP:
+            status = i.WorkerStatus.DRAINING
         zones, kinds = self.settings.zones, self.settings.kinds
         zone = zones.index(server.zone) if server.zone in zones else 0
         kind = kinds.index(server.kind) if server.kind in kinds else 0
@@ -262,43 +262,41 @@
             zone,
             kind,
             server.cell,
-            drain,
+            status,
             server.weight,
             None if start is None else start.started_at,
             None if start is None else start.listed_start,
         )
 
-    def remove_previous_host(self, server: Server, news: WorkerChanges) -> None:
+    def remove_previous_host(self, server: Server, changes: WorkerChanges) -> None:
         """Whoever had the server's address so far has gone: the address speaks for another host now."""
-        where = parse_address(server.addr)
-        for id, (standing, _) in list(self.hosts.items()):
-            if standing.address == where and id != server.id:
-                standing.replaced = True
+        address = parse_address(server.addr)
+        for id, (status, _) in list(self.hosts.items()):
+            if status.address == address and id != server.id:
+                status.replaced = True
                 self.host_starts.forget(id)
-                self.remove_host(id, now=True)
-                news.mark_gone(worker_number(id))
+                self.remove_host(id, immediately=True)
+                changes.mark_gone(worker_number(id))
 
-    def ensure_host(self, server: Server, drain: i.WorkerStatus) -> HostActor:
-        """The actor of a listed host; a new one where it has another address."""
-        where = parse_address(server.addr)
+    def ensure_host(self, server: Server, listed_status: i.WorkerStatus) -> HostActor:
+        """The actor of a listed host; a new one address it has another address."""
+        address = parse_address(server.addr)
         if server.id in self.hosts:
-            standing, actor = self.hosts[server.id]
-            if standing.address == where and not actor.finished:
-                standing.status = drain
+            status, actor = self.hosts[server.id]
+            if status.address == address and not actor.finished:
+                status.state = listed_status
                 return actor
             self.remove_host(server.id)
-        standing = HostStatus(where, drain)
-        actor = HostActor(
-            server.id, standing, self.settings, self.limits, self.log, self.report, self.metrics
-        )
+        status = HostStatus(address, listed_status)
+        actor = HostActor(server.id, status, self.settings, self.limits, self.log, self.report, self.metrics)
         actor.start()
-        self.hosts[server.id] = (standing, actor)
+        self.hosts[server.id] = (status, actor)
         return actor
 
-    def remove_host(self, id: str, now: bool = False) -> None:
+    def remove_host(self, id: str, immediately: bool = False) -> None:
         if id in self.hosts:
-            standing, actor = self.hosts.pop(id)
-            standing.status = i.WorkerStatus.GONE
-            if not actor.try_send(HostRemoved(now)):
+            status, actor = self.hosts.pop(id)
+            status.state = i.WorkerStatus.GONE
+            if not actor.try_send(HostRemoved(immediately)):
                 # no waiting here for a host whose mailbox is full: the others need their news
-                spawn(self.log, f"retire {id}", lambda: actor.blocking_send(HostRemoved(now)))
+                spawn(self.log, f"retire {id}", lambda: actor.blocking_send(HostRemoved(immediately)))
--- a/harrieryoke/net/hostlist_model.py
+++ b/harrieryoke/net/hostlist_model.py
@@ -181,12 +181,12 @@
 def find_unknown_names(server: Server, settings: i.Settings) -> list[BadServerError]:
     """Zone and kind where the settings have no such name. The host is used all the same: the bus may list a
     new zone before SIGHUP brings its name, and a host that drains there has to be heard."""
-    asked = (("zone", server.zone, settings.zones), ("kind", server.kind, settings.kinds))
+    checks = (("zone", server.zone, settings.zones), ("kind", server.kind, settings.kinds))
     return [
         BadServerError(
             server.id, field, f"{name[:MAX_SHOWN_LENGTH]!r} is not in the settings; the first one is assumed"
         )
-        for field, name, names in asked
+        for field, name, names in checks
         if name and name not in names
     ]
 
@@ -208,42 +208,42 @@
     """A line of the bus: an event, or the number of the last one, by itself or as the offset of an event that
     says nothing else. Raises ValueError."""
     try:
-        said = LINE_DECODER.decode(line)
+        event = LINE_DECODER.decode(line)
     except RecursionError as error:
         raise ValueError(str(error)) from None
-    if isinstance(said, int):
-        return said
-    if said.topology is None:
-        return said.offset
-    servers, bad = list[Server](), list[BadServerError]()
-    for raw in said.topology.servers:
+    if isinstance(event, int):
+        return event
+    if event.topology is None:
+        return event.offset
+    servers, errors = list[Server](), list[BadServerError]()
+    for raw in event.topology.servers:
         try:
             servers.append(decode_server(raw))
         except BadServerError as error:
-            bad.append(error)
-    topology = Topology(servers, said.topology.version, said.topology.full)
-    return EventReceived(BusEvent(said.offset, topology), tuple(bad))
+            errors.append(error)
+    topology = Topology(servers, event.topology.version, event.topology.full)
+    return EventReceived(BusEvent(event.offset, topology), tuple(errors))
 
 
-def validate_event(said: EventReceived) -> ListUpdate | None:
+def validate_event(received: EventReceived) -> ListUpdate | None:
     """An event checked, or None where it tells nothing of the list. The last word on a host counts, and of
     two hosts at one address the last that is active (`in_order`)."""
-    topology = said.event.topology
+    topology = received.event.topology
     if topology is None:
         return None
-    servers, bad = dict[str, Server](), list(said.errors)
+    servers, errors = dict[str, Server](), list(received.errors)
     for server in topology.servers:
         try:
             check_server(server)
         except BadServerError as error:
-            bad.append(error)
+            errors.append(error)
             continue
         servers.pop(server.id, None)
         servers[server.id] = server
     # an entry that does not say whom it means may mean any host, and a list without a readable entry may be
-    # spoilt as a whole: none is taken for gone
-    whole = topology.full and all(error.host for error in bad) and bool(servers or not bad)
-    return ListUpdate(said.event.offset, whole, servers, tuple(bad))
+    # spoilt as a is_full: none is taken for gone
+    is_full = topology.full and all(error.host for error in errors) and bool(servers or not errors)
+    return ListUpdate(received.event.offset, is_full, servers, tuple(errors))
 
 
 def in_apply_order(servers: Iterable[Server]) -> list[Server]:
@@ -263,8 +263,8 @@
     def apply(self, update: ListUpdate) -> None:
         """The next event."""
         if update.is_full:
-            kept = update.invalid_hosts()
-            self.servers = {id: s for id, s in self.servers.items() if id in kept}
+            invalid_hosts = update.invalid_hosts()
+            self.servers = {id: s for id, s in self.servers.items() if id in invalid_hosts}
             self.is_full, self.errors = True, {}
         for error in update.errors:
             self.errors[error.host] = error
--- a/harrieryoke/net/jsonrpc.py
+++ b/harrieryoke/net/jsonrpc.py
@@ -40,11 +40,11 @@
 
 def parse_props(text: str) -> dict[str, float]:
     """`name:number;name:number`; names it does not know are left alone by its caller."""
-    read = {}
+    props = {}
     for pair in text.split(";") if text else []:
         name, _, value = pair.partition(":")
-        read[name] = float(value)
-    return read
+        props[name] = float(value)
+    return props
 
 
 def decode_message(data: bytes) -> Message:
--- a/harrieryoke/net/outgoing.py
+++ b/harrieryoke/net/outgoing.py
@@ -40,14 +40,15 @@
         self,
         sock: socket.socket,
         name: str,
-        most_messages: int,
-        most_bytes: int,
+        max_messages: int,
+        max_bytes: int,
         log: Log,
-        sent: Callable[[], object],
-        lost: Callable[[str], object],
+        on_drained: Callable[[], object],
+        on_failed: Callable[[str], object],
     ) -> None:
-        self.sock, self.name, self.log, self.on_drained, self.on_failed = sock, name, log, sent, lost
-        self.max_messages, self.max_bytes = most_messages, most_bytes
+        self.sock, self.name, self.log = sock, name, log
+        self.on_drained, self.on_failed = on_drained, on_failed
+        self.max_messages, self.max_bytes = max_messages, max_bytes
         self.unsent: list[bytes] = []
         self.unsent_bytes = 0  # bytes in `unsent`
         self.writer: gevent.Greenlet | None = None
@@ -99,9 +100,9 @@
 
     def fail(self, reason: str) -> None:
         if not self.closed:
-            lost = self.on_failed
+            on_failed = self.on_failed
             self.close()
-            lost(reason)
+            on_failed(reason)
 
     def close(self) -> None:
         """Nothing is written from here on. The callbacks are let go of: they lead back here, and a cycle
--- a/harrieryoke/net/platform.py
+++ b/harrieryoke/net/platform.py
@@ -78,10 +78,10 @@
     """Listens on the one address it was told, keeps the client connections, and stops in order."""
 
     def __init__(
-        self, where: tuple[str, int], maker: CallMaker, core: ModuleActor, limits: Limits, log: Log
+        self, address: tuple[str, int], maker: CallMaker, core: ModuleActor, limits: Limits, log: Log
     ) -> None:
         super().__init__("platform front", limits.client_mailbox, log)
-        self.address, self.maker, self.core, self.limits = where, maker, core, limits
+        self.address, self.maker, self.core, self.limits = address, maker, core, limits
         self.clients: dict[ClientActor, bool] = {}  # whether it was told to leave
         self.soft_limit, self.hard_limit = (
             limits.sockets // 2,
@@ -108,24 +108,24 @@
         """A descriptor of its own to accept on: while others accept, the listening socket is kept. Raises
         OSError."""
         assert self.listening is not None, "open comes after start"
-        self.acceptor = entry = retry_local("listen", self.listening.dup, self.limits.start_ms, self.log)
+        self.acceptor = acceptor = retry_local("listen", self.listening.dup, self.limits.start_ms, self.log)
         self.running_acceptors += 1
         spawn(
             self.log,
             "listener",
-            lambda: self.run_acceptor(entry),
-            lambda: self.blocking_send(AcceptorEnded(entry)),
+            lambda: self.run_acceptor(acceptor),
+            lambda: self.blocking_send(AcceptorEnded(acceptor)),
         )
 
-    def run_acceptor(self, entry: socket.socket) -> None:
+    def run_acceptor(self, acceptor: socket.socket) -> None:
         """The listener's greenlet, until its descriptor is closed."""
         pauses = Pauses()
         while not self.finished:
-            self.wait_for_room(entry)
+            self.wait_for_room(acceptor)
             try:
-                sock, peer = entry.accept()
+                sock, peer = acceptor.accept()
             except OSError as error:
-                if entry.fileno() < 0:
+                if acceptor.fileno() < 0:
                     return
                 # where descriptors have run out, the listener waits and goes on
                 self.log("accept-failed", str(error))
@@ -135,10 +135,10 @@
             if (accepted := prepare_connection(sock, peer, self.log)) is not None:
                 self.blocking_send(accepted)
 
-    def wait_for_room(self, entry: socket.socket) -> None:
+    def wait_for_room(self, acceptor: socket.socket) -> None:
         """Newcomers wait in the backlog while clients hold all that they may and some of them are about to
         leave. Where all are busy nobody waits: a newcomer is turned away at once, as it may try elsewhere."""
-        while entry.fileno() >= 0 and self.is_full() and self.has_idle_client():
+        while acceptor.fileno() >= 0 and self.is_full() and self.has_idle_client():
             self.client_closed.clear()
             self.try_send(CloseIdleClient())
             self.client_closed.wait(self.limits.client_fresh_ms / 1000)
@@ -174,7 +174,7 @@
     def transfer_clients(self) -> None:
         """To the process that has taken over, if one has: whoever is here and was not told so yet."""
         if self.transfer_request is not None:
-            for client in [c for c, leaves in self.clients.items() if not leaves]:
+            for client in [client for client, told in self.clients.items() if not told]:
                 self.clients[client] = client.try_send(self.transfer_request)
 
     def close_when_idle(self, client: ClientActor, reason: str) -> None:
@@ -184,24 +184,24 @@
 
     def receive(self, message: Any) -> None:
         match message:
-            case ConnectionAccepted(sock, name, asked):
-                self.add_client(sock, name, asked)
+            case ConnectionAccepted(sock, name, served_before):
+                self.add_client(sock, name, served_before)
             case ClientClosed(client):
                 self.clients.pop(client, None)
                 self.client_closed.set()
             case CloseIdleClient():
                 self.close_idle_client()
-            case TransferClients(to) if not self.stopping:
-                self.transfer_request = TransferWhenIdle(to)
+            case TransferClients(transfer) if not self.stopping:
+                self.transfer_request = TransferWhenIdle(transfer)
                 self.acceptor.close()
                 self.transfer_clients()
             case ResumeAccepting() if self.transfer_request is not None and not self.stopping:
                 self.transfer_request = None
                 self.start_accepting()
-            case AcceptorEnded(entry):
+            case AcceptorEnded(acceptor):
                 self.running_acceptors -= 1
                 # a front that accepts nobody, and was not told so, ends: the service sees that
-                self.finished = entry.fileno() >= 0
+                self.finished = acceptor.fileno() >= 0
             case StopListening():
                 self.stop_listening()
         if self.stopping and not (self.clients or self.mailbox or self.running_acceptors):
@@ -215,7 +215,7 @@
         if self.listening is not None:
             self.listening.close()
         self.transfer_clients()
-        for client in [c for c, leaves in self.clients.items() if not leaves]:
+        for client in [c for c, told in self.clients.items() if not told]:
             self.close_when_idle(client, "the process stops")
 
     def accept_backlog(self) -> None:
@@ -240,7 +240,7 @@
             if (accepted := prepare_connection(sock, peer, self.log)) is not None:
                 self.add_client(accepted.sock, accepted.name, accepted.served_before)
 
-    def add_client(self, sock: socket.socket, name: str, asked: bool) -> None:
+    def add_client(self, sock: socket.socket, name: str, served_before: bool) -> None:
         if len(self.clients) - sum(self.clients.values()) >= self.soft_limit:
             self.close_idle_client()
         if len(self.clients) >= self.hard_limit:
@@ -257,17 +257,17 @@
             lambda c: self.blocking_send(ClientClosed(c)),
             self.pauses,
         )
-        self.clients[client], client.has_sent_line = False, asked
+        self.clients[client], client.has_sent_line = False, served_before
         client.start()
         if self.stopping:
             self.close_when_idle(client, "the process stops")
 
     def close_idle_client(self) -> None:
-        """The client that has been quiet longest leaves, unless it is within a line: a newcomer most likely
+        """The client that has been idle longest told, unless it is within a line: a newcomer most likely
         is there to ask. So the usual clients find room beside others that ask once, or never, and keep their
         connections."""
         now = now_ms()
-        staying = [c for c, leaves in self.clients.items() if not leaves and not c.partial]
-        quiet = {c: q for c in staying if (q := c.idle_ms(now)) is not None}
-        if quiet and max(quiet.values()) > self.limits.client_fresh_ms:
-            self.close_when_idle(max(quiet, key=quiet.__getitem__), "a newcomer needs room")
+        staying = [c for c, told in self.clients.items() if not told and not c.partial]
+        idle = {c: q for c in staying if (q := c.idle_ms(now)) is not None}
+        if idle and max(idle.values()) > self.limits.client_fresh_ms:
+            self.close_when_idle(max(idle, key=idle.__getitem__), "a newcomer needs room")
--- a/harrieryoke/wire/frames.py
+++ b/harrieryoke/wire/frames.py
@@ -16,12 +16,12 @@
 
 def encode(frame: Message) -> bytes:
     body = frame.SerializeToString()
-    size, head = len(body), bytearray()
+    size, header = len(body), bytearray()
     while size > 127:
-        head.append(size & 127 | 128)
+        header.append(size & 127 | 128)
         size >>= 7
-    head.append(size)
-    return bytes(head) + body
+    header.append(size)
+    return bytes(header) + body
 
 
 class Decoder(Generic[F]):
@@ -29,15 +29,15 @@
     frame of more than `most` bytes is refused by its length, before memory is taken for it. Raises
     WireError; after that nothing more can be read."""
 
-    def __init__(self, kind: type[F], most: int) -> None:
-        self.frame_type, self.max_bytes, self.buffer = kind, most, bytearray()
+    def __init__(self, frame_type: type[F], max_bytes: int) -> None:
+        self.frame_type, self.max_bytes, self.buffer = frame_type, max_bytes, bytearray()
 
     def feed(self, data: bytes) -> Iterator[F]:
         self.buffer += data
-        while (found := self.read_header()) is not None and len(self.buffer) >= found[0] + found[1]:
-            head, size = found
-            body = bytes(self.buffer[head : head + size])
-            del self.buffer[: head + size]
+        while (header := self.read_header()) is not None and len(self.buffer) >= header[0] + header[1]:
+            header_size, body_size = header
+            body = bytes(self.buffer[header_size : header_size + body_size])
+            del self.buffer[: header_size + body_size]
             try:
                 frame = self.frame_type.FromString(body)
             except DecodeError as error:
@@ -49,12 +49,12 @@
     def read_header(self) -> tuple[int, int] | None:
         """Bytes of the head, and the length that it tells."""
         size = 0
-        for place, byte in enumerate(self.buffer[:5]):
-            size |= (byte & 127) << 7 * place
+        for index, byte in enumerate(self.buffer[:5]):
+            size |= (byte & 127) << 7 * index
             if size > self.max_bytes:
                 break
             if byte < 128:
-                return place + 1, size
+                return index + 1, size
         if len(self.buffer) >= 5 or size > self.max_bytes:
             raise WireError(f"a frame of more than {self.max_bytes} bytes")
         return None
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -151,7 +151,7 @@
 
     def teardown(self) -> None:
         for id in list(self.actor.hosts):
-            self.actor.remove_host(id, now=True)
+            self.actor.remove_host(id, immediately=True)
         gevent.sleep(0)
 
 
--- a/tests/test_discovery_crossings.py
+++ b/tests/test_discovery_crossings.py
@@ -434,7 +434,7 @@
     def state(self) -> dict[str, tuple[i.WorkerStatus, int]]:
         """Drain and port of each host; the module and the hosts' actors agree on them."""
         hosts = self.actor.hosts
-        state = {id: (standing.status, standing.address[1]) for id, (standing, _) in hosts.items()}
+        state = {id: (standing.state, standing.address[1]) for id, (standing, _) in hosts.items()}
         assert {worker_number(id): drain for id, (drain, _) in state.items()} == {
             worker: e.status for worker, e in self.module.items()
         }
@@ -450,7 +450,7 @@
     made.say(entry("h1", 1), entry("h2", 2), full=True)
     yield made
     for id in list(made.actor.hosts):
-        made.actor.remove_host(id, now=True)
+        made.actor.remove_host(id, immediately=True)
     gevent.sleep(0)
 
 
@@ -540,7 +540,7 @@
     made = List()
     made.actor.load_initial(KnownEvents(1, [BusEvent(1, Topology([Server(**entry("h1", 1))]))]), as_of=5.0)
     assert made.confirmed == [i.ListConfirmed(5.0 - PROPAGATION_DELAY_MS)]
-    made.actor.remove_host("h1", now=True)
+    made.actor.remove_host("h1", immediately=True)
     gevent.sleep(0)
 
 
@@ -579,7 +579,7 @@
     for said in told:
         made.actor.receive(said)
     assert made.state() == {"h4": (UP, 4)} and follower.last_offset == 4
-    made.actor.remove_host("h4", now=True)
+    made.actor.remove_host("h4", immediately=True)
     gevent.sleep(0)
 
 
@@ -607,7 +607,7 @@
     assert listed.state() == expected
     for id, (standing, _) in before.items():
         where = {port: other for other, (_, port) in expected.items()}.get(standing.address[1], id)
-        assert standing.replaced or where == id or standing.status is GONE
+        assert standing.replaced or where == id or standing.state is GONE
     if "n" in expected:
         assert before["h1"][0].replaced
 
@@ -625,7 +625,7 @@
     assert made.state() == {"h1": (UP, 1), "h4": (UP, 3)}
     assert made.module[worker_number("h1")].start_stamp == 5
     for id in list(made.actor.hosts):
-        made.actor.remove_host(id, now=True)
+        made.actor.remove_host(id, immediately=True)
     gevent.sleep(0)
 
 
@@ -679,7 +679,7 @@
     assert len(made.log.of("list")) > changes or made.state() == before
     assert made.state() is not None
     for id in list(made.actor.hosts):
-        made.actor.remove_host(id, now=True)
+        made.actor.remove_host(id, immediately=True)
     gevent.sleep(0)
 
 
--- a/tests/test_host_crossings.py
+++ b/tests/test_host_crossings.py
@@ -51,7 +51,7 @@
             pass
 
     def answer(self, code: int, task: AttemptTask) -> None:
-        self.sock.sendall(frames.encode(code, int(task.call.request_id, 16), mark=frames.FROM_HOST))
+        self.sock.sendall(frames.encode(code, int(task.call.request_id, 16), magic=frames.FROM_HOST))
 
     def reset(self) -> None:
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
@@ -153,7 +153,7 @@
 
 
 def drain(stage: Stage, task: AttemptTask) -> None:
-    stage.status.status = i.WorkerStatus.DRAINING
+    stage.status.state = i.WorkerStatus.DRAINING
 
 
 def replaced(stage: Stage, task: AttemptTask) -> None:
@@ -179,7 +179,7 @@
     stage.dialling = lambda: news(stage, task)
     stage.send_task(task)
     assert stage.ends == [(task, NOT_SENT)] and not task.write_started and not stage.locations
-    stage.status.status, stage.status.replaced = i.WorkerStatus.UP, False
+    stage.status.state, stage.status.replaced = i.WorkerStatus.UP, False
     stage.send_task(marker)
     stage.until(lambda: stage.peers[0].heard)
     assert stage.peers[0].heard == [(frames.HOLD, FIRST_INTERNAL_FRAME_ID + 1)] and stage.tries() == 0
@@ -197,7 +197,7 @@
     stage.reading.set()
     stage.until(lambda: stage.ends)
     assert stage.ends == [(task, NOT_SENT)] and not task.write_started
-    stage.status.status, stage.status.replaced = i.WorkerStatus.UP, False
+    stage.status.state, stage.status.replaced = i.WorkerStatus.UP, False
     stage.send_task(later)
     stage.until(lambda: len(stage.peers[0].heard) == 2)
     assert stage.peers[0].heard == [request(0xA), request(2)] and stage.tries() == 2
@@ -263,10 +263,10 @@
     stage, later = stages(narrow=True), attempt(2)
     stage.blocked()
     stage.send_drop_copies("f")
-    stage.status.status = i.WorkerStatus.DRAINING
+    stage.status.state = i.WorkerStatus.DRAINING
     stage.reading.set()
     stage.until(lambda: stage.peers[0].heard and not stage.links[0].awaiting_writable)
-    stage.status.status = i.WorkerStatus.UP
+    stage.status.state = i.WorkerStatus.UP
     stage.send_task(later)
     stage.until(lambda: len(stage.peers[0].heard) == 2)
     assert stage.peers[0].heard == [request(0xA), request(2)]
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -235,9 +235,9 @@
         function = f.fields.get("asset", "")
         if f.code == frames.HOLD:
             self.loaded.add(function)
-            conn.sendall(frames.encode(frames.OK, f.id, {"pods": "1"}, mark=frames.FROM_HOST))
+            conn.sendall(frames.encode(frames.OK, f.id, {"pods": "1"}, magic=frames.FROM_HOST))
         elif f.code == frames.REQUEST and function not in self.loaded:
-            conn.sendall(frames.encode(frames.MISS, f.id, mark=frames.FROM_HOST))
+            conn.sendall(frames.encode(frames.MISS, f.id, magic=frames.FROM_HOST))
         elif f.code == frames.REQUEST:
             key = f.fields.get("op", f"{f.id:x}")
             last = self.rack.get(key)
