--- a/harrieryoke/net/answers.py
+++ b/harrieryoke/net/answers.py
@@ -1,4 +1,4 @@
-"""What a model host's answer says, read from the fields of its frame."""
+"""Decoding of a model host's answer from the fields of its frame."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def parse_load_report(text: str | None) -> i.LoadReport | None:
-    """The load report of an answer; what can't be read is as absent."""
+    """Parse the load report of an answer; an invalid value is treated as absent."""
     values: dict[str, float] = {}
     for pair in text.split(";") if text else []:
         name, _, value = pair.partition(":")
--- a/harrieryoke/net/bus_follower.py
+++ b/harrieryoke/net/bus_follower.py
@@ -1,4 +1,4 @@
-"""The watch on the event bus: one connection at a time, followed from the last event that was taken."""
+"""Follows the event bus: one connection at a time, from the last event that was received."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 )
 
 RECV_BYTES = 65536
-MAX_LINE_FACTOR = 64  # times `Limits.line_bytes`
+MAX_LINE_FACTOR = 64  # factor on `Limits.line_bytes`
 
 
 @dataclass(frozen=True, slots=True)
 class AddressChanged:
-    """The bus has another address now."""
+    """The bus has a new address."""
 
     address: tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class LineReceived:
-    """A line of the bus, on the connection of that number."""
+    """A line was read on the connection with that number."""
 
     connection: int
     line: bytes
@@ -45,23 +45,27 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionEnded:
-    """The connection of that number is over."""
+    """The connection with that number has ended."""
 
     connection: int
     reason: str
 
 
 class LineBuffer:
-    """Splits a stream into lines and says until when the next bytes have to come. Time-outs of single reads
-    are not enough: a peer that sends a byte now and then would never be taken as lost."""
+    """Splits a stream into lines and computes when the next line is due.
+
+    Time-outs of single reads are not enough: a peer that sends one byte at a time would never be detected as
+    lost.
+    """
 
     def __init__(self, limits: Limits, now: float) -> None:
         self.limits, self.partial = limits, b""
-        self.last_line_at = now  # when the last whole line came
-        self.line_started_at = now  # when the first byte of the line that has begun came
+        self.last_line_at = now  # when the last complete line was received
+        self.line_started_at = now  # when the first byte of the current line was received
 
     def feed(self, data: bytes, now: float) -> list[bytes]:
-        """The lines that are complete now, without blank ones. Raises ValueError for a line without end."""
+        """Return the lines that are now complete, without blank ones. Raises ValueError for an overlong or
+        late line."""
         *complete, partial = (self.partial + data).split(b"\n")
         if complete or not self.partial:
             self.line_started_at = now
@@ -76,26 +80,28 @@
         return lines
 
     def deadline(self) -> float:
-        """When the next whole line has to be there."""
+        """Return when the next complete line is due."""
         if self.partial:
             return self.line_started_at + self.limits.bus_line_ms
         return self.last_line_at + self.limits.bus_quiet_ms
 
     def restart_deadline(self, now: float) -> None:
-        """Waiting for room in the follower's mailbox is not the bus's silence."""
+        """Restart the deadline: waiting for space in the follower's mailbox is not silence of the bus."""
         self.last_line_at = self.line_started_at = now
 
     def read_timeout_ms(self, now: float) -> float:
-        """How long the next read may take."""
+        """Return the time-out of the next read."""
         return max(1.0, min(self.deadline() - now, self.limits.bus_quiet_ms))
 
 
 class BusFollower(Actor):
-    """Follows the event bus from the last event it has, over and over, with growing pauses. Each connection
-    has a reader of its own, so that a move to another address waits for no dial and no silence.
+    """Follows the event bus from the last received event and reconnects with exponential back-off.
+
+    Each connection has its own reader, so that a change of address need not wait for a dial or a time-out.
 
-    A bus whose number stays below the last event has numbered its events anew. They are then fetched from
-    the first one on into `snapshot`, and the list takes their net result at once."""
+    A bus that keeps naming a number below the last received event has restarted its numbering. All its events
+    are then fetched from the first one into `snapshot`, and the list applies their net effect at once.
+    """
 
     def __init__(
         self,
@@ -110,29 +116,27 @@
         self.limits, self.send_to_list = limits, send_to_list
         self.connection = 0
         self.heartbeats = Heartbeats(now_ms())
-        self.incomplete = False  # a line that could not be read was left out, and no whole list came since
+        self.incomplete = False  # an unreadable line was skipped, and no full list has been received since
         self.reader: gevent.Greenlet | None = None
         self.backoff_ms = limits.bus_backoff_ms
-        self.stable_at = (
-            0.0  # from then on a connection has stood long enough to begin with short pauses again
-        )
+        # once a connection has lasted until then, the back-off starts again from its minimum
+        self.stable_at = 0.0
         self.behind_since: float | None = None  # when the bus first named a number below `last_offset`
-        self.snapshot: Snapshot | None = None  # what has been fetched of a bus that numbers anew
-        self.unreadable_after = (
-            self.skipped_after
-        ) = -1  # the event after which a line could not be read, or was left out
+        self.snapshot: Snapshot | None = None  # events fetched so far from a bus that restarted its numbering
+        # the event after which a line could not be read, and the one after which a line was skipped
+        self.unreadable_after = self.skipped_after = -1
 
     def change_address(self, address: tuple[str, int]) -> bool:
-        """Follows the bus at another address, once the actor comes to it."""
+        """Follow the bus at another address, once the actor handles the message."""
         return self.blocking_send(AddressChanged(address))
 
     def run(self) -> None:
-        """The actor's greenlet."""
+        """Run the actor's greenlet."""
         self.connect(0.0)
         super().run()
 
     def connect(self, delay_ms: float) -> None:
-        """Ends the connection there is, if any, and opens another after a delay_ms."""
+        """Close the current connection, if any, and open another one after a delay."""
         if self.reader is not None:
             self.reader.kill(block=False)
         self.connection += 1
@@ -152,7 +156,7 @@
     def run_connection(
         self, connection: int, address: tuple[str, int], last_offset: int, delay_ms: float
     ) -> None:
-        """One connection's life."""
+        """Run one connection from dial to end."""
         try:
             gevent.sleep(delay_ms / 1000)
             with socket.create_connection(address, self.limits.bus_dial_ms / 1000) as sock:
@@ -165,8 +169,10 @@
         self.blocking_send(ConnectionEnded(connection, reason))
 
     def read_lines(self, connection: int, sock: socket.socket) -> None:
-        """Until the bus closes. Raises TimeoutError when it keeps quiet for longer than its second, and
-        ValueError when a line does not end."""
+        """Read lines until the bus closes.
+
+        Raises TimeoutError if no line arrives in time, and ValueError for an overlong or late line.
+        """
         buffer = LineBuffer(self.limits, now_ms())
         while True:
             sock.settimeout(buffer.read_timeout_ms(now_ms()) / 1000)
@@ -180,7 +186,7 @@
                 buffer.restart_deadline(now_ms())
 
     def receive(self, message: Any) -> None:
-        """One message of the mailbox; those of an earlier connection are dropped."""
+        """Handle one message of the mailbox; messages of an earlier connection are dropped."""
         match message:
             case AddressChanged(address) if address != self.address:
                 self.log("bus-moved", f"to {address[0]}:{address[1]}, from event {self.last_offset} on")
@@ -195,23 +201,24 @@
                 self.reconnect(reason)
 
     def reconnect(self, reason: str) -> None:
-        """The connection is given up and made anew, after a delay_ms that grows up to its bound."""
+        """Close the connection and reconnect after the back-off."""
         self.log("bus-lost", f"after event {self.last_offset}: {reason}")
         delay_ms = self.backoff_ms
         self.backoff_ms = min(2 * delay_ms, self.limits.bus_backoff_most_ms)
         self.connect(delay_ms)
 
     def handle_line(self, line: bytes) -> None:
-        """A line of this connection. Raises ValueError where the connection can't be trusted further."""
+        """Handle a line of this connection. Raises ValueError if the connection must be closed."""
         try:
             event = decode_line(line)
         except ValueError as error:
             if self.unreadable_after != self.last_offset:
                 self.unreadable_after = (
+                    # it may have been corrupted in transit: the line is requested once more
                     self.last_offset
-                )  # it may have been spoilt on its way: asked for once more
+                )
                 raise
-            # asked for again and again, it would keep all events behind it from being heard
+            # requested again and again, the line would block all events after it
             self.skipped_after, self.incomplete = self.last_offset, True
             return self.log(
                 "bad-event", f"after event {self.last_offset}, and again: {error}: {line[:200]!r}"
@@ -224,7 +231,7 @@
             self.backoff_ms = self.limits.bus_backoff_ms
 
     def handle_event(self, received: EventReceived) -> None:
-        """One event; an old or repeated one changes nothing."""
+        """Handle one event; an old or repeated one has no effect."""
         offset = received.event.offset
         if offset <= self.last_offset:
             return
@@ -238,16 +245,15 @@
         self.send_to_list(received)
 
     def handle_heartbeat(self, offset: int) -> None:
-        """The heartbeat: the offset of the bus's last event."""
+        """Handle a heartbeat, which carries the number of the bus's last event."""
         as_of = self.heartbeats.record(now_ms())
         if offset > self.last_offset:
             if self.skipped_after != self.last_offset:
                 raise ValueError(f"the bus is at {offset}, and its events have not come")
             self.last_offset = offset
         if self.snapshot is not None and offset > 0:
-            self.last_offset = (
-                offset  # also where an event came under a higher offset: the bus's own offset counts
-            )
+            # also if an event had a higher offset: the number that the bus names counts
+            self.last_offset = offset
             self.finish_snapshot(self.snapshot.to_update(offset))
             return self.confirm_list(as_of)
         if offset >= self.last_offset:
@@ -264,14 +270,14 @@
             self.connect(0.0)
 
     def confirm_list(self, as_of: float) -> None:
-        """All changes before that time have come."""
+        """Confirm that all changes before that time have been received."""
         if not self.incomplete:
             self.send_to_list(ListConfirmed(as_of))
         if self.heartbeats.lags(now_ms(), self.limits.bus_lag_ms):
             self.connect(0.0)
 
     def finish_snapshot(self, update: ListUpdate) -> None:
-        """All events of a bus that numbers anew are there."""
+        """Pass on the net effect of all events of a bus that restarted its numbering."""
         self.snapshot, self.incomplete = None, False
         self.log("bus-anew", f"{len(update.servers)} model hosts as of event {update.offset}")
         self.send_to_list(ListReplaced(update))
--- a/harrieryoke/net/frames.py
+++ b/harrieryoke/net/frames.py
@@ -1,4 +1,4 @@
-"""The binary frames between an invoker and a model host."""
+"""Binary frames between an invoker and a model host."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FrameError(ValueError):
-    """The bytes are no frame of this protocol."""
+    """The bytes are not a valid frame."""
 
 
 @dataclass(slots=True)
@@ -29,7 +29,7 @@
 def encode(
     code: int, id: int, fields: dict[str, str] | None = None, body: bytes = b"", magic: int = TO_HOST
 ) -> bytes:
-    """One whole frame."""
+    """Encode one frame."""
     encoded_fields = ",".join(f"{k}={v}" for k, v in (fields or {}).items()).encode()
     header = HEADER.pack(magic, code, len(encoded_fields), len(body), id)
     return b"".join((header, encoded_fields, body, CHECKSUM.pack(crc32(body, crc32(encoded_fields)))))
@@ -46,7 +46,7 @@
 
 
 class Decoder:
-    """Cuts a byte stream into frames; a length beyond `most` is a fault, not a wait for memory."""
+    """Decodes frames from a byte stream; a body longer than `max_body_bytes` is an error."""
 
     def __init__(self, max_body_bytes: int, magic: int = FROM_HOST) -> None:
         self.max_body_bytes, self.magic, self.buffer = max_body_bytes, magic, bytearray()
--- a/harrieryoke/net/host.py
+++ b/harrieryoke/net/host.py
@@ -1,4 +1,4 @@
-"""The actor of one model host: it picks or dials a link for each task, and ends each task once."""
+"""The actor of one model host: it selects or opens a link for each task, and ends each task once."""
 
 from __future__ import annotations
 
@@ -22,28 +22,34 @@
 from .link import HostSocket, Link, PendingFrame, host_socket
 
 FIRST_INTERNAL_FRAME_ID = (
+    # Frame ids of orders and probes. Requests bring their own ids, which must not collide with these on a
+    # link.
     1 << 63
-)  # of orders and probes; requests bring their ids, and must not meet these on a link
+)
 RETRYABLE_CONNECT_ERRORS = (
     errno.ETIMEDOUT,
+    # Reported by the kernel; a dial that times out in this process has no errno.
     errno.EHOSTUNREACH,
-)  # told by the kernel; no answer in time has no number
+)
 
 
 class LinkUnavailableError(Exception):
-    """This process can't have another link now, which tells nothing of the host."""
+    """This process can't open another link at present, which implies nothing about the host."""
 
 
 @dataclass(slots=True)
 class HostStatus:
-    """What the worker list says of a host. The list's actor alone writes it; the host reads it."""
+    """The host's state in the worker list. The list's actor alone writes it; the host's actor reads it."""
 
     address: tuple[str, int]
     state: i.WorkerStatus = i.WorkerStatus.UP
     replaced: bool = False
 
     def accepts(self, task: Task) -> bool:
-        """A draining, gone or replaced host gets nothing new; one that drains may still be asked."""
+        """Return whether the host may get the task.
+
+        A draining, gone or replaced host gets nothing new; a draining host may still be probed.
+        """
         if self.replaced or self.state is i.WorkerStatus.GONE:
             return False
         return self.state is i.WorkerStatus.UP or (isinstance(task, OrderTask) and task.copies == 0)
@@ -78,7 +84,7 @@
 
 @dataclass(slots=True)
 class LinkWritable:
-    """The link takes more; or it has not for too long, or has failed, and `error` says so."""
+    """The link can be written again, or `error` says that it timed out or failed."""
 
     link: Link
     error: str = ""
@@ -86,18 +92,19 @@
 
 @dataclass(slots=True)
 class HostRemoved:
-    """The host has left the list: it ends once nothing is out on it, or now if its address is another's."""
+    """The host has left the list: the actor ends once nothing is open, or immediately if the address was
+    reused."""
 
     immediately: bool = False
 
 
 def answers_promptly(task: Task) -> bool:
-    """A load may take its time; all else is answered within its usual time, or the host is silent."""
+    """Return whether the host must answer the task within its usual time; only a load may take longer."""
     return not isinstance(task, OrderTask) or task.copies == 0
 
 
 class HostActor(Actor):
-    """Serialises all that goes to one model host. A host that is silent holds up nobody but itself."""
+    """Serialises all tasks of one model host, so that a silent host delays only its own tasks."""
 
     def __init__(
         self,
@@ -119,12 +126,12 @@
         self.removed = False
 
     def apply_settings(self, settings: i.Settings) -> None:
-        """For whoever keeps the list, as with `Standing`."""
+        """Apply new settings; called by the owner of the list, like changes of `HostStatus`."""
         self.classes = settings.classes
-        # slow hosts still answer something in this time
+        # even slow hosts answer something within this time
         self.silence_limit_ms = max(self.limits.silent_ms, 1.4 * settings.shortest_latency_target())
 
-    # --- the port that the module actor sees ---
+    # --- interface to the module actor ---
 
     def start_task(self, task: Task) -> bool:
         return self.try_send(StartTask(task))
@@ -135,7 +142,7 @@
     def drop_copies(self, function: str) -> None:
         self.try_send(DropCopies(function))
 
-    # --- the loop ---
+    # --- main loop ---
 
     def run(self) -> None:
         while not self.finished:
@@ -149,7 +156,7 @@
                 return
 
     def finish(self) -> None:
-        """Whatever ended the actor: nothing that was out or queued stays without its end."""
+        """End every open or queued task, whatever ended the actor."""
         self.finished = True
         for link in list(self.links):
             self.close_link(link, "the host's actor ended")
@@ -187,10 +194,10 @@
     def end_task(self, task: Task, outcome: i.Outcome, **details: Any) -> None:
         self.report(TaskEnded(task, outcome, **details))
 
-    # --- towards the host ---
+    # --- sending ---
 
     def may_start(self, task: Task) -> bool:
-        """Whether the task is still to be written: asked again directly before its first byte."""
+        """Return whether the task may still be written; checked again directly before its first byte."""
         now = now_ms()
         if not task.wanted or task.stop_at <= now or task.start_by <= now:
             return False
@@ -202,8 +209,10 @@
         return self.status.state is i.WorkerStatus.UP and not self.status.replaced
 
     def send_task(self, task: Task) -> None:
-        """Puts the task on a link. Much can change while a dial takes its time, or while the link takes
-        nothing: `flush` looks again."""
+        """Queue the task on a link.
+
+        Much can change during a dial or while the link is blocked: `flush` checks again.
+        """
         if not self.may_start(task):
             return self.end_task(task, i.Outcome.NOT_SENT)
         try:
@@ -218,13 +227,13 @@
         self.enqueue_frame(link, frame)
 
     def enqueue_frame(self, link: Link, frame: PendingFrame) -> None:
-        """Writes the frame at once, or once the host has read what lies before it."""
+        """Write the frame now, or once the host has read the frames before it."""
         link.backlog.append(frame)
         if not link.awaiting_writable:
             self.flush(link)
 
     def flush(self, link: Link) -> None:
-        """Writes what waits on the link as far as the connection takes it, without waiting."""
+        """Write queued frames as far as the connection accepts them, without waiting."""
         while link.backlog and not link.ended:
             frame = link.backlog[0]
             if not frame.started and not self.prepare_frame(link, frame):
@@ -246,7 +255,7 @@
                 self.metrics.for_class(self.classes[frame.task.call.class_index].name).tries += 1
 
     def prepare_frame(self, link: Link, frame: PendingFrame) -> bool:
-        """Directly before the first byte of a frame: what is not wanted any more is left out."""
+        """Drop a frame that is no longer wanted, or encode it; called directly before its first byte."""
         task = frame.task
         if task is None:
             if frame.code != frames.UNLOAD or self.may_drop_copies():
@@ -267,7 +276,7 @@
             link.waiting_since = now_ms()
 
     def wait_writable(self, link: Link) -> None:
-        """The writer's greenlet, there only while something is unsent."""
+        """Run the writer's greenlet, which exists only while something is unsent."""
         error = ""
         try:
             link.sock.wait_writable(self.limits.write_ms)
@@ -302,8 +311,10 @@
         return frames.encode(frame.code, frame.id)
 
     def handle_cancel(self, task: Task) -> None:
-        """A request is given up with a word, an order just is not waited for any more, and what has not begun
-        is left out."""
+        """Cancel a task: a request with a frame to the host, an order by ignoring its answer.
+
+        A task that has not started is removed from the queue.
+        """
         if (location := self.locations.pop(task, None)) is None:
             return
         link, id = location
@@ -312,7 +323,7 @@
             return
         del link.open[id]
         if not link.open and not self.is_silent(link):
-            link.waiting_since = None  # what was given up early tells nothing of the host
+            link.waiting_since = None  # an answer that was cancelled early says nothing about the host
         if isinstance(task, AttemptTask):
             self.enqueue_frame(
                 link, PendingFrame(frames.GIVE_UP, id, unwritten=frames.encode(frames.GIVE_UP, id))
@@ -332,9 +343,12 @@
     # --- links ---
 
     def select_link(self, task: Task | None) -> Link | None:
-        """The newest link with room, rather one that takes bytes; a further one only when all are full, or
-        silent. An is_probe whether the host lives goes by none that owes an answer for longer than a dial would
-        take. None where the host can't be reached. Raises NoRoomForLinkError."""
+        """Return the newest link with capacity, preferably one that is not blocked; open one if all are full
+        or silent.
+
+        A probe avoids a link that has owed an answer for longer than a dial may take. Returns None if the
+        host can't be reached. Raises LinkUnavailableError.
+        """
         is_probe = isinstance(task, OrderTask) and task.copies == 0
         id = int(task.call.request_id, 16) if isinstance(task, AttemptTask) else None
         blocked: Link | None = None
@@ -354,22 +368,22 @@
         if len(self.links) >= self.limits.links_per_host:
             if is_probe:
                 return None
-            # a host that is just busy must not be taken for dead, its copies lost
+            # a busy host must not be taken as dead, and its copies as lost
             raise LinkUnavailableError("all links to the host are full")
         return self.dial()
 
     def is_silent(self, link: Link, factor: int = 1) -> bool:
-        """Guards against a connection that stays open and brings nothing more, while a new one would."""
+        """Detects a connection that stays open but delivers nothing, while a new one would work."""
         return (
             link.waiting_since is not None and now_ms() - link.waiting_since > factor * self.silence_limit_ms
         )
 
     def connect(self) -> HostSocket:
-        """Raises OSError; of one that may have passed already, the second."""
+        """Dial, and retry once after an error that may be transient. Raises OSError."""
         try:
             return self.connect_once()
         except OSError as error:
-            # a dead host refuses, it does not reset: one that is alive must not be taken for dead
+            # a dead host refuses and does not reset: a live one must not be taken as dead
             if not isinstance(error, ConnectionResetError) and error.errno not in RETRYABLE_CONNECT_ERRORS:
                 raise
             return self.connect_once()
@@ -378,7 +392,7 @@
         sock = host_socket(socket.create_connection(self.status.address, self.limits.dial_ms / 1000))
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            # guards against a host that vanished: what it does not acknowledge in this time ends the link
+            # detects a host that vanished: data that it does not acknowledge within this time ends the link
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(self.limits.vanished_ms))
         except OSError:
             sock.close()
@@ -400,7 +414,7 @@
         return link
 
     def fail_queued_tasks(self) -> None:
-        """What waited behind a failed dial fails with it: nobody waits for one dial after the other."""
+        """End all queued tasks after a failed dial, so that they do not wait for one dial after another."""
         queued = [m for m in self.mailbox if isinstance(m, StartTask)]
         for message in queued:
             self.mailbox.remove(message)
@@ -408,7 +422,7 @@
             self.end_task(message.task, i.Outcome.NO_CONNECTION if startable else i.Outcome.NOT_SENT)
 
     def read_link(self, link: Link) -> None:
-        """The reader's greenlet: turns bytes into messages, and says how the link ended."""
+        """Run the reader's greenlet: convert bytes to messages, and report why the link ended."""
         reason = "closed by the host"
         try:
             while True:
@@ -425,8 +439,8 @@
                     for frame in link.decoder.feed(data):
                         received.append(frame)
                 finally:
-                    # good answers ahead of a bad frame count; and a frame that has only begun wakes the actor
-                    # too, so that somebody looks whether more of it comes: a long one may take its time
+                    # Valid answers before an invalid frame count. The start of a frame wakes the actor too,
+                    # so that it watches for the rest, which may take its time for a long frame.
                     previous, partial = link.partial_since, bool(link.decoder.buffer)
                     link.partial_since = now_ms() if partial else None
                     if received or (previous is None and partial):
@@ -436,12 +450,15 @@
             self.log("bad-frame", f"{self.name}: {error}")
         except OSError as error:
             reason = f"read: {error}"
-        link.ended = True  # nothing more is to begin here, also while the message waits in the mailbox
+        link.ended = True  # no new task may start here, also while the message waits in the mailbox
         self.blocking_send(LinkLost(link, reason))
 
     def close_link(self, link: Link, reason: str) -> None:
-        """What was out on a link that ends may have run; the host has given it up. What was never written
-        sent has not run: a host acts on sent frames alone."""
+        """Close the link and end its tasks.
+
+        What was sent may have run, and the host has given it up. What was not written completely has not run:
+        a host acts only on complete frames.
+        """
         if link not in self.links:
             return
         self.links.remove(link)
@@ -459,11 +476,12 @@
             self.end_task(task, i.Outcome.RESET if task in sent else i.Outcome.NOT_SENT)
 
     def close_dead_links(self) -> None:
-        """Closes links that lie idle a little before the host would: no request crosses such a close."""
+        """Close stalled, silent and idle links; idle ones shortly before the host would, so that no request
+        is lost."""
         now = now_ms()
         for link in list(self.links):
             if link.partial_since is not None and now - link.partial_since > self.limits.frame_ms:
-                # guards against an answer that stops short: what comes behind it would be its rest
+                # an answer was truncated: whatever follows would be taken as the rest of its frame
                 self.log("bad-frame", f"{self.name}: the rest of a frame has not come")
                 self.close_link(link, "a frame stopped short")
         for link in [k for k in self.links if self.is_silent(k) and (not k.open or self.is_silent(k, 3))]:
@@ -472,12 +490,12 @@
         for link in [k for k in self.links if not k.load and (k.last_used < idle_before or self.removed)]:
             self.close_link(link, "idle")
 
-    # --- from the host ---
+    # --- receiving ---
 
     def handle_answer(self, link: Link, frame: frames.Frame) -> None:
         task = link.open.get(frame.id)
         if task is None:
-            return  # it was given up while the answer was on its way
+            return  # the task was cancelled while its answer was in transit
         is_probe_answer = frame.code >= frames.HEALTHY
         if frame.code not in OUTCOMES or is_probe_answer == isinstance(task, AttemptTask | OrderTask):
             self.log("bad-frame", f"{self.name}: code {frame.code} for {type(task).__name__}")
--- a/harrieryoke/net/hostlist.py
+++ b/harrieryoke/net/hostlist.py
@@ -1,4 +1,4 @@
-"""The worker list's actor: it keeps the list and owns the actors of the model hosts."""
+"""The actor of the worker list: it maintains the list and owns the actors of the model hosts."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     worker_number,
 )
 
-# the discovery's public names in one place
+# the public names of discovery in one place
 __all__ = [
     "STATUS_BY_STATE",
     "Ban",
@@ -53,25 +53,27 @@
 
 @dataclass(slots=True)
 class Ban:
-    """An operator leaves a model host out, or puts it back. `told` gets True once that binds, or False for an
-    id that was never listed."""
+    """An operator bans a model host, or lifts the ban.
+
+    `reply` gets True once the change is in force, or False for an id that was never listed.
+    """
 
     id: str
     banned: bool
     reply: AsyncResult
-    from_peer: bool = False  # another process has listed it
+    from_peer: bool = False  # the other process of an upgrade sent it, and has listed the host
 
 
 @dataclass(slots=True)
 class WorkerChanges:
-    """What the module is to hear of one event: the last word on each host, by the module's number."""
+    """Changes of the list to be sent to the module: the latest state of each host, by the module's number."""
 
     entries: dict[int, i.WorkerEntry] = field(default_factory=dict)
     ports: dict[int, HostPort] = field(default_factory=dict)
     names: dict[int, HostName] = field(default_factory=dict)
 
     def add(self, entry: i.WorkerEntry, server: Server, actor: HostActor | None) -> None:
-        """A host as listed; no actor where it has gone."""
+        """Add a host as listed, without an actor if it is gone."""
         self.mark_gone(entry.worker)
         self.entries[entry.worker] = entry
         self.names[entry.worker] = HostName(server.id, server.zone, server.kind, server.state)
@@ -79,7 +81,7 @@
             self.ports[entry.worker] = actor
 
     def mark_gone(self, worker: int) -> None:
-        """A host has been replaced; the bus may say so later, or never."""
+        """Record that a host was replaced; the bus may report that later, or never."""
         self.ports.pop(worker, None)
         self.names.pop(worker, None)
         self.entries.pop(worker, None)
@@ -87,8 +89,10 @@
 
 
 class HostListActor(Actor):
-    """Keeps the list, opens an actor for each host, and tells the module what changed. A host that an
-    operator left out drains, whatever the list says of it and however often, until it is put back."""
+    """Maintains the list, runs an actor for each host, and reports changes to the module.
+
+    A host that an operator banned drains, whatever the list says about it, until the ban is lifted.
+    """
 
     def __init__(
         self,
@@ -104,20 +108,23 @@
         self.send_to_module, self.report = send_to_module, report
         self.metrics = metrics
         self.hosts: dict[str, tuple[HostStatus, HostActor]] = {}
-        self.servers: dict[str, Server] = {}  # the list's last word on each, the latest last
-        self.doubtful: set[str] = set()  # listed hosts whose last entry could not be read
-        self.has_unattributed_error = False  # an entry could not be read that may have meant any host
+        self.servers: dict[str, Server] = {}  # the latest entry of each host, in the order of arrival
+        self.doubtful: set[str] = set()  # listed hosts whose latest entry could not be read
+        self.has_unattributed_error = False  # an unreadable entry may concern any host
         self.host_starts = HostStarts()
         self.banned: set[str] = set()
         self.on_ban_changed: Callable[[str, bool], object] = (
+            # called with a host and whether it is banned, so that bans are stored beyond this process
             lambda id, on: None
-        )  # so that it outlives the process
+        )
 
     def load_initial(
         self, known_events: KnownEvents, banned: Iterable[str] = (), as_of: float | None = None
     ) -> None:
-        """The list as it was at the start, at `as_of` in milliseconds of the process's clock where that is
-        known_events, and who is left out, listed yet or not; before the actor runs."""
+        """Load the list as of start-up and the banned hosts, listed or not, before the actor runs.
+
+        `as_of` is the time of the list in milliseconds of the process's clock, if known.
+        """
         self.banned = set(banned)
         snapshot = Snapshot()
         for event in known_events.batch:
@@ -133,11 +140,11 @@
             self.confirm_list(as_of - PROPAGATION_DELAY_MS)
 
     def bans(self) -> list[str]:
-        """The ids that operators left out."""
+        """Return the ids of the banned hosts."""
         return sorted(self.banned)
 
     def receive(self, message: EventReceived | ListReplaced | ListConfirmed | Ban) -> None:
-        """One message of the mailbox."""
+        """Handle one message of the mailbox."""
         match message:
             case EventReceived():
                 if (update := validate_event(message)) is not None:
@@ -150,7 +157,7 @@
                 reply.set(self.set_banned(id, banned, from_peer))
 
     def apply_update(self, update: ListUpdate) -> None:
-        """An event. Hosts of spoilt entries keep their former state."""
+        """Apply an event. Hosts with an invalid entry keep their previous state."""
         self.log_errors(update)
         self.update_doubtful(update, self.hosts.keys())
         servers = list(update.servers.values())
@@ -162,8 +169,7 @@
         self.apply_entries(unchanged + servers, i.ListScope.WHOLE)
 
     def update_doubtful(self, update: ListUpdate, listed: Collection[str]) -> None:
-        """What discovery tells counts as told, readable or not: a host whose entry could not be read may have
-        been told to drain."""
+        """Track the hosts whose latest entry could not be read: discovery may have asked them to drain."""
         if update.is_full:
             self.doubtful, self.has_unattributed_error = set(), False
         self.doubtful -= update.servers.keys()
@@ -173,13 +179,13 @@
         )
 
     def confirm_list(self, as_of: float) -> None:
-        """The module hears how old the list is, and where its word is not discovery's last."""
+        """Report to the module how recent the list is, and for which hosts it may be outdated."""
         doubtful = frozenset(worker_number(id) for id in self.doubtful & self.hosts.keys())
         if not self.has_unattributed_error:
             self.send_to_module(WorkerListConfirmed(i.ListConfirmed(as_of, doubtful)))
 
     def log_errors(self, update: ListUpdate) -> None:
-        """One line of the log for all that is spoilt in an event."""
+        """Log the invalid entries and the unknown names of an event in one line each."""
         if update.errors:
             self.log_bad_event(update.offset, list(update.errors), "former state kept; correct it at the bus")
         unknown = [e for s in update.servers.values() for e in find_unknown_names(s, self.settings)]
@@ -189,12 +195,15 @@
             )
 
     def log_bad_event(self, offset: int, errors: list[BadServerError], advice: str) -> None:
-        """The first of the errors, and how many more there are."""
+        """Log the first of the errors and the number of the others."""
         more = f" (and {len(errors) - 1} more)" if len(errors) > 1 else ""
         self.log("bad-event", f"event {offset}: {errors[0]}{more}; {advice}")
 
     def set_banned(self, id: str, banned: bool, from_peer: bool) -> bool:
-        """The host's actor and the module have heard when this returns. False for an id never listed."""
+        """Ban a host or lift its ban; return False for an id that was never listed.
+
+        When this returns, the host's actor and the module have received the change.
+        """
         if not from_peer and id not in self.servers and id not in self.banned:
             return False
         if banned != (id in self.banned):
@@ -206,24 +215,27 @@
         return True
 
     def remember_server(self, server: Server) -> None:
-        """The list's last word on a host."""
+        """Store the latest entry of a host."""
         self.servers.pop(server.id, None)
         self.servers[server.id] = server
         if len(self.servers) > self.limits.ids_remembered:
-            # hosts may come under ever new ids, and memory is bounded; bans are an operator's, and few
+            # hosts may come under ever new ids and memory is bounded; bans are few, as operators set them
             in_use = self.hosts.keys() | self.banned | {server.id}
             if (oldest := next((id for id in self.servers if id not in in_use), None)) is not None:
                 del self.servers[oldest]
 
     def apply_settings(self, settings: i.Settings) -> None:
-        """The service alone calls it, before any call of a new class is made. Not by a message: a mailbox
-        may be full or behind, and a host would get a call of a class that it can't name."""
+        """Apply new settings; the service calls it before any call of a new class is created.
+
+        This is no message: a mailbox may be full or delayed, and a host would receive a call of a class that
+        it does not know.
+        """
         self.settings = settings
         for _, actor in self.hosts.values():
             actor.apply_settings(settings)
 
     def apply_entries(self, servers: list[Server], scope: i.ListScope) -> None:
-        """Checked entries, one for each host: the hosts' actors and then the module hear of them."""
+        """Apply validated entries, one for each host: first to the hosts' actors, then to the module."""
         extent = "changed" if scope is i.ListScope.CHANGES else "in all"
         self.log("list", f"{len(servers)} model hosts {extent}")
         if scope is i.ListScope.WHOLE:
@@ -249,7 +261,7 @@
         self.send_to_module(WorkersChanged(event, changes.ports, changes.names))
 
     def worker_entry(self, server: Server) -> i.WorkerEntry:
-        """One host as the module sees it."""
+        """Return the module's entry of a host."""
         status = STATUS_BY_STATE[server.state]
         if server.id in self.banned and status is i.WorkerStatus.UP:
             status = i.WorkerStatus.DRAINING
@@ -269,7 +281,7 @@
         )
 
     def remove_previous_host(self, server: Server, changes: WorkerChanges) -> None:
-        """Whoever had the server's address so far has gone: the address speaks for another host now."""
+        """Remove any other host at the server's address: the address belongs to this server now."""
         address = parse_address(server.addr)
         for id, (status, _) in list(self.hosts.items()):
             if status.address == address and id != server.id:
@@ -279,7 +291,7 @@
                 changes.mark_gone(worker_number(id))
 
     def ensure_host(self, server: Server, listed_status: i.WorkerStatus) -> HostActor:
-        """The actor of a listed host; a new one address it has another address."""
+        """Return the actor of a listed host; start a new one if its address has changed."""
         address = parse_address(server.addr)
         if server.id in self.hosts:
             status, actor = self.hosts[server.id]
@@ -298,5 +310,5 @@
             status, actor = self.hosts.pop(id)
             status.state = i.WorkerStatus.GONE
             if not actor.try_send(HostRemoved(immediately)):
-                # no waiting here for a host whose mailbox is full: the others need their news
+                # a host with a full mailbox must not delay the news of the others
                 spawn(self.log, f"retire {id}", lambda: actor.blocking_send(HostRemoved(immediately)))
--- a/harrieryoke/net/hostlist_model.py
+++ b/harrieryoke/net/hostlist_model.py
@@ -1,4 +1,4 @@
-"""What the event bus says of model hosts: its messages as types, and how they are read. No I/O."""
+"""Messages of the event bus about model hosts, as types, and how they are decoded and validated. No I/O."""
 
 from __future__ import annotations
 
@@ -17,17 +17,21 @@
     "leaving": i.WorkerStatus.DRAINING,
     "left": i.WorkerStatus.GONE,
 }
-APPLY_ORDER = ("leaving", "active", "left")  # the order of an event's entries, see `in_order`
-MAX_SAFE_INTEGER = 2**53  # all JSON readers agree on whole numbers up to here
+APPLY_ORDER = (
+    "leaving",
+    "active",
+    "left",
+)  # the order in which an event's entries are applied, see `in_apply_order`
+MAX_SAFE_INTEGER = 2**53  # the largest integer that all JSON readers represent exactly
 MAX_ID_LENGTH = 256  # characters
 MAX_HOST_NAME_LENGTH = 253  # characters of a name in DNS
-MAX_SHOWN_LENGTH = 80  # characters of a spoilt value in an error
+MAX_SHOWN_LENGTH = 80  # characters of an invalid value in an error message
 
 Offset = Annotated[int, msgspec.Meta(ge=0, le=MAX_SAFE_INTEGER)]
 
 
 class Server(msgspec.Struct):
-    """One model host of an event."""
+    """One model host in an event."""
 
     id: str
     addr: str
@@ -40,7 +44,7 @@
 
 
 class Topology(msgspec.Struct):
-    """The whole list, or what changed in it."""
+    """The complete list, or the changes to it."""
 
     servers: list[Server]
     version: int = 0
@@ -48,21 +52,21 @@
 
 
 class BusEvent(msgspec.Struct):
-    """One numbered event."""
+    """An event with its number."""
 
     offset: Offset
     topology: Topology | None = None
 
 
 class KnownEvents(msgspec.Struct):
-    """The events up to the start."""
+    """The events that were already known at start-up."""
 
     offset: Offset = 0
     batch: list[BusEvent] = []
 
 
 class WireTopology(msgspec.Struct):
-    """A topology whose entries are read one by one, so that a spoilt one does not spoil the others."""
+    """A topology whose entries are decoded one by one: an invalid entry does not affect others."""
 
     servers: list[msgspec.Raw]
     version: int = 0
@@ -70,14 +74,14 @@
 
 
 class WireEvent(msgspec.Struct):
-    """A numbered event as it comes over the wire."""
+    """A numbered event as received over the network."""
 
     offset: Offset
     topology: WireTopology | None = None
 
 
 class EntryId(msgspec.Struct):
-    """As much of a spoilt entry as says whom it means."""
+    """The part of an invalid entry that identifies the host."""
 
     id: str
 
@@ -89,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BadServerError(ValueError):
-    """An entry of an event that can't be used. `host` is empty where the entry does not say whom it means."""
+    """An entry of an event is invalid. `host` is empty if the entry does not identify one."""
 
     host: str
     field: str
@@ -102,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EventReceived:
-    """An event for the list's actor, and the entries of it that have the wrong types."""
+    """An event for the list's actor, and its entries that could not be decoded."""
 
     event: BusEvent
     errors: tuple[BadServerError, ...] = ()
@@ -110,8 +114,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
-    """What an event comes to: one entry for each host, all of them checked. Hosts of `bad` entries keep
-    their former state."""
+    """The effect of an event on the list: one validated entry for each host.
+
+    Hosts with an invalid entry keep their previous state.
+    """
 
     offset: int
     is_full: bool
@@ -119,26 +125,26 @@
     errors: tuple[BadServerError, ...] = ()
 
     def invalid_hosts(self) -> set[str]:
-        """Hosts that are named by spoilt entries alone."""
+        """Return the hosts that are named only by invalid entries."""
         return {error.host for error in self.errors} - self.servers.keys()
 
 
 @dataclass(frozen=True, slots=True)
 class ListReplaced:
-    """The net result of all events of a bus that numbers anew."""
+    """The net effect of all events of a bus that restarted its numbering."""
 
     update: ListUpdate
 
 
 @dataclass(frozen=True, slots=True)
 class ListConfirmed:
-    """All changes before `at` have come, in milliseconds of this process's clock."""
+    """All changes published before `as_of` have been received; milliseconds of this process's clock."""
 
     as_of: float
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """`host:port`. Raises ValueError, also for a host that no resolver takes."""
+    """Parse `host:port`. Raises ValueError, also for a host name that no resolver accepts."""
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdecimal()) or len(port) > 5 or not 0 < int(port) < 65536:
         raise ValueError(f"not an address: {text[:MAX_SHOWN_LENGTH]!r}")
@@ -152,12 +158,12 @@
 
 
 def worker_number(id: str) -> int:
-    """The module's number for a host: the same at every invoker and every start."""
+    """Return the host's number in the decision module: the same at every invoker and after every start."""
     return int.from_bytes(blake2b(id.encode(), digest_size=6).digest())
 
 
 def check_server(server: Server) -> None:
-    """Raises BadServerError for the first field that can't be used."""
+    """Raise BadServerError for the first invalid field."""
     if not 0 < len(server.id) <= MAX_ID_LENGTH:
         raise BadServerError("", "id", f"1 to {MAX_ID_LENGTH} characters are wanted, not {len(server.id)}")
     if server.state not in STATUS_BY_STATE:
@@ -179,8 +185,11 @@
 
 
 def find_unknown_names(server: Server, settings: i.Settings) -> list[BadServerError]:
-    """Zone and kind where the settings have no such name. The host is used all the same: the bus may list a
-    new zone before SIGHUP brings its name, and a host that drains there has to be heard."""
+    """Return an error for a zone or a kind that the settings do not name.
+
+    The host is used nevertheless: the bus may list a new zone before SIGHUP loads its name, and a host that
+    drains there must be noticed.
+    """
     checks = (("zone", server.zone, settings.zones), ("kind", server.kind, settings.kinds))
     return [
         BadServerError(
@@ -192,7 +201,7 @@
 
 
 def decode_server(raw: msgspec.Raw) -> Server:
-    """One entry of an event. Raises BadServerError."""
+    """Decode one entry of an event. Raises BadServerError."""
     try:
         return SERVER_DECODER.decode(raw)
     except (ValueError, RecursionError) as error:
@@ -205,8 +214,10 @@
 
 
 def decode_line(line: bytes) -> EventReceived | int:
-    """A line of the bus: an event, or the number of the last one, by itself or as the offset of an event that
-    says nothing else. Raises ValueError."""
+    """Decode a line of the bus: an event, or the number of the last one.
+
+    The number comes alone, or as the offset of an event without a topology. Raises ValueError.
+    """
     try:
         event = LINE_DECODER.decode(line)
     except RecursionError as error:
@@ -226,8 +237,11 @@
 
 
 def validate_event(received: EventReceived) -> ListUpdate | None:
-    """An event checked, or None where it tells nothing of the list. The last word on a host counts, and of
-    two hosts at one address the last that is active (`in_order`)."""
+    """Validate an event; return None if it has no topology.
+
+    The last entry for a host counts. Of two hosts at one address the last active one counts
+    (`in_apply_order`).
+    """
     topology = received.event.topology
     if topology is None:
         return None
@@ -240,28 +254,31 @@
             continue
         servers.pop(server.id, None)
         servers[server.id] = server
-    # an entry that does not say whom it means may mean any host, and a list without a readable entry may be
-    # spoilt as a is_full: none is taken for gone
+    # An entry that does not identify a host may concern any host, and a list without a valid entry may be
+    # corrupt as a whole: in both cases no host is taken as removed.
     is_full = topology.full and all(error.host for error in errors) and bool(servers or not errors)
     return ListUpdate(received.event.offset, is_full, servers, tuple(errors))
 
 
 def in_apply_order(servers: Iterable[Server]) -> list[Server]:
-    """The order to take an event's entries in. Their order within the event says nothing of time: where two
-    hosts have one address, the one that is active has it now, and the other was replaced."""
+    """Sort an event's entries into the order in which they are applied.
+
+    Their order within the event does not reflect time. Of two hosts with the same address the active one has
+    it now and has replaced the other.
+    """
     return sorted(servers, key=lambda server: APPLY_ORDER.index(server.state))
 
 
 @dataclass(slots=True)
 class Snapshot:
-    """The net result of events in their order."""
+    """The net effect of a sequence of events."""
 
     servers: dict[str, Server] = field(default_factory=dict)
-    is_full: bool = False  # one of the events was
+    is_full: bool = False  # whether one of the events was a full list
     errors: dict[str, BadServerError] = field(default_factory=dict)
 
     def apply(self, update: ListUpdate) -> None:
-        """The next event."""
+        """Apply the next event."""
         if update.is_full:
             invalid_hosts = update.invalid_hosts()
             self.servers = {id: s for id, s in self.servers.items() if id in invalid_hosts}
@@ -272,7 +289,7 @@
             self.put(server)
 
     def put(self, server: Server) -> None:
-        """The last word on a host; whoever had its address before has gone."""
+        """Record the latest entry of a host, and remove any other host at its address."""
         self.errors.pop(server.id, None)
         self.servers.pop(server.id, None)
         if server.state == "left":
@@ -282,5 +299,5 @@
         self.servers[server.id] = server
 
     def to_update(self, offset: int) -> ListUpdate:
-        """All of it as one event."""
+        """Return the net effect as one event."""
         return ListUpdate(offset, self.is_full, self.servers, tuple(self.errors.values()))
