--- a/harrieryoke/net/__init__.py
+++ b/harrieryoke/net/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's wires: clients in front, model hosts and the event bus behind."""
+"""Network interfaces: clients and their calls, model hosts, and the event bus."""
--- a/harrieryoke/net/bus_follower.py
+++ b/harrieryoke/net/bus_follower.py
@@ -74,9 +74,9 @@
         if lines:
             self.last_line_at = now
         elif now > self.deadline():
-            raise ValueError("no complete line in time")
+            raise ValueError("no whole line in time")
         if len(partial) > MAX_LINE_FACTOR * self.limits.line_bytes:
-            raise ValueError("a line without end")
+            raise ValueError("line too long")
         return lines
 
     def deadline(self) -> float:
@@ -221,7 +221,7 @@
             # requested again and again, the line would block all events after it
             self.skipped_after, self.incomplete = self.last_offset, True
             return self.log(
-                "bad-event", f"after event {self.last_offset}, and again: {error}: {line[:200]!r}"
+                "bad-event", f"after event {self.last_offset}, received twice: {error}: {line[:200]!r}"
             )
         if isinstance(event, int):
             self.handle_heartbeat(event)
@@ -249,7 +249,7 @@
         as_of = self.heartbeats.record(now_ms())
         if offset > self.last_offset:
             if self.skipped_after != self.last_offset:
-                raise ValueError(f"the bus is at {offset}, and its events have not come")
+                raise ValueError(f"the bus is at event {offset}, but its events were not received")
             self.last_offset = offset
         if self.snapshot is not None and offset > 0:
             # also if an event had a higher offset: the number that the bus names counts
@@ -264,7 +264,7 @@
         elif now_ms() - self.behind_since > self.limits.bus_anew_ms:
             self.log(
                 "bus-anew",
-                f"the bus is at {offset}, below event {self.last_offset}: its events are fetched anew",
+                f"the bus is at event {offset}, below event {self.last_offset}: fetching all its events again",
             )
             self.snapshot = Snapshot()
             self.connect(0.0)
--- a/harrieryoke/net/client.py
+++ b/harrieryoke/net/client.py
@@ -35,21 +35,26 @@
 )
 from .outgoing import OutgoingQueue
 
-HANG_UP_POLL_MS = 20.0  # while the mailbox is full, the reader looks this often whether the client has gone
+HANG_UP_POLL_MS = (
+    20.0  # while the mailbox is full, the interval of checks whether the client has closed the connection
+)
 MAX_UNSENT_MESSAGES = 256
-ANSWER_OVERHEAD_BYTES = 256  # of an answer, beside its body
-MAX_LONG_ANSWERS = 4  # that may wait at once for a client that reads slowly
+ANSWER_OVERHEAD_BYTES = 256  # of an answer, in addition to its body
+MAX_LONG_ANSWERS = 4  # that may be queued at once for a client that reads slowly
 
 
 def unpatched_poll() -> Any:
-    """Where the standard library is patched for gevent, its stand-in for poll does not know POLLRDHUP.
-    gevent's patches are not imported for this: they would add 2 MB to a process that does without them."""
+    """Return `select.poll` of the standard library.
+
+    gevent's replacement does not support POLLRDHUP. Its monkey patches are not imported here: they would add
+    2 MB to a process that does without them.
+    """
     patches = sys.modules.get("gevent.monkey")
     return select.poll if patches is None else patches.get_original("select", "poll")
 
 
 def has_hung_up(sock: socket.socket) -> bool:
-    """Whether the peer has closed, half-closed or reset the connection, also behind bytes not yet read."""
+    """Return whether the peer closed, half-closed or reset the connection, even behind unread bytes."""
     poller = unpatched_poll()()
     poller.register(sock.fileno(), select.POLLRDHUP)
     return bool(poller.poll(0))
@@ -69,27 +74,31 @@
 
 @dataclass(frozen=True, slots=True)
 class OutputDrained:
-    """What could not be written at once has been written."""
+    """Everything that could not be written at once has been written."""
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIfIdle:
-    """Nothing more is expected here: the connection closes once no request is open on it and no line is half
-    read. The line that was begun at `stalled`, and no other, has come to a stop and is not waited for."""
+    """Close the connection once no request is open on it and no line is partly read.
+
+    A partial line that was started at `stalled_line_at` has stalled and is not waited for; any other line is.
+    """
 
     stalled_line_at: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class TransferWhenIdle:
-    """The connection goes to another process once no request is open on it: `to` gets the socket, and with it
-    all that nobody has read yet, and the client's name."""
+    """Transfer the connection to another process once no request is open on it.
+
+    `transfer` gets the socket, with all bytes that are still unread, and the client's name.
+    """
 
     transfer: Callable[[socket.socket, str], object]
 
 
 class ClientActor(Actor):
-    """One client connection: reads its lines in order, keeps what is open on it, writes its answers."""
+    """One client connection: reads its lines in order, tracks its open calls, writes its answers."""
 
     def __init__(
         self,
@@ -102,7 +111,7 @@
         on_closed: Callable[[ClientActor], object],
         pauses: PauseWatch,
     ) -> None:
-        # the reserve is kept for answers: they must find room however fast a client writes
+        # the reserve is for answers: they must find space however fast a client sends
         super().__init__(f"client {name}", limits.client_mailbox, log, reserve=limits.client_mailbox * 3 // 4)
         # a client that reads nothing for this long loses its connection
         sock.settimeout(limits.write_ms / 1000)
@@ -112,16 +121,15 @@
         self.open: dict[int, Call] = {}
         self.ids: dict[Call, int] = {}
         self.close_requested = False
-        self.stalled_line_at: float | None = None  # when a line was begun that is not waited for
+        self.stalled_line_at: float | None = None  # when a line was started that is not waited for
         self.transfer_request: TransferWhenIdle | None = None
-        self.partial = b""  # of a line that is not yet whole
-        self.unposted: list[bytes] = []  # whole lines that are not in the mailbox yet, the newest first
-        self.received_at = 0.0  # when they came, at the earliest
-        self.last_active = (
-            now_ms()
-        )  # the last sign of life, or the first byte of a line that is not yet whole
-        self.has_sent_line = False  # a whole line has come
-        # usual answers to all requests that may be open at once, and some long ones among them
+        self.partial = b""  # of a line that is not yet complete
+        self.unposted: list[bytes] = []  # complete lines that are not in the mailbox yet, the newest first
+        self.received_at = 0.0  # when they were received, at the earliest
+        # when the client was last active, or the first byte of a partial line was received
+        self.last_active = now_ms()
+        self.has_sent_line = False  # a complete line was received
+        # answers of ordinary size to all requests that may be open at once, and some long ones
         typical_bytes = limits.open_per_connection * (limits.body_bytes * 4 // 3 + ANSWER_OVERHEAD_BYTES)
         max_bytes = typical_bytes + MAX_LONG_ANSWERS * limits.answer_bytes * 4 // 3
         self.outgoing = OutgoingQueue(
@@ -134,7 +142,7 @@
             self.write_failed,
         )
 
-    # --- the core's side ---
+    # --- callbacks of the core ---
 
     def served(self, call: Call, body: bytes) -> None:
         self.try_send(AnswerReady(call, {"result": {"blob": body}}))
@@ -148,10 +156,11 @@
     def failed(self, call: Call, reason: str) -> None:
         self.try_send(AnswerReady(call, {"error": {"code": FAILED, "message": f"failed: {reason}"}}))
 
-    # --- the connection ---
+    # --- connection ---
 
     def idle_ms(self, now: float) -> float | None:
-        """For how long nothing has come that is whole; None while something is open. The front reads this."""
+        """Return the time since the last complete line or answer; None while something is open. Called by the
+        front."""
         return (
             None
             if self.open or self.mailbox or self.unposted or self.outgoing.unsent
@@ -159,19 +168,21 @@
         )
 
     def is_stale(self, now: float, resumed: float) -> bool:
-        """Whether the client never asks, has stopped within a line, or never closes: its descriptor is wanted
-        for others. A pause of this process, the last of which ended at `resumed`, was no silence of the
-        client."""
+        """Return whether the connection's descriptor is wanted for others: the client is idle or has stalled.
+
+        A pause of this process, the last of which ended at `resumed`, does not count as idle time.
+        """
         between_requests = self.has_sent_line and not self.partial
         idle_ms = min(self.idle_ms(now) or 0.0, now - resumed)
         return idle_ms > (self.limits.client_idle_ms if between_requests else self.limits.client_ask_ms)
 
     def close_if_idle(self) -> bool:
-        """Has the connection closed, unless the client goes on before its actor comes to it."""
+        """Request that the connection closes, unless the client sends more before the actor handles the
+        message."""
         return self.try_send(CloseIfIdle(self.last_active if self.partial else None))
 
     def has_unread_bytes(self) -> bool:
-        """Whether something has come that the reader has not taken yet."""
+        """Return whether bytes have been received that the reader has not read yet."""
         self.sock.settimeout(0)
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK))
@@ -188,7 +199,7 @@
         self.reader = spawn(self.log, f"{self.name} reader", self.read_stream)
 
     def read_stream(self) -> None:
-        """The reader's greenlet: cuts the stream into lines."""
+        """Run the reader's greenlet: split the stream into lines."""
         try:
             while self.post_lines():
                 try:
@@ -200,11 +211,11 @@
                 if not data or not self.split_lines(self.partial + data):
                     break
         except OSError:
-            pass  # a reset: as the end of the stream
+            pass  # a reset counts as the end of the stream
         self.end_connection()
 
     def split_lines(self, data: bytes) -> bool:
-        """Keeps the whole complete to be posted and the part behind them; False where a line is too long."""
+        """Store the complete lines and the partial one after them; return False if a line is too long."""
         *complete, partial = data.split(b"\n")
         if max(map(len, [*complete, partial])) > self.limits.line_bytes:
             self.log("bad-client", f"{self.name}: a line of more than {self.limits.line_bytes} bytes")
@@ -221,9 +232,11 @@
         return True
 
     def post_lines(self) -> bool:
-        """Posts the whole lines; False where the connection has ended. Backpressure on the client: waits
-        while the mailbox is full up to its reserve, unless the client goes. The end of the stream lies
-        behind what was not read, so `recv` would show it too late."""
+        """Post the complete lines; return False once the connection has ended.
+
+        Applies backpressure: waits while the mailbox is full up to its reserve, unless the client closes the
+        connection. `recv` would report that too late, as the end of the stream lies behind unread bytes.
+        """
         while self.unposted and not self.finished:
             if len(self.mailbox) < self.capacity - self.reserve:
                 self.try_send(LineReceived(self.unposted.pop(), self.received_at))
@@ -235,8 +248,11 @@
         return not self.finished
 
     def end_connection(self) -> None:
-        """The connection is over, at once and ahead of what is in the mailbox: lines not yet handled are
-        dropped, nothing is written, and no attempt may begin for what is open."""
+        """End the connection at once, ahead of the messages in the mailbox.
+
+        Lines that are not yet handled are dropped, nothing more is written, and no attempt may start for an
+        open call.
+        """
         self.finished = True
         self.outgoing.close()
         for call in self.ids:
@@ -245,7 +261,7 @@
         self.space_available.set()
 
     def write_failed(self, reason: str) -> None:
-        """Nothing more can be written to the client."""
+        """Handle a failure of the outgoing queue."""
         self.log("client-lost", f"{self.name}: {reason}")
         self.end_connection()
 
@@ -261,12 +277,12 @@
             case TransferWhenIdle():
                 self.transfer_request = message
             case OutputDrained():
-                pass  # whoever waits for this goes on below
+                pass  # only wakes the actor for the check below
         if not (self.finished or self.open or self.mailbox or self.unposted or self.outgoing.unsent):
             self.close_or_transfer()
 
     def close_or_transfer(self) -> None:
-        """Nothing is open, unsent or on its way through the mailbox."""
+        """Close or transfer the connection if requested; nothing is open, unsent or in the mailbox."""
         if self.partial and self.stalled_line_at != self.last_active:
             return
         if self.transfer_request is not None and not self.partial:
@@ -275,8 +291,10 @@
             self.finished = True
 
     def transfer(self, request: TransferWhenIdle) -> None:
-        """The socket is another's from here: nothing is read or written on it. What the reader took off it
-        as it was ended keeps the connection here for now."""
+        """Give the socket away; nothing is read from it or written to it here any more.
+
+        If the reader had taken bytes off the socket before it was stopped, the connection stays here for now.
+        """
         self.reader.kill()
         if self.finished:
             return
@@ -296,7 +314,7 @@
             if method == "giveUp":
                 return self.handle_give_up(message)
             if message.id is None or message.id in self.open:
-                # a second answer could come under an id that is still open
+                # a second answer could be sent under an id that is still open
                 raise BadRequestError(INVALID, "id: a new number is wanted")
             id = message.id
             if method == "probe":
@@ -337,7 +355,7 @@
             raise BadRequestError(BAD_PARAMS, str(error)) from None
 
     def handle_give_up(self, message: Message) -> None:
-        """Named by its id or its rid; after this nothing is written for it."""
+        """Withdraw a call, named by its id or its rid; nothing is written for it afterwards."""
         try:
             params: GiveUpParams = msgspec.json.decode(bytes(message.params), type=GiveUpParams)
         except msgspec.MsgspecError as error:
@@ -360,7 +378,7 @@
         self.outgoing.put(msgspec.json.encode({"jsonrpc": "2.0"} | reply) + b"\n")
 
     def finish(self) -> None:
-        """The connection is over: what was open on it is withdrawn."""
+        """Withdraw all open calls."""
         super().finish()
         self.end_connection()
         self.sock.close()
--- a/harrieryoke/net/frames.py
+++ b/harrieryoke/net/frames.py
@@ -40,7 +40,7 @@
     for pair in encoded.decode("utf-8").split(",") if encoded else []:
         name, equals, value = pair.partition("=")
         if not equals:
-            raise FrameError(f"a field without a value: {pair[:40]!r}")
+            raise FrameError(f"field without a value: {pair[:40]!r}")
         fields[name] = value
     return fields
 
@@ -58,7 +58,7 @@
             if magic != self.magic:
                 raise FrameError(f"unexpected magic number {magic}")
             if body_size > self.max_body_bytes:
-                raise FrameError(f"a body of {body_size} bytes")
+                raise FrameError(f"body of {body_size} bytes is too long")
             size = HEADER.size + fields_size + body_size
             if len(self.buffer) < size + CHECKSUM.size:
                 return
--- a/harrieryoke/net/host.py
+++ b/harrieryoke/net/host.py
@@ -482,8 +482,8 @@
         for link in list(self.links):
             if link.partial_since is not None and now - link.partial_since > self.limits.frame_ms:
                 # an answer was truncated: whatever follows would be taken as the rest of its frame
-                self.log("bad-frame", f"{self.name}: the rest of a frame has not come")
-                self.close_link(link, "a frame stopped short")
+                self.log("bad-frame", f"{self.name}: timed out waiting for the rest of a frame")
+                self.close_link(link, "incomplete frame")
         for link in [k for k in self.links if self.is_silent(k) and (not k.open or self.is_silent(k, 3))]:
             self.close_link(link, "silent")
         idle_before = now - 0.8 * self.limits.link_idle_ms
--- a/harrieryoke/net/hostlist.py
+++ b/harrieryoke/net/hostlist.py
@@ -187,7 +187,9 @@
     def log_errors(self, update: ListUpdate) -> None:
         """Log the invalid entries and the unknown names of an event in one line each."""
         if update.errors:
-            self.log_bad_event(update.offset, list(update.errors), "former state kept; correct it at the bus")
+            self.log_bad_event(
+                update.offset, list(update.errors), "previous state kept; correct it at the bus"
+            )
         unknown = [e for s in update.servers.values() for e in find_unknown_names(s, self.settings)]
         if unknown:
             self.log_bad_event(
--- a/harrieryoke/net/hostlist_model.py
+++ b/harrieryoke/net/hostlist_model.py
@@ -149,11 +149,11 @@
     if not host or not (port.isascii() and port.isdecimal()) or len(port) > 5 or not 0 < int(port) < 65536:
         raise ValueError(f"not an address: {text[:MAX_SHOWN_LENGTH]!r}")
     if len(host) > MAX_HOST_NAME_LENGTH or not host.isprintable() or " " in host:
-        raise ValueError(f"not a host's name: {host[:MAX_SHOWN_LENGTH]!r}")
+        raise ValueError(f"invalid host name: {host[:MAX_SHOWN_LENGTH]!r}")
     try:
         host.encode("idna")
     except UnicodeError as error:
-        raise ValueError(f"not a host's name: {host[:MAX_SHOWN_LENGTH]!r}: {error}") from None
+        raise ValueError(f"invalid host name: {host[:MAX_SHOWN_LENGTH]!r}: {error}") from None
     return host, int(port)
 
 
@@ -165,19 +165,21 @@
 def check_server(server: Server) -> None:
     """Raise BadServerError for the first invalid field."""
     if not 0 < len(server.id) <= MAX_ID_LENGTH:
-        raise BadServerError("", "id", f"1 to {MAX_ID_LENGTH} characters are wanted, not {len(server.id)}")
+        raise BadServerError("", "id", f"must have 1 to {MAX_ID_LENGTH} characters, not {len(server.id)}")
     if server.state not in STATUS_BY_STATE:
         raise BadServerError(
-            server.id, "state", f"{server.state[:MAX_SHOWN_LENGTH]!r} is none of {', '.join(STATUS_BY_STATE)}"
+            server.id,
+            "state",
+            f"{server.state[:MAX_SHOWN_LENGTH]!r} is not one of {', '.join(STATUS_BY_STATE)}",
         )
     try:
         parse_address(server.addr)
     except ValueError as error:
         raise BadServerError(server.id, "addr", str(error)) from None
     if not 0 <= server.cell <= MAX_SAFE_INTEGER:
-        raise BadServerError(server.id, "cell", f"not from 0 to {MAX_SAFE_INTEGER}")
+        raise BadServerError(server.id, "cell", f"must be from 0 to {MAX_SAFE_INTEGER}")
     if not (math.isfinite(server.weight) and server.weight >= 0):
-        raise BadServerError(server.id, "weight", f"{server.weight} is not a finite number from 0 on")
+        raise BadServerError(server.id, "weight", f"{server.weight} is not a finite number of at least 0")
     if not 0 <= server.started_ms <= MAX_SAFE_INTEGER:
         raise BadServerError(
             server.id, "started_ms", f"{server.started_ms} is not from 0 to {MAX_SAFE_INTEGER}"
@@ -193,7 +195,7 @@
     checks = (("zone", server.zone, settings.zones), ("kind", server.kind, settings.kinds))
     return [
         BadServerError(
-            server.id, field, f"{name[:MAX_SHOWN_LENGTH]!r} is not in the settings; the first one is assumed"
+            server.id, field, f"{name[:MAX_SHOWN_LENGTH]!r} is not in the settings; using the first one"
         )
         for field, name, names in checks
         if name and name not in names
--- a/harrieryoke/net/jsonrpc.py
+++ b/harrieryoke/net/jsonrpc.py
@@ -1,4 +1,4 @@
-"""JSON-RPC 2.0 as clients speak it: messages, their parameters and the codes of errors."""
+"""JSON-RPC 2.0 as clients use it: messages, their parameters and error codes."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class BadRequestError(ValueError):
-    """What a client sent is no request; `code` is JSON-RPC's."""
+    """An invalid request of a client; `code` is JSON-RPC's."""
 
     def __init__(self, code: int, text: str) -> None:
         super().__init__(text)
@@ -39,7 +39,7 @@
 
 
 def parse_props(text: str) -> dict[str, float]:
-    """`name:number;name:number`; names it does not know are left alone by its caller."""
+    """Parse `name:number;name:number`; the caller ignores unknown names."""
     props = {}
     for pair in text.split(";") if text else []:
         name, _, value = pair.partition(":")
@@ -48,7 +48,7 @@
 
 
 def decode_message(data: bytes) -> Message:
-    """One line as a message. Raises BadRequestError."""
+    """Decode one line. Raises BadRequestError."""
     try:
         message: Message = msgspec.json.decode(data, type=Message)
     except msgspec.ValidationError as error:
--- a/harrieryoke/net/listening.py
+++ b/harrieryoke/net/listening.py
@@ -1,4 +1,4 @@
-"""Listening sockets, waited for where the machine has none at the moment."""
+"""Creation of listening sockets, with retries while the machine lacks resources."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 
 def bind_listener(address: tuple[str, int], backlog: int, shared: bool = False) -> socket.socket:
-    """Return a listening socket, which other processes may be `shared` with. Raises OSError."""
-    # create_server would make a socket that blocks the whole process
+    """Return a listening socket, which other processes may bind too if `shared`. Raises OSError."""
+    # create_server would create a socket that blocks the whole process
     listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -28,6 +28,8 @@
 def wait_for_listener(
     address: tuple[str, int], backlog: int, limits: Limits, log: Log, shared: bool = False
 ) -> socket.socket:
-    """As `bind_listener`, again and again while the machine refuses what it has at other times. Raises
-    OSError for any other error, and once `limits.start_ms` have gone by."""
+    """Call `bind_listener`, with retries while the machine temporarily lacks resources.
+
+    Raises OSError for any other error, and once `limits.start_ms` have passed.
+    """
     return retry_local("listen", lambda: bind_listener(address, backlog, shared=shared), limits.start_ms, log)
--- a/harrieryoke/net/outgoing.py
+++ b/harrieryoke/net/outgoing.py
@@ -1,4 +1,4 @@
-"""What is still to be written to one client: messages in order, without a wait for whoever gives them."""
+"""The queue of messages to one client: they are written in order, and the sender never waits."""
 
 from __future__ import annotations
 
@@ -12,15 +12,19 @@
 
 
 def ignore_callback(*_: object) -> None:
-    """The callback of what is closed."""
+    """Stands in for the callbacks of a closed queue."""
 
 
 class OutgoingQueue:
-    """The unsent messages of one socket. `put` never waits: what the socket does not take at once is written
-    by a greenlet that exists only while something is unsent.
+    """The unsent messages of one socket.
 
-    `sent` is called when that greenlet has written all, `lost` with the reason when nothing more can be
-    written: the socket failed, took nothing for its time-out, or more is unsent than the bounds allow."""
+    `put` never waits: what the socket does not accept at once is written by a greenlet that exists only while
+    something is unsent.
+
+    `on_drained` is called when that greenlet has written everything, `on_failed` with the reason when nothing
+    more can be written: the socket failed, accepted nothing until its time-out, or more is unsent than the
+    limits allow.
+    """
 
     __slots__ = (
         "closed",
@@ -55,7 +59,7 @@
         self.closed = False
 
     def put(self, data: bytes) -> None:
-        """Writes the message behind those given before."""
+        """Write the message after those put before."""
         if self.closed:
             return
         if len(self.unsent) >= self.max_messages or self.unsent_bytes + len(data) > self.max_bytes:
@@ -66,7 +70,7 @@
             self.send_without_waiting()
 
     def send_without_waiting(self) -> None:
-        """As much as the socket takes without a wait; a greenlet writes what remains."""
+        """Write as much as the socket accepts at once; a greenlet writes the rest."""
         try:
             self.send_first(timeout=0.0)
         except BlockingIOError:
@@ -88,7 +92,7 @@
             self.unsent.pop(0)
 
     def run_writer(self) -> None:
-        """The writer's greenlet: each send waits for the socket's time-out at most."""
+        """Run the writer's greenlet: each send waits for the socket's time-out at most."""
         try:
             while self.unsent:
                 self.send_first()
@@ -105,8 +109,11 @@
             on_failed(reason)
 
     def close(self) -> None:
-        """Nothing is written from here on. The callbacks are let go of: they lead back here, and a cycle
-        keeps the memory of a connection that has ended until the next full collection."""
+        """Discard what is unsent and write nothing more.
+
+        The callbacks are dropped: they refer back to this queue, and a reference cycle would keep the memory
+        of an ended connection until the next full garbage collection.
+        """
         self.closed = True
         self.unsent.clear()
         self.unsent_bytes = 0
--- a/harrieryoke/net/platform.py
+++ b/harrieryoke/net/platform.py
@@ -1,4 +1,4 @@
-"""The platform's front: listens for clients and keeps their connections, an actor for each."""
+"""The JSON-RPC front: accepts client connections and runs an actor for each."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from .client import ClientActor, CloseIfIdle, TransferWhenIdle
 from .listening import wait_for_listener
 
-BACKLOG = 512  # connections that the machine accepts ahead of the listener
+BACKLOG = 512  # connections that the kernel accepts ahead of the acceptor
 
 
 @dataclass(slots=True)
 class ConnectionAccepted:
-    """A connection; `asked` where another process has served it before."""
+    """An accepted connection; `served_before` if it was transferred from another process."""
 
     sock: socket.socket
     name: str
@@ -39,32 +39,32 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptorEnded:
-    """The listener's greenlet for this descriptor accepts no more."""
+    """The acceptor's greenlet for this descriptor has ended."""
 
     acceptor: socket.socket
 
 
 class StopListening:
-    """No new connections from here; those there are go once nothing is open on them."""
+    """Accept no new connections; close the others once nothing is open on them."""
 
 
 @dataclass(slots=True)
 class TransferClients:
-    """Another process accepts now; clients that are here go there through `to`, as they become idle."""
+    """Another process accepts now; transfer the clients to it through `transfer` as they become idle."""
 
     transfer: Callable[[socket.socket, str], object]
 
 
 class CloseIdleClient:
-    """Newcomers wait for a client to leave."""
+    """New connections wait for a client to leave."""
 
 
 class ResumeAccepting:
-    """The other process has ended: clients are accepted here again."""
+    """The other process has ended; accept clients here again."""
 
 
 def prepare_connection(sock: socket.socket, peer: tuple[str, int], log: Log) -> ConnectionAccepted | None:
-    """A connection ready for its actor; None where it was reset before it was looked at."""
+    """Return a connection ready for its actor, or None if it was reset already."""
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     except OSError as error:
@@ -75,28 +75,31 @@
 
 
 class PlatformFront(Actor):
-    """Listens on the one address it was told, keeps the client connections, and stops in order."""
+    """Listens on the configured address, owns the client connections, and shuts down in order."""
 
     def __init__(
         self, address: tuple[str, int], maker: CallMaker, core: ModuleActor, limits: Limits, log: Log
     ) -> None:
         super().__init__("platform front", limits.client_mailbox, log)
         self.address, self.maker, self.core, self.limits = address, maker, core, limits
-        self.clients: dict[ClientActor, bool] = {}  # whether it was told to leave
+        self.clients: dict[ClientActor, bool] = {}  # value: whether it was asked to leave
+        # of the descriptors; client connections ordinarily use a third
         self.soft_limit, self.hard_limit = (
             limits.sockets // 2,
             limits.sockets * 2 // 3,
-        )  # usual clients hold a third
+        )
         self.stopping, self.all_closed = False, Event()
-        self.client_closed = Event()  # a client has gone
-        self.running_acceptors = 0  # greenlets that accept, or have accepted and still hold a connection
+        self.client_closed = Event()  # set when a client connection has closed
+        self.running_acceptors = 0  # greenlets that accept, or hold a connection they have accepted
         self.transfer_request: TransferWhenIdle | None = None
         self.listening: socket.socket | None = None
         self.pauses = PauseWatch(now_ms(), limits.sweep_ms, log)
 
     def start(self, listening: socket.socket | None = None, shared: bool = False) -> None:
-        """Accepts on the listening socket that another process handed over, or on one of its own, which
-        others may be `shared` with where that handing over can fail. Raises OSError."""
+        """Accept on the given listening socket, or on a new one. Raises OSError.
+
+        A new one is `shared` with other processes if the handover of the socket can fail.
+        """
         if listening is None:
             listening = wait_for_listener(self.address, BACKLOG, self.limits, self.log, shared)
         self.listening = listening
@@ -105,9 +108,11 @@
         self.start_accepting()
 
     def start_accepting(self) -> None:
-        """A descriptor of its own to accept on: while others accept, the listening socket is kept. Raises
-        OSError."""
-        assert self.listening is not None, "open comes after start"
+        """Start an acceptor with a descriptor of its own. Raises OSError.
+
+        The listening socket itself is kept while another process accepts.
+        """
+        assert self.listening is not None, "start_accepting is called after start"
         self.acceptor = acceptor = retry_local("listen", self.listening.dup, self.limits.start_ms, self.log)
         self.running_acceptors += 1
         spawn(
@@ -118,7 +123,7 @@
         )
 
     def run_acceptor(self, acceptor: socket.socket) -> None:
-        """The listener's greenlet, until its descriptor is closed."""
+        """Run the acceptor's greenlet until its descriptor is closed."""
         pauses = Pauses()
         while not self.finished:
             self.wait_for_room(acceptor)
@@ -127,7 +132,7 @@
             except OSError as error:
                 if acceptor.fileno() < 0:
                     return
-                # where descriptors have run out, the listener waits and goes on
+                # if descriptors have run out, wait and retry
                 self.log("accept-failed", str(error))
                 pauses.wait()
                 continue
@@ -136,22 +141,25 @@
                 self.blocking_send(accepted)
 
     def wait_for_room(self, acceptor: socket.socket) -> None:
-        """Newcomers wait in the backlog while clients hold all that they may and some of them are about to
-        leave. Where all are busy nobody waits: a newcomer is turned away at once, as it may try elsewhere."""
+        """Leave new connections in the backlog while clients hold all permitted ones and an idle one can be
+        closed.
+
+        If all are busy, a new connection is rejected at once, as it may try elsewhere.
+        """
         while acceptor.fileno() >= 0 and self.is_full() and self.has_idle_client():
             self.client_closed.clear()
             self.try_send(CloseIdleClient())
             self.client_closed.wait(self.limits.client_fresh_ms / 1000)
 
     def is_full(self) -> bool:
-        """With those on their way through the mailbox."""
+        """Return whether clients hold all permitted connections, including those in the mailbox."""
         return (
             len(self.clients) + sum(isinstance(m, ConnectionAccepted) for m in self.mailbox)
             >= self.hard_limit
         )
 
     def has_idle_client(self) -> bool:
-        """Whether some client has nothing open and is not within a line."""
+        """Return whether some client has no open call and no partial line."""
         now = now_ms()
         return any(c.idle_ms(now) is not None and not c.partial for c in self.clients)
 
@@ -164,21 +172,21 @@
             self.pauses.wake(now)
             if now - swept >= self.limits.sweep_ms:
                 swept = now
-                # after a pause of this process, all idle clients look stale at once, and would be closed with
-                # a request of theirs on its way
+                # after a pause of this process all idle clients look stale at once, and would be closed with
+                # requests in transit
                 for client in [c for c in self.clients if c.is_stale(now, self.pauses.resumed)]:
-                    self.log("client-closed", f"{client.client}: it was silent for too long")
+                    self.log("client-closed", f"{client.client}: idle for too long")
                     self.clients[client] = client.close_if_idle()
                 self.transfer_clients()
 
     def transfer_clients(self) -> None:
-        """To the process that has taken over, if one has: whoever is here and was not told so yet."""
+        """Transfer the clients to the process that took over, if any; each is asked once."""
         if self.transfer_request is not None:
             for client in [client for client, told in self.clients.items() if not told]:
                 self.clients[client] = client.try_send(self.transfer_request)
 
     def close_when_idle(self, client: ClientActor, reason: str) -> None:
-        """Have the connection closed once nothing is open on it."""
+        """Close the connection once nothing is open on it."""
         self.log("client-closed", f"{client.client}: {reason}")
         self.clients[client] = client.try_send(CloseIfIdle())
 
@@ -200,7 +208,7 @@
                 self.start_accepting()
             case AcceptorEnded(acceptor):
                 self.running_acceptors -= 1
-                # a front that accepts nobody, and was not told so, ends: the service sees that
+                # a front that no longer accepts, without having been asked to stop, ends; the service notices
                 self.finished = acceptor.fileno() >= 0
             case StopListening():
                 self.stop_listening()
@@ -219,8 +227,8 @@
             self.close_when_idle(client, "the process stops")
 
     def accept_backlog(self) -> None:
-        """Connections that the machine has accepted and nobody has taken: the close would reset them. Where
-        none can be taken at the moment they are waited for."""
+        """Accept the connections in the kernel's backlog, which a close would reset; retry while none can be
+        accepted."""
         if self.listening is None:
             return
         self.listening.settimeout(0)
@@ -263,11 +271,13 @@
             self.close_when_idle(client, "the process stops")
 
     def close_idle_client(self) -> None:
-        """The client that has been idle longest told, unless it is within a line: a newcomer most likely
-        is there to ask. So the usual clients find room beside others that ask once, or never, and keep their
-        connections."""
+        """Close the client that has been idle longest, unless it has a partial line.
+
+        A new connection most likely brings a request. So ordinary clients find space beside others that send
+        once, or never, and keep their connections.
+        """
         now = now_ms()
         staying = [c for c, told in self.clients.items() if not told and not c.partial]
         idle = {c: q for c in staying if (q := c.idle_ms(now)) is not None}
         if idle and max(idle.values()) > self.limits.client_fresh_ms:
-            self.close_when_idle(max(idle, key=idle.__getitem__), "a newcomer needs room")
+            self.close_when_idle(max(idle, key=idle.__getitem__), "a new connection needs its place")
--- a/harrieryoke/upgrade/bans.py
+++ b/harrieryoke/upgrade/bans.py
@@ -10,7 +10,7 @@
 
 
 class BansError(ValueError):
-    """The file of bans is damaged; the text says how."""
+    """The file of bans is damaged; the message says how."""
 
 
 class BanFile:
--- a/harrieryoke/upgrade/link.py
+++ b/harrieryoke/upgrade/link.py
@@ -1,11 +1,11 @@
-"""Zero-downtime upgrade: the link between the process that serves and its successor.
+"""Zero-downtime upgrade: the link between the serving process and its successor.
 
 The link is a Unix socket in `$TMPDIR`. A new process sends `hello` and receives one line with the ids of
-banned hosts and the size of the state that follows; the listening socket comes with that line (SCM_RIGHTS),
-behind it what `state_transfer.py` packs. Once it accepts clients, the new process sends `serving`, and the
-old one stops accepting; each client connection follows as soon as no request is open on it. While the link
-stands each process tells the other of bans. If the link ends before the old process was told to stop, the old
-one accepts again.
+banned hosts and the size of the state that follows. The listening socket comes with that line (SCM_RIGHTS),
+and the state packed by `state_transfer.py` after it. Once the new process accepts clients, it sends
+`serving`, and the old one stops accepting; each client connection is transferred as soon as no request is
+open on it. While the link is up, each process sends changes of bans to the other. If the link ends before the
+old process was told to stop, the old process accepts again.
 """
 
 from __future__ import annotations
@@ -48,7 +48,8 @@
 
 @contextmanager
 def short_socket_path(path: Path) -> Iterator[str]:
-    """Give a short name for `path`, through its folder's descriptor: a Unix address holds only 107 bytes."""
+    """Yield a short name for `path` through its directory's descriptor: a Unix address is at most 107 bytes
+    long."""
     folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{folder}/{path.name}"
@@ -66,11 +67,13 @@
 
 
 def request_handover(path: Path, limits: Limits, log: Log) -> Predecessor | None:
-    """Ask the process that listens at `path` for a handover, for `handover_ms` at most; None if there is no
-    process, or it does not complete the handover."""
+    """Request a handover from the process that listens at `path`, for `handover_ms` at most.
+
+    Returns None if there is no process, or it does not complete the handover.
+    """
     sock, fds = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM), list[int]()
     try:
-        with gevent.Timeout(limits.handover_ms / 1000, TimeoutError("it did not answer in time")):
+        with gevent.Timeout(limits.handover_ms / 1000, TimeoutError("no answer in time")):
             with short_socket_path(path) as name:
                 sock.connect(name)
             sock.sendall(msgspec.json.encode(Hello()) + b"\n")
@@ -78,10 +81,10 @@
         listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM, fileno=fds.pop())
         return Predecessor(sock, listening, header.bans, state)
     except (FileNotFoundError, ConnectionRefusedError):
-        sock.close()  # nobody serves here: an ordinary start
+        sock.close()  # no process serves: an ordinary start
     except (OSError, ValueError, msgspec.MsgspecError) as error:
         sock.close()
-        log("takeover-failed", f"the process before hands nothing over: {error}")
+        log("takeover-failed", f"no handover from the predecessor: {error}")
     for fd in fds:
         os.close(fd)
     return None
@@ -95,16 +98,16 @@
         more, received, _, _ = recv_fds(sock, 65536, 1)
         fds += received
         if not more or len(data) > limits.handover_bytes:
-            raise ValueError("it ended before it had handed over")
+            raise ValueError("the predecessor ended before the handover was complete")
         data += more
     line, _, state = data.partition(b"\n")
     header: HandoverHeader = msgspec.json.decode(line, type=HandoverHeader)
     if not fds or header.size > limits.handover_bytes:
-        raise ValueError("it handed over no socket, or too much")
+        raise ValueError("handover without a socket, or too large")
     while len(state) < header.size:
         more = sock.recv(65536)
         if not more:
-            raise ValueError("it ended before it had handed over")
+            raise ValueError("the predecessor ended before the handover was complete")
         state += more
     return header, state
 
@@ -151,7 +154,7 @@
         try:
             self.ban_file.write(self.hosts.bans())
         except OSError as error:
-            # on a full disk the ban still holds, and a successor receives it over the link
+            # on a full disk the ban still applies, and a successor receives it over the link
             self.log("bans-not-kept", f"{self.ban_file.path}: {error}")
         self.try_send(LocalBanChange(id, on))
 
@@ -164,7 +167,7 @@
         try:
             state = unpack(self.predecessor.state, now_ms(), wall_ms()) if self.predecessor.state else None
         except StateTransferError as error:
-            self.log("takeover-forgot", f"starting without what was learned: {error}")
+            self.log("takeover-forgot", f"starting without learned state: {error}")
             return
         if state is not None:
             self.core.blocking_send(RouterCommand(lambda router: restore(router, state)))
@@ -190,10 +193,10 @@
             listening.listen(4)
             os.replace(aside, self.path)
         except OSError as error:
-            # this process serves all the same; its successor will bind the address for itself
+            # this process serves nevertheless; its successor will bind the address itself
             if listening is not None:
                 listening.close()
-            self.log("no-upgrade", f"a process that comes after will not find this one: {error}")
+            self.log("no-upgrade", f"a successor will not find this process: {error}")
         else:
             if self.listening is not None:
                 self.listening.close()
@@ -210,7 +213,7 @@
             if len(self.reading) < self.limits.upgrade_links:
                 self.start_reader(Link(sock))
             else:
-                # descriptors are bounded: a process that is turned away binds the address for itself
+                # descriptors are bounded: a rejected process binds the address itself
                 sock.close()
 
     def start_reader(self, link: Link) -> None:
@@ -237,7 +240,7 @@
                 for line in lines:
                     self.deliver(link, line)
             except msgspec.MsgspecError as error:
-                self.log("upgrade-link", f"what came can't be read: {error}")
+                self.log("upgrade-link", f"invalid message: {error}")
                 return
 
     def deliver(self, link: Link, line: bytes) -> None:
@@ -259,7 +262,7 @@
             case PeerMessageReceived(link, Hello()):
                 self.hand_over(link)
             case PeerMessageReceived(link, Serving()) if not self.stopping and link in self.links:
-                self.log("taken-over", "another process serves; what was taken here is answered here")
+                self.log("taken-over", "another process serves; calls accepted here are answered here")
                 self.successor = link
                 self.front.blocking_send(
                     TransferClients(lambda sock, name: self.blocking_send(ClientReleased(sock, name)))
@@ -283,15 +286,15 @@
         from ..state_transfer import pack
 
         listening = self.front.listening
-        assert listening is not None, "nobody takes over before the front listens"
+        assert listening is not None, "handover comes after the front listens"
         packed: AsyncResult = AsyncResult()
         state = b""
-        # a router too busy to answer must not hold up the handover: the new process then starts without state
+        # a busy router must not delay the handover: the new process then starts without state
         if self.core.try_send(RouterCommand(lambda router: packed.set(pack(router, now_ms())))):
             try:
                 state = packed.get(timeout=self.limits.carry_ms / 1000)
             except gevent.Timeout:
-                self.log("takeover-forgot", "the module was too busy to tell what it learned")
+                self.log("takeover-forgot", "the module was too busy to provide its learned state")
         self.links.append(link)
         try:
             header = msgspec.json.encode(HandoverHeader(len(state), self.hosts.bans())) + b"\n"
@@ -325,16 +328,16 @@
         if link in self.links:
             self.links.remove(link)
         if link is self.successor and not self.stopping:
-            # the successor ended right after it had taken over, and somebody must serve
+            # the successor ended soon after it took over, and a process must serve
             self.log("taken-back", "the process that had taken over has ended; this one serves again")
             self.successor = None
-            # the path may hold its stale socket: the next process would find nobody, and bind anew
+            # the path may hold the successor's stale socket: the next process would not find this one
             self.listen()
             self.front.blocking_send(ResumeAccepting())
             self.core.blocking_send(ActiveChanged(True))
 
     def stop(self) -> None:
-        """SIGTERM came: from here on this process does not serve again."""
+        """Handle SIGTERM: this process does not serve again."""
         self.stopping = True
 
     def finish(self) -> None:
--- a/harrieryoke/wire/__init__.py
+++ b/harrieryoke/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What the parts' own protocols share. No I/O."""
+"""Framing shared by the internal protocols. No I/O."""
--- a/harrieryoke/wire/frames.py
+++ b/harrieryoke/wire/frames.py
@@ -1,4 +1,4 @@
-"""Protobuf messages with their length before them, as a varint: the frames of the ledger and the council."""
+"""Frames of the ledger and the council: Protobuf messages preceded by their length as a varint."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class WireError(ValueError):
-    """Bytes of the other side that are no frame, or a frame with what it may not say."""
+    """The peer sent bytes that are not a frame, or a frame that is not allowed."""
 
 
 def encode(frame: Message) -> bytes:
@@ -25,9 +25,12 @@
 
 
 class Decoder(Generic[F]):
-    """Gets bytes as they come and gives whole frames: `kind` is their class, which has one oneof, `said`. A
-    frame of more than `most` bytes is refused by its length, before memory is taken for it. Raises
-    WireError; after that nothing more can be read."""
+    """Decodes frames from a byte stream.
+
+    `frame_type` is the message class of the frames; it has one oneof, `said`. A frame of more than
+    `max_bytes` bytes is rejected by its length, before memory is allocated for it. Raises WireError; after
+    that nothing more can be decoded.
+    """
 
     def __init__(self, frame_type: type[F], max_bytes: int) -> None:
         self.frame_type, self.max_bytes, self.buffer = frame_type, max_bytes, bytearray()
@@ -47,7 +50,7 @@
             yield frame
 
     def read_header(self) -> tuple[int, int] | None:
-        """Bytes of the head, and the length that it tells."""
+        """Return the size of the header and the length it encodes."""
         size = 0
         for index, byte in enumerate(self.buffer[:5]):
             size |= (byte & 127) << 7 * index
