--- a/harrieryoke/net/bus_follower.py
+++ b/harrieryoke/net/bus_follower.py
@@ -25,7 +25,7 @@
 )
 
 RECV_BYTES = 65536
-MAX_LINE_FACTOR = 64  # factor on `Limits.line_bytes`
+MAX_LINE_FACTOR = 64  # times `Limits.line_bytes`
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,8 +64,10 @@
         self.line_started_at = now  # when the first byte of the current line was received
 
     def feed(self, data: bytes, now: float) -> list[bytes]:
-        """Return the lines that are now complete, without blank ones. Raises ValueError for an overlong or
-        late line."""
+        """Return the lines that are now complete, without blank ones.
+
+        Raises ValueError for an overlong or late line.
+        """
         *complete, partial = (self.partial + data).split(b"\n")
         if complete or not self.partial:
             self.line_started_at = now
@@ -213,10 +215,8 @@
             event = decode_line(line)
         except ValueError as error:
             if self.unreadable_after != self.last_offset:
-                self.unreadable_after = (
-                    # it may have been corrupted in transit: the line is requested once more
-                    self.last_offset
-                )
+                # it may have been corrupted in transit: the line is requested once more
+                self.unreadable_after = self.last_offset
                 raise
             # requested again and again, the line would block all events after it
             self.skipped_after, self.incomplete = self.last_offset, True
@@ -264,7 +264,7 @@
         elif now_ms() - self.behind_since > self.limits.bus_anew_ms:
             self.log(
                 "bus-anew",
-                f"the bus is at event {offset}, below event {self.last_offset}: fetching all its events again",
+                f"the bus is at event {offset}, below event {self.last_offset}: fetching all events again",
             )
             self.snapshot = Snapshot()
             self.connect(0.0)
--- a/harrieryoke/net/client.py
+++ b/harrieryoke/net/client.py
@@ -35,9 +35,7 @@
 )
 from .outgoing import OutgoingQueue
 
-HANG_UP_POLL_MS = (
-    20.0  # while the mailbox is full, the interval of checks whether the client has closed the connection
-)
+HANG_UP_POLL_MS = 20.0  # between checks for a closed connection while the mailbox is full
 MAX_UNSENT_MESSAGES = 256
 ANSWER_OVERHEAD_BYTES = 256  # of an answer, in addition to its body
 MAX_LONG_ANSWERS = 4  # that may be queued at once for a client that reads slowly
@@ -62,12 +60,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LineReceived:
+    """The reader has read a line."""
+
     data: bytes
     received_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerReady:
+    """The core has answered the call."""
+
     call: Call
     reply: dict[str, Any]
 
@@ -159,13 +161,9 @@
     # --- connection ---
 
     def idle_ms(self, now: float) -> float | None:
-        """Return the time since the last complete line or answer; None while something is open. Called by the
-        front."""
-        return (
-            None
-            if self.open or self.mailbox or self.unposted or self.outgoing.unsent
-            else now - self.last_active
-        )
+        """Return the time since the last complete line or answer; None while something is open."""
+        is_busy = self.open or self.mailbox or self.unposted or self.outgoing.unsent
+        return None if is_busy else now - self.last_active
 
     def is_stale(self, now: float, resumed: float) -> bool:
         """Return whether the connection's descriptor is wanted for others: the client is idle or has stalled.
@@ -177,8 +175,7 @@
         return idle_ms > (self.limits.client_idle_ms if between_requests else self.limits.client_ask_ms)
 
     def close_if_idle(self) -> bool:
-        """Request that the connection closes, unless the client sends more before the actor handles the
-        message."""
+        """Request a close, unless the client sends more before the actor handles the message."""
         return self.try_send(CloseIfIdle(self.last_active if self.partial else None))
 
     def has_unread_bytes(self) -> bool:
@@ -224,11 +221,8 @@
         self.received_at = self.pauses.earliest(now)
         if complete or not self.partial:
             self.last_active = now
-        self.has_sent_line, self.partial, self.unposted = (
-            self.has_sent_line or bool(complete),
-            partial,
-            complete[::-1],
-        )
+        self.has_sent_line = self.has_sent_line or bool(complete)
+        self.partial, self.unposted = partial, complete[::-1]
         return True
 
     def post_lines(self) -> bool:
--- a/harrieryoke/net/frames.py
+++ b/harrieryoke/net/frames.py
@@ -7,10 +7,15 @@
 from dataclasses import dataclass
 from zlib import crc32
 
+# magic number, code, length of the fields, length of the body, id
 HEADER = struct.Struct(">BBHIQ")
+# CRC-32 of the fields and the body
 CHECKSUM = struct.Struct(">I")
+# magic numbers of the two directions
 TO_HOST, FROM_HOST = 76, 108
+# codes of frames to a host
 REQUEST, GIVE_UP, PROBE_LOAD, HOLD, UNLOAD = 65, 66, 68, 69, 71
+# codes of frames from a host
 OK, MISS, FULL, ERROR, OVER, HEALTHY, SICK = 97, 99, 100, 101, 102, 103, 104
 
 
@@ -20,6 +25,8 @@
 
 @dataclass(slots=True)
 class Frame:
+    """A decoded frame."""
+
     code: int
     id: int
     fields: dict[str, str]
--- a/harrieryoke/net/host.py
+++ b/harrieryoke/net/host.py
@@ -21,16 +21,10 @@
 from .answers import COPY_LOOKUPS, OUTCOMES, parse_count, parse_load_report
 from .link import HostSocket, Link, PendingFrame, host_socket
 
-FIRST_INTERNAL_FRAME_ID = (
-    # Frame ids of orders and probes. Requests bring their own ids, which must not collide with these on a
-    # link.
-    1 << 63
-)
-RETRYABLE_CONNECT_ERRORS = (
-    errno.ETIMEDOUT,
-    # Reported by the kernel; a dial that times out in this process has no errno.
-    errno.EHOSTUNREACH,
-)
+# ids of orders and probes; requests bring their own ids, which must not collide with these on a link
+FIRST_INTERNAL_FRAME_ID = 1 << 63
+# reported by the kernel; a dial that times out in this process has no errno
+RETRYABLE_CONNECT_ERRORS = (errno.ETIMEDOUT, errno.EHOSTUNREACH)
 
 
 class LinkUnavailableError(Exception):
@@ -57,27 +51,37 @@
 
 @dataclass(slots=True)
 class StartTask:
+    """Send the task to the host."""
+
     task: Task
 
 
 @dataclass(slots=True)
 class CancelTask:
+    """The answer to the task is no longer wanted."""
+
     task: Task
 
 
 @dataclass(slots=True)
 class DropCopies:
+    """Ask the host to unload its copies of the function."""
+
     function: str
 
 
 @dataclass(slots=True)
 class FramesReceived:
+    """The link's reader decoded these frames; none if a frame has only started."""
+
     link: Link
     frames: list[frames.Frame]
 
 
 @dataclass(slots=True)
 class LinkLost:
+    """The link's reader has ended."""
+
     link: Link
     reason: str
 
@@ -92,8 +96,7 @@
 
 @dataclass(slots=True)
 class HostRemoved:
-    """The host has left the list: the actor ends once nothing is open, or immediately if the address was
-    reused."""
+    """The host left the list: end once nothing is open, or immediately if its address was reused."""
 
     immediately: bool = False
 
@@ -343,8 +346,7 @@
     # --- links ---
 
     def select_link(self, task: Task | None) -> Link | None:
-        """Return the newest link with capacity, preferably one that is not blocked; open one if all are full
-        or silent.
+        """Return the newest usable link, preferably one that is not blocked, or open one.
 
         A probe avoids a link that has owed an answer for longer than a dial may take. Returns None if the
         host can't be reached. Raises LinkUnavailableError.
@@ -373,7 +375,10 @@
         return self.dial()
 
     def is_silent(self, link: Link, factor: int = 1) -> bool:
-        """Detects a connection that stays open but delivers nothing, while a new one would work."""
+        """Return whether an answer has been due for too long.
+
+        Detects a connection that stays open but delivers nothing, while a new one would work.
+        """
         return (
             link.waiting_since is not None and now_ms() - link.waiting_since > factor * self.silence_limit_ms
         )
@@ -476,8 +481,10 @@
             self.end_task(task, i.Outcome.RESET if task in sent else i.Outcome.NOT_SENT)
 
     def close_dead_links(self) -> None:
-        """Close stalled, silent and idle links; idle ones shortly before the host would, so that no request
-        is lost."""
+        """Close stalled, silent and idle links.
+
+        Idle ones are closed shortly before the host would, so that no request crosses its close.
+        """
         now = now_ms()
         for link in list(self.links):
             if link.partial_since is not None and now - link.partial_since > self.limits.frame_ms:
--- a/harrieryoke/net/hostlist.py
+++ b/harrieryoke/net/hostlist.py
@@ -113,10 +113,8 @@
         self.has_unattributed_error = False  # an unreadable entry may concern any host
         self.host_starts = HostStarts()
         self.banned: set[str] = set()
-        self.on_ban_changed: Callable[[str, bool], object] = (
-            # called with a host and whether it is banned, so that bans are stored beyond this process
-            lambda id, on: None
-        )
+        # stores a change of bans beyond this process: the host's id, and whether it is banned
+        self.on_ban_changed: Callable[[str, bool], object] = lambda id, banned: None
 
     def load_initial(
         self, known_events: KnownEvents, banned: Iterable[str] = (), as_of: float | None = None
--- a/harrieryoke/net/jsonrpc.py
+++ b/harrieryoke/net/jsonrpc.py
@@ -4,11 +4,14 @@
 
 import msgspec
 
+# error codes: of this service, and of JSON-RPC
 REFUSED, FAILED = -32050, -32000
 PARSE, INVALID, NO_METHOD, BAD_PARAMS = -32700, -32600, -32601, -32602
 
 
 class Message(msgspec.Struct):
+    """One line of a client."""
+
     method: str
     id: int | None = None
     jsonrpc: str = ""
@@ -16,6 +19,8 @@
 
 
 class CallParams(msgspec.Struct):
+    """Parameters of a call."""
+
     rid: str
     budget: float
     obj: str
@@ -26,6 +31,8 @@
 
 
 class GiveUpParams(msgspec.Struct):
+    """Parameters of `giveUp`, which names a call by its id or its rid."""
+
     id: int | None = None
     rid: str | None = None
 
--- a/harrieryoke/net/platform.py
+++ b/harrieryoke/net/platform.py
@@ -34,6 +34,8 @@
 
 @dataclass(slots=True)
 class ClientClosed:
+    """A client's actor has ended."""
+
     client: ClientActor
 
 
@@ -83,11 +85,8 @@
         super().__init__("platform front", limits.client_mailbox, log)
         self.address, self.maker, self.core, self.limits = address, maker, core, limits
         self.clients: dict[ClientActor, bool] = {}  # value: whether it was asked to leave
-        # of the descriptors; client connections ordinarily use a third
-        self.soft_limit, self.hard_limit = (
-            limits.sockets // 2,
-            limits.sockets * 2 // 3,
-        )
+        # ordinarily client connections use a third of the sockets
+        self.soft_limit, self.hard_limit = limits.sockets // 2, limits.sockets * 2 // 3
         self.stopping, self.all_closed = False, Event()
         self.client_closed = Event()  # set when a client connection has closed
         self.running_acceptors = 0  # greenlets that accept, or hold a connection they have accepted
