--- a/tests/clients.py
+++ b/tests/clients.py
@@ -23,19 +23,19 @@
 from harrieryoke.net.client import ClientActor
 from harrieryoke.net.platform import PlatformFront
 
-PATIENCE = 5.0  # seconds until a step that should come at once is held to have failed
+TIMEOUT_S = 5.0  # seconds until a step that should come at once is held to have failed
 LONG_MS = 60000.0  # a write's time-out that no test waits for
-KINDS = i.Settings((i.RequestClass("weight-read", 1000, 4000),))
+SETTINGS = i.Settings((i.RequestClass("weight-read", 1000, 4000),))
 BODY = b"b" * 16000
 
 
 def until(condition: Callable[[], object], what: str) -> None:
-    with gevent.Timeout(PATIENCE, AssertionError(f"never seen: {what}")):
+    with gevent.Timeout(TIMEOUT_S, AssertionError(f"never seen: {what}")):
         while not condition():
             gevent.sleep(0.001)
 
 
-class Quiet(Log):
+class NullLog(Log):
     """Keeps the kinds of its lines."""
 
     def put(self, *told: object) -> None: ...
@@ -47,11 +47,11 @@
     def __init__(self) -> None:
         self.figures, self.gate, self.answers = Metrics(["weight-read"]), Event(), False
         self.gate.set()
-        self.offered: dict[int, Call] = {}
+        self.calls: dict[int, Call] = {}
         self.withdrawn: list[int] = []
 
     def offer(self, call: Call, front: CallFront) -> bool:
-        self.offered[int(call.request_id, 16)] = call
+        self.calls[int(call.request_id, 16)] = call
         self.gate.wait()
         if self.answers:
             front.served(call, b"")
@@ -65,24 +65,24 @@
 def line(id: int, method: str = "weight-read") -> bytes:
     """A call, a probe, or the giveUp of `id`."""
     params: dict[str, Any] = {"rid": f"{id:016x}", "budget": 3500, "obj": "7f3a9c21e0b4d655"}
-    told: dict[str, Any] = {"jsonrpc": "2.0", "method": method, "id": id, "params": params}
+    message: dict[str, Any] = {"jsonrpc": "2.0", "method": method, "id": id, "params": params}
     if method == "giveUp":
-        told = {"jsonrpc": "2.0", "method": method, "params": {"id": id}}
-    return json.dumps(told).encode() + b"\n"
+        message = {"jsonrpc": "2.0", "method": method, "params": {"id": id}}
+    return json.dumps(message).encode() + b"\n"
 
 
 def read(sock: socket.socket, count: int) -> list[tuple[int, int]]:
     """Reads so many answers: id and length of the body."""
-    stream, data = [], b""
-    with gevent.Timeout(PATIENCE, AssertionError("an answer is missing")):
+    answers, data = [], b""
+    with gevent.Timeout(TIMEOUT_S, AssertionError("an answer is missing")):
         while data.count(b"\n") < count:
-            got = sock.recv(65536)
-            assert got, f"the connection ended behind {len(data)} bytes"
-            data += got
+            received = sock.recv(65536)
+            assert received, f"the connection ended behind {len(data)} bytes"
+            data += received
     for text in data.splitlines():
-        told = json.loads(text)
-        stream.append((told["id"], len(base64.b64decode(told["result"].get("blob", "")))))
-    return stream
+        answer = json.loads(text)
+        answers.append((answer["id"], len(base64.b64decode(answer["result"].get("blob", "")))))
+    return answers
 
 
 class Connection:
@@ -97,28 +97,28 @@
             self.sock.connect(listening.getsockname())
             served, _ = listening.accept()
         served.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
-        self.core, self.log, self.gone = Core(), Quiet(), Event()
-        told: Any = Limits(**{"write_ms": LONG_MS} | limits)
+        self.core, self.log, self.gone = Core(), NullLog(), Event()
+        config: Any = Limits(**{"write_ms": LONG_MS} | limits)
         core: Any = self.core
-        maker = CallMaker(KINDS, told)
+        maker = CallMaker(SETTINGS, config)
         pauses = PauseWatch(now_ms(), LONG_MS, self.log)
         self.actor = ClientActor(
-            served, "c:1", maker, core, told, self.log, lambda _: self.gone.set(), pauses
+            served, "c:1", maker, core, config, self.log, lambda _: self.gone.set(), pauses
         )
         self.actor.start()
 
     def send(self, *lines: bytes) -> None:
         self.sock.sendall(b"".join(lines))
 
-    def ask(self, *ids: int) -> None:
+    def send_calls(self, *ids: int) -> None:
         """Calls, until the core has them."""
         self.send(*map(line, ids))
-        until(lambda: self.core.offered.keys() >= set(ids), f"offered {ids}")
+        until(lambda: self.core.calls.keys() >= set(ids), f"offered {ids}")
 
     def answer(self, id: int, body: bytes = BODY) -> None:
-        self.actor.served(self.core.offered[id], body)
+        self.actor.served(self.core.calls[id], body)
 
-    def block(self, id: int) -> None:
+    def block_output(self, id: int) -> None:
         """Answers the call with more than the client, who does not read, has room for."""
         self.answer(id)
         until(
@@ -131,21 +131,21 @@
     def close(self) -> None:
         self.core.gate.set()
         self.sock.close()
-        assert self.gone.wait(PATIENCE), "the actor did not end"
+        assert self.gone.wait(TIMEOUT_S), "the actor did not end"
         assert not self.log.totals.get("greenlet-died")
 
 
-class Entrance:
+class StubListener:
     """In the listening socket's place, and in that of the descriptor to accept on: `accept` is the test's."""
 
     def __init__(self, sock: socket.socket, accept: Callable[[socket.socket], Any]) -> None:
-        self.sock, self.how = sock, accept
+        self.sock, self.accept_call = sock, accept
 
-    def dup(self) -> Entrance:
-        return Entrance(self.sock.dup(), self.how)
+    def dup(self) -> StubListener:
+        return StubListener(self.sock.dup(), self.accept_call)
 
     def accept(self) -> Any:
-        return self.how(self.sock)
+        return self.accept_call(self.sock)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.sock, name)
@@ -156,22 +156,22 @@
     front itself from the socket."""
 
     def __init__(self, accept: Callable[[socket.socket], Any] = socket.socket.accept, **limits: Any) -> None:
-        self.core, self.log = Core(), Quiet()
-        told: Any = Limits(**{"write_ms": LONG_MS} | limits)
+        self.core, self.log = Core(), NullLog()
+        config: Any = Limits(**{"write_ms": LONG_MS} | limits)
         core: Any = self.core
         self.listening = socket.socket()
         self.listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
         self.listening.bind(("127.0.0.1", 0))
         self.listening.listen()
         self.address = self.listening.getsockname()
-        self.front = PlatformFront(self.address, CallMaker(KINDS, told), core, told, self.log)
-        entrance: Any = Entrance(self.listening, socket.socket.accept)
-        entrance.dup = lambda: Entrance(self.listening.dup(), accept)
-        self.front.start(entrance)
+        self.front = PlatformFront(self.address, CallMaker(SETTINGS, config), core, config, self.log)
+        listener: Any = StubListener(self.listening, socket.socket.accept)
+        listener.dup = lambda: StubListener(self.listening.dup(), accept)
+        self.front.start(listener)
 
     def connect(self, *lines: bytes) -> socket.socket:
         sock = socket.socket()
-        sock.settimeout(PATIENCE)
+        sock.settimeout(TIMEOUT_S)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
         sock.connect(self.address)
         sock.sendall(b"".join(lines))
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -23,7 +23,7 @@
         self.durable: dict[str, bytes] = {}  # by name, as of the last sync of file and folder
         self.volatile: dict[str, bytearray] = {}
         self.synced: dict[str, bytes] = {}  # contents that a sync has brought to the disk, by name
-        self.fail: dict[int, str | int] = {}
+        self.faults: dict[int, str | int] = {}
         self.operations, self.locked = 0, False
         self.failing_sync = False  # all syncs and writes say ENOSPC
         self.full_from: int | None = None  # from that operation on all of them say ENOSPC, until this is None
@@ -32,14 +32,14 @@
         self.operations += 1
         if self.full_from is not None and self.operations >= self.full_from:
             raise OSError(errno.ENOSPC, "ENOSPC")
-        told = self.fail.pop(self.operations, None)
-        if told == "crash":
+        fault = self.faults.pop(self.operations, None)
+        if fault == "crash":
             raise Crash
-        if told == "kill":
+        if fault == "kill":
             raise Killed
-        if isinstance(told, int):
-            raise OSError(told, errno.errorcode[told])
-        return told
+        if isinstance(fault, int):
+            raise OSError(fault, errno.errorcode[fault])
+        return fault
 
     def crash(self) -> None:
         """The machine loses what was not synced, or keeps any part of it, torn and out of order."""
@@ -47,26 +47,28 @@
         names: dict[str, bytes] = {}
         for name in self.durable.keys() | self.volatile.keys():
             # a name that was made or removed and whose folder was not synced since may be there or not
-            here = name in self.volatile if self.rng.random() < 0.5 else name in self.durable
-            if here:
-                names[name] = self.torn(name)
+            exists = name in self.volatile if self.rng.random() < 0.5 else name in self.durable
+            if exists:
+                names[name] = self.torn_contents(name)
         self.volatile = {name: bytearray(data) for name, data in names.items()}
         self.durable, self.synced = dict(names), dict(names)
 
-    def torn(self, name: str) -> bytes:
+    def torn_contents(self, name: str) -> bytes:
         safe = self.synced.get(name, b"")
-        now = bytes(self.volatile.get(name, safe))
-        how = self.rng.randrange(4)
-        if how == 0 or len(now) <= len(safe):
+        contents = bytes(self.volatile.get(name, safe))
+        kind = self.rng.randrange(4)
+        if kind == 0 or len(contents) <= len(safe):
             return safe
-        rest = bytearray(now[len(safe) : len(safe) + self.rng.randrange(len(now) - len(safe) + 1)])
-        if how == 2 and rest:  # a later block came to the disk, an earlier one did not
-            begin = self.rng.randrange(len(rest))
-            for at in range(begin, min(len(rest), begin + 40)):
-                rest[at] = 0
-        if how == 3:  # the length came to the disk, the data did not
-            rest = bytearray(len(rest))
-        return safe + bytes(rest)
+        unsynced = bytearray(
+            contents[len(safe) : len(safe) + self.rng.randrange(len(contents) - len(safe) + 1)]
+        )
+        if kind == 2 and unsynced:  # a later block came to the disk, an earlier one did not
+            start = self.rng.randrange(len(unsynced))
+            for index in range(start, min(len(unsynced), start + 40)):
+                unsynced[index] = 0
+        if kind == 3:  # the length came to the disk, the data did not
+            unsynced = bytearray(len(unsynced))
+        return safe + bytes(unsynced)
 
     # --- the interface of one folder ---
 
@@ -122,10 +124,10 @@
     def write(self, data: bytes) -> int:
         if self.disk.failing_sync:
             raise OSError(errno.ENOSPC, "ENOSPC")
-        told = self.disk.operation()
-        take = len(data) if told != "short" else self.disk.rng.randrange(1, len(data) + 1)
-        self.disk.volatile[self.name] += data[:take]
-        return take
+        fault = self.disk.operation()
+        count = len(data) if fault != "short" else self.disk.rng.randrange(1, len(data) + 1)
+        self.disk.volatile[self.name] += data[:count]
+        return count
 
     def sync(self) -> None:
         if self.disk.failing_sync:
@@ -134,7 +136,7 @@
             self.disk.operation()
         except OSError:
             # what a failed sync leaves is anybody's guess; a second one would say yes to nothing
-            self.disk.volatile[self.name][:] = self.disk.torn(self.name)
+            self.disk.volatile[self.name][:] = self.disk.torn_contents(self.name)
             self.disk.synced[self.name] = bytes(self.disk.volatile[self.name])
             raise
         self.disk.synced[self.name] = bytes(self.disk.volatile[self.name])
--- a/tests/interleave.py
+++ b/tests/interleave.py
@@ -18,7 +18,7 @@
 
 from harrieryoke.core.actor import Actor
 
-LONGEST = 500  # steps; a schedule that goes on for longer is taken for one without an end
+MAX_STEPS = 500  # steps; a schedule that goes on for longer is taken for one without an end
 
 
 @dataclass
@@ -72,33 +72,33 @@
 
     schedules: int = 0
     states: int = 0
-    whole: bool = True
+    complete: bool = True
 
 
-class Strand:
+class ThreadState:
     """A thread as it is played."""
 
     def __init__(self, thread: Thread) -> None:
-        self.points = self.each(thread) if isinstance(thread, list) else thread
-        self.place = 0  # in a list, how many of its steps have been taken
-        self.go()
+        self.points = self.run_steps(thread) if isinstance(thread, list) else thread
+        self.steps_taken = 0  # in a list, how many of its steps have been taken
+        self.advance()
 
-    def each(self, steps: list[tuple[str, Callable[[], object]]]) -> Iterator[str]:
+    def run_steps(self, steps: list[tuple[str, Callable[[], object]]]) -> Iterator[str]:
         for label, step in steps:
             yield label
             step()
-            self.place += 1
+            self.steps_taken += 1
 
-    def go(self) -> None:
-        self.at: str | Wait | None = next(self.points, None)
+    def advance(self) -> None:
+        self.position: str | Wait | None = next(self.points, None)
 
     def label(self) -> str | None:
         """Of its next step; None where it can't go on."""
-        if not isinstance(self.at, Wait):
-            return self.at
-        if not self.at.condition():
+        if not isinstance(self.position, Wait):
+            return self.position
+        if not self.position.condition():
             return None
-        return self.at.label if isinstance(self.at.label, str) else self.at.label()
+        return self.position.label if isinstance(self.position.label, str) else self.position.label()
 
 
 class Run:
@@ -106,22 +106,22 @@
 
     def __init__(self, make: Callable[[], World], lines: list[str]) -> None:
         self.world = make()
-        self.strands: dict[str, Strand] = {}
+        self.thread_states: dict[str, ThreadState] = {}
         self.schedule: list[str] = []
         self.ready: dict[str, str] = {}  # threads that can go on, and the label of the step
-        self.last, self.preemptions = "", 0
+        self.last_thread, self.preemptions = "", 0
         self.failure: str | None = None
-        self.step(lambda: None)
+        self.run_step(lambda: None)
         for line in lines:
-            self.go(line)
+            self.advance(line)
 
-    def step(self, step: Callable[[], object]) -> None:
+    def run_step(self, step: Callable[[], object]) -> None:
         """Whatever escapes from a step or from what is checked behind it is the schedule's failure."""
         try:
             step()
-            for name in list(self.world.threads)[len(self.strands) :]:
-                self.strands[name] = Strand(self.world.threads[name])
-            labels = {name: strand.label() for name, strand in self.strands.items()}
+            for name in list(self.world.threads)[len(self.thread_states) :]:
+                self.thread_states[name] = ThreadState(self.world.threads[name])
+            labels = {name: strand.label() for name, strand in self.thread_states.items()}
             self.ready = {name: label for name, label in labels.items() if label is not None}
             self.check()
         except Exception as error:
@@ -129,33 +129,39 @@
 
     def check(self) -> None:
         self.world.check()
-        if len(self.schedule) >= LONGEST:
-            raise AssertionError(f"no end after {LONGEST} steps")
+        if len(self.schedule) >= MAX_STEPS:
+            raise AssertionError(f"no end after {MAX_STEPS} steps")
         if not self.ready:
-            held = [n for n, s in self.strands.items() if isinstance(s.at, Wait) and not s.at.idle]
-            if held:
-                raise AssertionError(f"deadlock of {', '.join(held)}")
+            blocked = [
+                n
+                for n, s in self.thread_states.items()
+                if isinstance(s.position, Wait) and not s.position.idle
+            ]
+            if blocked:
+                raise AssertionError(f"deadlock of {', '.join(blocked)}")
             self.world.final()
 
-    def cost(self, name: str) -> int:
+    def preemption_cost(self, name: str) -> int:
         """1 for a preemption: another goes on although the last one could."""
-        return int(name != self.last and self.last in self.ready)
+        return int(name != self.last_thread and self.last_thread in self.ready)
 
-    def go(self, line: str) -> None:
+    def advance(self, line: str) -> None:
         name, _, label = line.partition(":")
         if self.ready.get(name) != label:
             raise ValueError(f"after {self.schedule} only {self.ready} can go, not {line}")
-        self.preemptions += self.cost(name)
-        self.last = name
+        self.preemptions += self.preemption_cost(name)
+        self.last_thread = name
         self.schedule.append(line)
-        self.step(self.strands[name].go)
+        self.run_step(self.thread_states[name].advance)
 
     def key(self, bounded: bool) -> Hashable:
         """None where the world has none. With a bound, what may come also depends on who went last."""
         if (key := self.world.key()) is None:
             return None
-        places = tuple((name, strand.place, self.ready.get(name)) for name, strand in self.strands.items())
-        return key, places, self.last if bounded else ""
+        places = tuple(
+            (name, strand.steps_taken, self.ready.get(name)) for name, strand in self.thread_states.items()
+        )
+        return key, places, self.last_thread if bounded else ""
 
 
 def replay(make: Callable[[], World], schedule: str) -> str | None:
@@ -163,51 +169,53 @@
     return Run(make, schedule.splitlines()).failure
 
 
-def explore(make: Callable[[], World], preemptions: int | None = None, most: int = 200_000) -> Counts:
+def explore(
+    make: Callable[[], World], preemptions: int | None = None, max_schedules: int = 200_000
+) -> Counts:
     """Plays all schedules, or those with at most so many preemptions. Raises `Failed` if one breaks the
     world."""
-    counts, found = search(make, preemptions, most)
+    counts, found = search(make, preemptions, max_schedules)
     if found is None:
         return counts
     for bound in range(found.preemptions + 1):
-        least = search(make, bound, most, shortest=True)[1]
-        if least is not None:
-            found = least
+        shortest = search(make, bound, max_schedules, shortest=True)[1]
+        if shortest is not None:
+            found = shortest
             break
     raise Failed(str(found.failure), "\n".join(found.schedule))
 
 
 def search(
-    make: Callable[[], World], bound: int | None, most: int, shortest: bool = False
+    make: Callable[[], World], bound: int | None, max_schedules: int, shortest: bool = False
 ) -> tuple[Counts, Run | None]:
     """Ends with the first schedule that fails, or with the shortest one."""
     counts, found = Counts(), None
     seen: dict[Hashable, tuple[int, int]] = {}  # states, and with how many preemptions and steps they came
     stack: list[list[str]] = [[]]
     while stack and (shortest or found is None):
-        if counts.schedules == most:
-            counts.whole = False
+        if counts.schedules == max_schedules:
+            counts.complete = False
             break
         counts.schedules += 1
         run = Run(make, stack.pop())
         while run.failure is None and (found is None or len(run.schedule) + 1 < len(found.schedule)):
             if (key := run.key(bound is not None)) is not None:
-                spent = run.preemptions if bound is not None else 0, len(run.schedule) if shortest else 0
-                known = seen.get(key)
-                if known is not None and known[0] <= spent[0] and known[1] <= spent[1]:
+                cost = run.preemptions if bound is not None else 0, len(run.schedule) if shortest else 0
+                earlier = seen.get(key)
+                if earlier is not None and earlier[0] <= cost[0] and earlier[1] <= cost[1]:
                     break
-                seen[key] = spent
-                counts.states += known is None
+                seen[key] = cost
+                counts.states += earlier is None
             else:
                 counts.states += 1
-            names = sorted(run.ready, key=lambda name: name != run.last)
-            allowed = [n for n in names if bound is None or run.preemptions + run.cost(n) <= bound]
-            counts.whole = counts.whole and len(allowed) == len(names)
+            names = sorted(run.ready, key=lambda name: name != run.last_thread)
+            allowed = [n for n in names if bound is None or run.preemptions + run.preemption_cost(n) <= bound]
+            counts.complete = counts.complete and len(allowed) == len(names)
             if not allowed:
                 break
             steps = [f"{name}:{run.ready[name]}" for name in allowed]
             stack += [[*run.schedule, step] for step in reversed(steps[1:])]
-            run.go(steps[0])
+            run.advance(steps[0])
         if run.failure is not None and (found is None or len(run.schedule) < len(found.schedule)):
             found = run
     return counts, found
@@ -231,17 +239,17 @@
     getcurrent().parent.switch(point)
 
 
-class Box(deque[Any]):
+class PausingMailbox(deque[Any]):
     """A mailbox with a point before each message. `hand` is the message that is being received."""
 
-    hand: Any = None
+    current: Any = None
     woken = False
 
     def popleft(self) -> Any:
         if not self.woken:
             pause(self.label())
-        self.woken, self.hand = False, super().popleft()
-        return self.hand
+        self.woken, self.current = False, super().popleft()
+        return self.current
 
     def label(self) -> str:
         return type(self[0]).__name__ if self else "time"
@@ -251,19 +259,19 @@
     """An actor's own `run`, `work`, `receive` and `finish`: one message a step, with the points that the code
     it calls may add. It can go on when its mailbox is not empty or when the time it waits for has come. The
     module takes all that has come in one step, as it does in its rounds."""
-    box = Box(actor.mailbox)
+    mailbox = PausingMailbox(actor.mailbox)
 
     def wait(timeout_ms: float | None = None) -> None:
-        if not box:
-            box.hand = None
+        if not mailbox:
+            mailbox.current = None
             until = float("inf") if timeout_ms is None else clock() + timeout_ms
-            pause(Wait(lambda: box or clock() >= until, box.label, idle=True))
-            box.woken = True
+            pause(Wait(lambda: mailbox or clock() >= until, mailbox.label, idle=True))
+            mailbox.woken = True
 
     def live() -> None:
         actor.run()
         actor.finish()
 
-    actor.mailbox = box
+    actor.mailbox = mailbox
     actor.wait_for_message = wait  # type: ignore[method-assign]
     return fiber(live)
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -37,7 +37,7 @@
 from .faults.shim import FaultShim
 
 ROOT = Path(__file__).parent.parent
-PATIENCE = 20.0  # seconds until a step that should come at once is held to have failed
+TIMEOUT_S = 20.0  # seconds until a step that should come at once is held to have failed
 FUNCTION = "7f3a9c21e0b4d655"
 SETTINGS: dict[str, Any] = {
     "classes": [
@@ -87,7 +87,7 @@
     "load-report": {"fields": ["concurrent", "depth", "x1"]},
 }
 ADDRESSES = count()
-CODES = {
+FRAME_CODES = {
     name: getattr(frames, name.upper().replace("-", "_"))
     for name in ("request", "give-up", "hold", "unload", "ok", "miss", "full", "error", "over")
 }
@@ -95,7 +95,7 @@
 
 def listener() -> socket.socket:
     sock = socket.create_server(("127.0.0.1", 0))
-    sock.settimeout(PATIENCE)
+    sock.settimeout(TIMEOUT_S)
     return sock
 
 
@@ -117,48 +117,48 @@
     """A peer of the invoker: a listener, where it has one, and its newest connection."""
 
     def __init__(self, listening: socket.socket | None = None, sock: socket.socket | None = None) -> None:
-        self.listening, self.conn, self.rest = listening, sock, b""
-        self.decoder, self.queue = frames.Decoder(1 << 20, frames.TO_HOST), list[frames.Frame]()
-        self.last: dict[int, int] = {}  # code -> id of the newest frame
+        self.listening, self.connection, self.buffer = listening, sock, b""
+        self.decoder, self.unread_frames = frames.Decoder(1 << 20, frames.TO_HOST), list[frames.Frame]()
+        self.last_ids: dict[int, int] = {}  # code -> id of the newest frame
 
     def address(self) -> str:
         assert self.listening is not None
         return where(self.listening)
 
     def sock(self) -> socket.socket:
-        if self.conn is None:
+        if self.connection is None:
             assert self.listening is not None
-            self.conn, _ = self.listening.accept()
-            self.conn.settimeout(PATIENCE)
-            self.rest, self.decoder = b"", frames.Decoder(1 << 20, frames.TO_HOST)
-        return self.conn
+            self.connection, _ = self.listening.accept()
+            self.connection.settimeout(TIMEOUT_S)
+            self.buffer, self.decoder = b"", frames.Decoder(1 << 20, frames.TO_HOST)
+        return self.connection
 
     def line(self) -> str:
         """The next line, or '' at the connection's end."""
-        while b"\n" not in self.rest:
+        while b"\n" not in self.buffer:
             try:
                 data = self.sock().recv(65536)
             except ConnectionResetError:  # closed with more of ours unread
                 data = b""
             if not data:
                 return ""
-            self.rest += data
-        line, _, self.rest = self.rest.partition(b"\n")
+            self.buffer += data
+        line, _, self.buffer = self.buffer.partition(b"\n")
         return line.decode()
 
     def frame(self) -> frames.Frame | None:
         """The next frame, or None at the connection's end."""
-        while not self.queue:
+        while not self.unread_frames:
             data = self.sock().recv(65536)
             if not data:
                 return None
-            self.queue += self.decoder.feed(data)
-        self.last[self.queue[0].code] = self.queue[0].id
-        return self.queue.pop(0)
+            self.unread_frames += self.decoder.feed(data)
+        self.last_ids[self.unread_frames[0].code] = self.unread_frames[0].id
+        return self.unread_frames.pop(0)
 
     def close(self) -> None:
         self.sock().close()
-        self.conn = None
+        self.connection = None
 
 
 S = TypeVar("S", bound="Scene")
@@ -188,7 +188,7 @@
             settings = copy.deepcopy(SETTINGS)
             settings["classes"][1]["repeat-window"] = window
         self.zone, self.flavor = settings["zones"][0], settings["flavors"][0]
-        known = [self.event("active", *self.hosts)] if hosts else []
+        events = [self.event("active", *self.hosts)] if hosts else []
         config: dict[str, Any] = {
             "name": "n0",
             "listen": self.address,
@@ -197,7 +197,7 @@
             "settings": settings,
             "limits": {"memory_mb": 192, "sockets": 1024},
             "bus": self.parties["bus"].address(),
-            "known": {"offset": self.offset, "batch": known},
+            "known": {"offset": self.offset, "batch": events},
         }
         self.config = config
         self.send_config()
@@ -206,12 +206,12 @@
         env = os.environ | faults | {"RELAY_CONFIG": str(folder / "config.json")}
         command = [sys.executable, "-m", "harrieryoke", "serve"]
         if operator:
-            told = operator.replace("BROKER", self.broker.address())
-            (folder / "operator.toml").write_text(told)
+            operator_text = operator.replace("BROKER", self.broker.address())
+            (folder / "operator.toml").write_text(operator_text)
             command += ["--operator", str(folder / "operator.toml")]
         with open(folder / "log", "w") as log:
             self.process = subprocess.Popen(command, env=env, cwd=ROOT, stderr=log, stdout=log)
-        self.seen, self.bodies = 0, dict[str, str]()
+        self.log_position, self.bodies = 0, dict[str, str]()
         self.wait("started")
 
     def send_config(self, *words: str) -> None:
@@ -248,11 +248,11 @@
 
     def wait(self, words: str) -> None:
         """Until the log says it, from where the last wait ended."""
-        until = time.monotonic() + PATIENCE
-        while (at := self.log().find(words, self.seen)) < 0:
-            assert time.monotonic() < until and self.process.poll() is None, f"never logged: {words}"
+        deadline = time.monotonic() + TIMEOUT_S
+        while (found_at := self.log().find(words, self.log_position)) < 0:
+            assert time.monotonic() < deadline and self.process.poll() is None, f"never logged: {words}"
             time.sleep(0.01)
-        self.seen = at + len(words)
+        self.log_position = found_at + len(words)
 
     def play(self, text: str) -> None:
         for line in filter(None, map(str.strip, text.splitlines())):
@@ -280,7 +280,7 @@
             return self.shim.step_clock(float(words[0])) if name == "clock" else self.shim.tell(words)
         if name not in self.parties and name[0] in "cm":
             host, port = (self.address if name[0] == "c" else self.management).split(":")
-            self.parties[name] = Party(sock=socket.create_connection((host, int(port)), PATIENCE))
+            self.parties[name] = Party(sock=socket.create_connection((host, int(port)), TIMEOUT_S))
         party = self.parties[name]
         kind = "bus" if name.startswith("bus") else {"h": "host", "c": "client", "m": "management"}[name[0]]
         if verb == "close":
@@ -291,14 +291,14 @@
         if verb == "send":
             self.process.send_signal(getattr(signal, f"SIG{words[0]}"))
         else:
-            assert self.process.wait(PATIENCE) == int(words[1])
+            assert self.process.wait(TIMEOUT_S) == int(words[1])
 
     def get(self, address: str, method: str, path: str, status: str) -> None:
         host, port = address.split(":")
-        with socket.create_connection((host, int(port)), PATIENCE) as sock:
+        with socket.create_connection((host, int(port)), TIMEOUT_S) as sock:
             sock.sendall(f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
             head, _, body = b"".join(iter(lambda: sock.recv(65536), b"")).partition(b"\r\n\r\n")
-        self.same(status, head.split()[1].decode())
+        self.assert_equal(status, head.split()[1].decode())
         if status == "200":
             self.bodies[path.partition("?")[0]] = body.decode()
 
@@ -309,7 +309,7 @@
         if words[0] in ("raw", "part"):
             text = words[1].encode() * int((words[2:] or ["1"])[0])
             return party.sock().sendall(text + (b"" if words[0] == "part" else b"\n"))
-        told: dict[str, Any] = {"jsonrpc": "2.0", "id": int(words[1]), "method": words[0]}
+        message: dict[str, Any] = {"jsonrpc": "2.0", "id": int(words[1]), "method": words[0]}
         if words[0] == "call":
             given = dict(w.split("=", 1) for w in words[3:])
             params: dict[str, Any] = {
@@ -323,29 +323,29 @@
             if "body" in params:
                 params["blob"] = base64.b64encode(params.pop("body").encode()).decode()
             params["budget"] = float(params["budget"])
-            told |= {"method": words[2], "params": params}
+            message |= {"method": words[2], "params": params}
         elif words[0] == "giveUp":
-            told = {"jsonrpc": "2.0", "method": "giveUp", "params": {"id": told["id"]}}
-        party.sock().sendall(json.dumps(told).encode() + b"\n")
+            message = {"jsonrpc": "2.0", "method": "giveUp", "params": {"id": message["id"]}}
+        party.sock().sendall(json.dumps(message).encode() + b"\n")
 
     def expect_client(self, party: Party, words: list[str]) -> None:
         """`ID result [BODY]`, `ID error CODE`, `ID healthy`, or `end`; '-' for an id that is null."""
         line = party.line()
         if words == ["end"]:
-            return self.same("", line)
+            return self.assert_equal("", line)
         answer = json.loads(line)
         assert str(answer["id"]) == words[0].replace("-", "None"), answer
         if words[1] == "result":
-            self.same((words[2:] or [""])[0], base64.b64decode(answer["result"]["blob"]).decode())
+            self.assert_equal((words[2:] or [""])[0], base64.b64decode(answer["result"]["blob"]).decode())
         elif words[1] == "healthy":
             assert answer["result"] == {"healthy": True}
         else:
-            self.same(words[2], str(answer["error"]["code"]))
+            self.assert_equal(words[2], str(answer["error"]["code"]))
             advice = "backoff" in answer["error"].get("data", {}) or "too many" in line
             assert words[2] != "-32050" or advice, answer
 
     @staticmethod
-    def same(wanted: object, got: object) -> None:
+    def assert_equal(wanted: object, got: object) -> None:
         assert wanted == got, f"wanted {wanted!r}, got {got!r}"
 
     # --- operators ---
@@ -358,20 +358,20 @@
     def expect_management(self, party: Party, words: list[str]) -> None:
         """The first words of the answer's one line, and then the connection's end; or only `end`."""
         line = party.line() if words != ["end"] else ""
-        self.same(words, line.split()[: len(words)] if line else ["end"])
-        self.same("", party.line())
+        self.assert_equal(words, line.split()[: len(words)] if line else ["end"])
+        self.assert_equal("", party.line())
 
     def ask(self, call: str) -> list[str]:
         """The lines of the answer to one call of the operators."""
         host, port = self.management.split(":")
-        with socket.create_connection((host, int(port)), PATIENCE) as sock:
+        with socket.create_connection((host, int(port)), TIMEOUT_S) as sock:
             sock.sendall(call.encode() + b"\n")
             return b"".join(iter(lambda: sock.recv(65536), b"")).decode().splitlines()
 
     def figures(self) -> dict[str, int]:
         """What 'show-stat' tells, by figure."""
         *lines, last = self.ask("show-stat")
-        self.same("end", last)
+        self.assert_equal("end", last)
         return {name: int(value) for name, value in (line.rsplit(" ", 1) for line in lines)}
 
     # --- model hosts ---
@@ -382,9 +382,9 @@
         if words[0] == "raw":
             return party.sock().sendall(words[1].encode())
         given = dict(w.split("=", 1) for w in words[1:])
-        id, body = party.last[CODES[given.pop("of", "request")]], given.pop("body", "").encode()
+        id, body = party.last_ids[FRAME_CODES[given.pop("of", "request")]], given.pop("body", "").encode()
         then, short = given.pop("then", "").encode(), int(given.pop("short", "0"))
-        data = frames.encode(CODES[words[0]], id, given, body, frames.FROM_HOST) + then
+        data = frames.encode(FRAME_CODES[words[0]], id, given, body, frames.FROM_HOST) + then
         party.sock().sendall(data[: len(data) - short])
 
     def expect_host(self, party: Party, words: list[str]) -> None:
@@ -392,12 +392,12 @@
         frame = party.frame()
         if words == ["end"]:
             assert frame is None, frame
-            party.conn = None
+            party.connection = None
             return
         assert frame is not None, "the connection ended"
-        self.same(words[0], next(n for n, c in CODES.items() if c == frame.code))
+        self.assert_equal(words[0], next(n for n, c in FRAME_CODES.items() if c == frame.code))
         for name, value in (w.split("=", 1) for w in words[1:]):
-            self.same(value, frame.body.decode() if name == "body" else frame.fields.get(name, "-"))
+            self.assert_equal(value, frame.body.decode() if name == "body" else frame.fields.get(name, "-"))
 
     # --- the MQTT broker ---
 
@@ -405,14 +405,14 @@
         """`send broker TOPIC PAYLOAD [response=TOPIC] [correlation=TEXT] [expiry=S] [retain=1] [out=1]`;
         `out` was delivered in an earlier life. `expect broker served|refused|failed [to=TOPIC]
         [correlation=TEXT] [body=TEXT]`, `acked N`, `redelivered N`, `end`. Closed, it keeps the session."""
-        b = self.broker
+        broker = self.broker
         if verb == "close":
-            return b.drop()
+            return broker.drop()
         given = dict(w.split("=", 1) for w in words[1 if verb == "expect" else 2 :] if "=" in w)
         if verb == "send":
             correlation = given.get("correlation")
             expiry = int(given["expiry"]) if "expiry" in given else None
-            m = Publication(
+            publication = Publication(
                 words[0],
                 words[1].encode(),
                 given.get("response"),
@@ -422,35 +422,35 @@
                 "retain" in given,
             )
             if "out" in given:
-                b.known, b.unacked[b.mid + 1] = True, m
+                broker.known, broker.unacked[broker.mid + 1] = True, publication
             else:
-                b.queue.append(m)
-            until(lambda: b.subscribed and not b.queue, b)
+                broker.queue.append(publication)
+            until(lambda: broker.subscribed and not broker.queue, broker)
         elif words[0] in ("acked", "redelivered"):
-            until(lambda: getattr(b, words[0]) >= int(words[1]), b)
-            self.same(words[1], str(getattr(b, words[0])))
+            until(lambda: getattr(broker, words[0]) >= int(words[1]), broker)
+            self.assert_equal(words[1], str(getattr(broker, words[0])))
         elif words[0] == "end":
-            until(lambda: b.closed_in_order, b)
+            until(lambda: broker.closed_in_order, broker)
         else:
-            until(lambda: b.answers, b)
-            answer = b.answers.pop(0)
-            told = json.loads(answer.payload)
-            self.same(words[0], told["outcome"])
-            self.same(given.get("to", answer.topic), answer.topic)
-            self.same(given.get("correlation", ""), (answer.correlation or b"").decode())
-            self.same(given.get("body", ""), base64.b64decode(told.get("body", "")).decode())
+            until(lambda: broker.answers, broker)
+            answer = broker.answers.pop(0)
+            reply = json.loads(answer.payload)
+            self.assert_equal(words[0], reply["outcome"])
+            self.assert_equal(given.get("to", answer.topic), answer.topic)
+            self.assert_equal(given.get("correlation", ""), (answer.correlation or b"").decode())
+            self.assert_equal(given.get("body", ""), base64.b64decode(reply.get("body", "")).decode())
 
     # --- the event bus ---
 
     def send_bus(self, party: Party, words: list[str]) -> None:
         """`STATE HOST [HOST ...]`, or `raw TEXT`, or `part TEXT` for a line that does not end."""
-        given = words[0] in ("raw", "part")
-        said = words[1] if given else json.dumps(self.event(words[0], *words[1:]))
-        party.sock().sendall(said.encode() + (b"" if words[0] == "part" else b"\n"))
+        is_literal = words[0] in ("raw", "part")
+        message = words[1] if is_literal else json.dumps(self.event(words[0], *words[1:]))
+        party.sock().sendall(message.encode() + (b"" if words[0] == "part" else b"\n"))
 
     def expect_bus(self, party: Party, words: list[str]) -> None:
-        self.same("" if words == ["end"] else " ".join(words), party.line())
-        party.conn = None if words == ["end"] else party.conn
+        self.assert_equal("" if words == ["end"] else " ".join(words), party.line())
+        party.connection = None if words == ["end"] else party.connection
 
     def end(self) -> str:
         """Ends the process if it still runs; what it logged."""
@@ -458,7 +458,7 @@
             self.process.kill()
             self.process.wait()
         for party in self.parties.values():
-            for sock in (party.listening, party.conn):
+            for sock in (party.listening, party.connection):
                 if sock is not None:
                     sock.close()
         self.broker.drop()
@@ -476,17 +476,17 @@
     assert "greenlet-died" not in log and "module-fault" not in log, log
 
 
-def invoker(folder: Path, *failing: str, **kind: Any) -> AbstractContextManager[Scene]:
+def invoker(folder: Path, *failing: str, **options: Any) -> AbstractContextManager[Scene]:
     """A scene whose invoker has come up while these calls failed, and whose further faults the test tells."""
     shim = FaultShim(folder)
-    for told in failing:
-        shim.tell(["fail", *told.split()])
-    return ending(Scene(folder, shim=shim, **kind))
+    for fault in failing:
+        shim.tell(["fail", *fault.split()])
+    return ending(Scene(folder, shim=shim, **options))
 
 
-def run(folder: Path, text: str, seen: dict[str, str] | None = None, **kind: Any) -> str:
-    """Plays one scenario against an invoker of its own; what it logged. `seen` gets the HTTP's bodies."""
-    with ending(Scene(folder, **kind)) as scene:
-        scene.bodies = {} if seen is None else seen
+def run(folder: Path, text: str, bodies: dict[str, str] | None = None, **options: Any) -> str:
+    """Plays one scenario against an invoker of its own; what it logged. `bodies` gets the HTTP's bodies."""
+    with ending(Scene(folder, **options)) as scene:
+        scene.bodies = {} if bodies is None else bodies
         scene.play(text)
     return scene.log()
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -41,28 +41,32 @@
 from .rig import SETTINGS
 
 CALL = Call("0" * 16, 0, "f", 1e18)
-BINDING: list[Task] = [AttemptTask(1, 1e18, 0.0, call=CALL), ProbeTask(1, 1e18, 0.0), OrderTask(1, 1e18, 0.0)]
-ASK = OrderTask(1, 1e18, 0.0, copies=0)
+NEW_WORK: list[Task] = [
+    AttemptTask(1, 1e18, 0.0, call=CALL),
+    ProbeTask(1, 1e18, 0.0),
+    OrderTask(1, 1e18, 0.0),
+]
+PROBE = OrderTask(1, 1e18, 0.0, copies=0)
 IDS = st.sampled_from("abcd")
 
 
-class Quiet(Log):
+class NullLog(Log):
     def put(self, now: float, kind: str, text: str, fields: dict[str, object] | None = None) -> None: ...
 
 
-def opened(heard: list[WorkersChanged], limits: Limits | None = None) -> HostListActor:
-    def tell(told: WorkersChanged | WorkerListConfirmed) -> None:
-        assert isinstance(told, WorkersChanged), "nobody confirms the list here"
-        heard.append(told)
+def create_list(received: list[WorkersChanged], limits: Limits | None = None) -> HostListActor:
+    def receive(message: WorkersChanged | WorkerListConfirmed) -> None:
+        assert isinstance(message, WorkersChanged), "nobody confirms the list here"
+        received.append(message)
 
-    return HostListActor(SETTINGS, limits or Limits(), Quiet(), tell, lambda e: None, Metrics())
+    return HostListActor(SETTINGS, limits or Limits(), NullLog(), receive, lambda e: None, Metrics())
 
 
-def ban(actor: HostListActor, id: str, on: bool, known: bool = False) -> bool:
-    told: AsyncResult = AsyncResult()
-    actor.receive(Ban(id, on, told, known))
-    done: bool = told.get(block=False)
-    return done
+def ban(actor: HostListActor, id: str, banned: bool, from_peer: bool = False) -> bool:
+    reply: AsyncResult = AsyncResult()
+    actor.receive(Ban(id, banned, reply, from_peer))
+    result: bool = reply.get(block=False)
+    return result
 
 
 class Bans(RuleBasedStateMachine):
@@ -71,83 +75,91 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.words: dict[str, Server] = {}
+        self.listed_servers: dict[str, Server] = {}
         self.banned: set[str] = set()
-        self.heard: list[WorkersChanged] = []
-        self.seen: dict[int, i.WorkerEntry] = {}  # what the module knows
-        self.kept: set[str] = set()  # what the next process would know
-        self.actor = opened(self.heard)
-        self.actor.on_ban_changed = lambda id, on: self.kept.add(id) if on else self.kept.discard(id)
+        self.received: list[WorkersChanged] = []
+        self.module_entries: dict[int, i.WorkerEntry] = {}  # what the module knows
+        self.stored: set[str] = set()  # what the next process would know
+        self.actor = create_list(self.received)
+        self.actor.on_ban_changed = lambda id, on: self.stored.add(id) if on else self.stored.discard(id)
         self.offset = self.events = 0
 
-    def drain(self, id: str) -> i.WorkerStatus:
-        listed = STATUS_BY_STATE[self.words[id].state]
+    def expected_status(self, id: str) -> i.WorkerStatus:
+        listed = STATUS_BY_STATE[self.listed_servers[id].state]
         return i.WorkerStatus.DRAINING if id in self.banned and listed is i.WorkerStatus.UP else listed
 
-    def say(self, server: Server) -> None:
-        for id, other in self.words.items():
+    def record_listed(self, server: Server) -> None:
+        for id, other in self.listed_servers.items():
             if id != server.id and server.state != "left" and other.addr == server.addr:
-                self.words[id] = Server(id, other.addr, "left")
-        self.words[server.id] = server
+                self.listed_servers[id] = Server(id, other.addr, "left")
+        self.listed_servers[server.id] = server
 
     @rule(banned=st.sets(IDS))
     @precondition(lambda self: not self.events)
-    def begin(self, banned: set[str]) -> None:
+    def load_initial(self, banned: set[str]) -> None:
         """Bans of an earlier process, for ids that are not listed yet."""
         self.actor.load_initial(KnownEvents(), banned)
-        self.banned, self.kept, self.events = set(banned), set(banned), self.events + 1
+        self.banned, self.stored, self.events = set(banned), set(banned), self.events + 1
 
     @rule(
-        said=st.lists(
+        entries=st.lists(
             st.tuples(IDS, st.integers(1, 3), st.sampled_from(list(STATUS_BY_STATE)), st.integers(0, 3)),
             max_size=3,
             unique_by=(lambda s: s[0], lambda s: s[1]),
         ),
         full=st.booleans(),
     )
-    def listed(self, said: list[tuple[str, int, str, int]], full: bool) -> None:
+    def list_servers(self, entries: list[tuple[str, int, str, int]], full: bool) -> None:
         """Listed, drained, gone, back, restarted, moved, or at the address of another."""
-        servers = [Server(id, f"127.0.0.1:{port}", state, started_ms=at) for id, port, state, at in said]
+        servers = [Server(id, f"127.0.0.1:{port}", state, started_ms=at) for id, port, state, at in entries]
         if full:
-            self.words = {id: Server(id, s.addr, "left") for id, s in self.words.items()}
+            self.listed_servers = {id: Server(id, s.addr, "left") for id, s in self.listed_servers.items()}
         for server in servers:
-            self.say(server)
+            self.record_listed(server)
         self.offset, self.events = self.offset + 1, self.events + 1
         self.actor.receive(EventReceived(BusEvent(self.offset, Topology(servers, full=full))))
 
-    @rule(id=IDS, on=st.booleans(), elsewhere=st.booleans())
-    def switched(self, id: str, on: bool, elsewhere: bool) -> None:
+    @rule(id=IDS, banned=st.booleans(), at_peer=st.booleans())
+    def switch_ban(self, id: str, banned: bool, at_peer: bool) -> None:
         """By an operator here, or at the other process of an upgrade."""
-        known = elsewhere or id in self.words or id in self.banned
-        tells = on != (id in self.banned) and id in self.words and self.words[id].state != "left"
-        assert ban(self.actor, id, on, elsewhere) == known
+        known = at_peer or id in self.listed_servers or id in self.banned
+        is_reported = (
+            banned != (id in self.banned)
+            and id in self.listed_servers
+            and self.listed_servers[id].state != "left"
+        )
+        assert ban(self.actor, id, banned, at_peer) == known
         if known:
-            (self.banned.add if on else self.banned.discard)(id)
-        self.events += tells
-        assert not tells or [e.worker for e in self.heard[-1].event.workers] == [number(id)]
+            (self.banned.add if banned else self.banned.discard)(id)
+        self.events += is_reported
+        assert not is_reported or [e.worker for e in self.received[-1].event.workers] == [number(id)]
 
     @invariant()
-    def the_module_knows_what_the_model_says(self) -> None:
-        assert self.actor.bans() == sorted(self.banned) == sorted(self.kept)
-        assert len(self.heard) == self.events
-        for listed in self.heard[self.events - 1 :]:
+    def module_matches_model(self) -> None:
+        assert self.actor.bans() == sorted(self.banned) == sorted(self.stored)
+        assert len(self.received) == self.events
+        for listed in self.received[self.events - 1 :]:
             if listed.event.scope is not i.ListScope.CHANGES:
-                self.seen = {}
-            self.seen |= {e.worker: e for e in listed.event.workers}
+                self.module_entries = {}
+            self.module_entries |= {e.worker: e for e in listed.event.workers}
         seen = {
-            w: (e.status, e.start_stamp) for w, e in self.seen.items() if e.status is not i.WorkerStatus.GONE
+            w: (e.status, e.start_stamp)
+            for w, e in self.module_entries.items()
+            if e.status is not i.WorkerStatus.GONE
+        }
+        live = [id for id in self.listed_servers if self.expected_status(id) is not i.WorkerStatus.GONE]
+        assert seen == {
+            number(id): (self.expected_status(id), self.listed_servers[id].started_ms or None) for id in live
         }
-        live = [id for id in self.words if self.drain(id) is not i.WorkerStatus.GONE]
-        assert seen == {number(id): (self.drain(id), self.words[id].started_ms or None) for id in live}
         figures = self.actor.metrics
         assert (figures.pool_size, figures.banned) == (len(live), len(self.banned.intersection(live)))
 
     @invariant()
-    def the_hosts_take_what_the_model_says(self) -> None:
-        assert {id for id, w in self.words.items() if w.state != "left"} == set(self.actor.hosts)
-        for id, (standing, _) in self.actor.hosts.items():
-            up = self.drain(id) is i.WorkerStatus.UP
-            assert [standing.accepts(task) for task in BINDING] == [up] * 3 and standing.accepts(ASK)
+    def hosts_match_model(self) -> None:
+        assert {id for id, w in self.listed_servers.items() if w.state != "left"} == set(self.actor.hosts)
+        for id, (status, _) in self.actor.hosts.items():
+            up = self.expected_status(id) is i.WorkerStatus.UP
+            assert [status.accepts(task) for task in NEW_WORK] == [up] * 3 and status.accepts(PROBE)
 
     def teardown(self) -> None:
         for id in list(self.actor.hosts):
@@ -160,7 +172,7 @@
 
 
 def test_ids_that_are_gone_are_remembered_up_to_a_bound_and_banned_ones_for_ever() -> None:
-    actor = opened([], replace(Limits(), ids_remembered=3))
+    actor = create_list([], replace(Limits(), ids_remembered=3))
     for n, id in enumerate("abcdef"):
         for state in ("active", "left"):
             server = Server(id, f"127.0.0.1:{n + 1}", state)
@@ -171,9 +183,9 @@
 
 
 def test_a_list_that_has_no_time_is_said_to_be_busy_within_a_second() -> None:
-    stuck, full = opened([]), opened([], replace(Limits(), list_mailbox=0))
+    stuck, full = create_list([]), create_list([], replace(Limits(), list_mailbox=0))
     for actor in (stuck, full):
-        admin = AdminServer(("", 0), Metrics(), bool, actor.try_send, Limits(), Quiet())
+        admin = AdminServer(("", 0), Metrics(), bool, actor.try_send, Limits(), NullLog())
         with gevent.Timeout(0.95), pytest.raises(Busy):
             admin.disable("a")
     assert [len(actor.mailbox) for actor in (stuck, full)] == [1, 0]
--- a/tests/test_budgets_faults.py
+++ b/tests/test_budgets_faults.py
@@ -179,7 +179,7 @@
 
 def test_settle_against_expiry_in_all_orders() -> None:
     counts = interleave.explore(lambda: Expiry(Parts()))
-    assert counts.whole and counts.states > 300
+    assert counts.complete and counts.states > 300
 
 
 @pytest.mark.parametrize(
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -39,10 +39,10 @@
 @WAYS
 def test_client_leaves_behind_an_answer_it_does_not_read(how: str) -> None:
     with connected() as c:
-        c.ask(1, 2)
-        c.block(1)
+        c.send_calls(1, 2)
+        c.block_output(1)
         leave(c.sock, how)
-        until(lambda: c.core.offered[2].abandoned, "abandoned")
+        until(lambda: c.core.calls[2].abandoned, "abandoned")
         until(lambda: c.core.withdrawn == [2], "withdrawn")
         assert c.actor.outgoing.unsent == []
 
@@ -52,24 +52,24 @@
 def test_lines_before_the_end_are_dropped_while_the_actor_waits(how: str, behind: int) -> None:
     with connected() as c:
         c.core.gate.clear()
-        c.ask(1)
+        c.send_calls(1)
         c.send(*(line(n) for n in range(2, 2 + behind)))
         until(lambda: len(c.actor.mailbox) == min(behind, 16), "lines in the mailbox")
         leave(c.sock, how)
-        until(lambda: c.core.offered[1].abandoned, "abandoned")
+        until(lambda: c.core.calls[1].abandoned, "abandoned")
         c.core.gate.set()
         assert c.gone.wait(10)
-        assert list(c.core.offered) == c.core.withdrawn == [1]
+        assert list(c.core.calls) == c.core.withdrawn == [1]
 
 
 def test_give_up_and_new_calls_behind_an_answer_that_cannot_be_written() -> None:
     with connected() as c:
-        c.ask(1, 2, 3)
-        c.block(1)
+        c.send_calls(1, 2, 3)
+        c.block_output(1)
         c.send(line(2, "giveUp"))
         until(lambda: c.core.withdrawn == [2], "withdrawn")
-        assert c.core.offered[2].abandoned and not c.core.offered[3].abandoned
-        c.ask(4)
+        assert c.core.calls[2].abandoned and not c.core.calls[3].abandoned
+        c.send_calls(4)
         c.answer(2)
         c.answer(4, b"4")
         c.answer(3, b"")
@@ -79,8 +79,8 @@
 def test_hand_over_waits_until_all_is_written_in_order() -> None:
     with connected() as c:
         handed: list[socket.socket] = []
-        c.ask(1, 2)
-        c.block(1)
+        c.send_calls(1, 2)
+        c.block_output(1)
         c.answer(2)
         c.actor.try_send(TransferWhenIdle(lambda sock, name: handed.append(sock)))
         until(lambda: not c.actor.open and not c.actor.mailbox, "nothing open")
@@ -99,7 +99,7 @@
         handed: list[socket.socket] = []
         c.core.answers = True
         c.core.gate.clear()
-        c.ask(1)
+        c.send_calls(1)
         c.send(*(line(n, "probe") for n in range(2, 42)))
         until(lambda: len(c.actor.mailbox) == 16 and c.actor.unposted, "a full mailbox")
         c.actor.try_send(
@@ -119,10 +119,10 @@
 )
 def test_client_that_does_not_read_is_lost(limits: dict[str, Any], answers: int) -> None:
     with connected(**limits) as c:
-        c.ask(100)
+        c.send_calls(100)
         for n in range(1, 1 + answers):
-            c.ask(n)
+            c.send_calls(n)
             c.answer(n)
         assert c.gone.wait(10)
         assert c.log.totals == {"client-lost": 1}
-        assert c.core.offered[100].abandoned and 100 in c.core.withdrawn
+        assert c.core.calls[100].abandoned and 100 in c.core.withdrawn
--- a/tests/test_council_disk.py
+++ b/tests/test_council_disk.py
@@ -142,7 +142,7 @@
             except Crash:
                 self.folder.crash()
             except StoreError:
-                self.folder.fail.clear()
+                self.folder.faults.clear()
         got = self.life.disk.kept
         fits = [n for n in range(sure, len(self.saved) + 1) if same(got, kept(self.saved[:n]))]
         assert fits, f"{got} is nothing that was saved from {sure} of {len(self.saved)} on"
@@ -191,7 +191,7 @@
 
     @rule(at=st.integers(1, 12), how=st.sampled_from(["crash", "short", errno.ENOSPC, errno.EIO]))
     def fault(self, at: int, how: str | int) -> None:
-        self.folder.fail[self.folder.operations + at] = how
+        self.folder.faults[self.folder.operations + at] = how
 
     @rule(full=st.booleans())
     def room(self, full: bool) -> None:
@@ -205,7 +205,7 @@
     @rule()
     def well(self) -> None:
         """All that waits gets there."""
-        self.folder.fail.clear()
+        self.folder.faults.clear()
         self.speed(False)
         self.turn()
         assert self.life.told == self.life.numbered and self.before + self.life.told == len(self.saved)
@@ -258,7 +258,7 @@
     folder = Folder(1)
     life = Life(folder)
     life.save(*entries(1, 3))
-    folder.fail[folder.operations + 4] = errno.EIO  # the sync: all goes to a fresh segment
+    folder.faults[folder.operations + 4] = errno.EIO  # the sync: all goes to a fresh segment
     life.settle()
     assert life.failed == ["[Errno 5] EIO"] and life.told == 3
     folder.failing_sync = True
@@ -348,7 +348,7 @@
         life = Life(folder)
         life.save(Hard(1, ME), *entries(1, 3))
         life.settle()
-        folder.fail[folder.operations + 2] = "crash"
+        folder.faults[folder.operations + 2] = "crash"
         life.save(*entries(4, 10))
         life.settle()
         again = Life(after_cut(life, folder))
--- a/tests/test_discovery_crossings.py
+++ b/tests/test_discovery_crossings.py
@@ -28,11 +28,11 @@
 
 from .rig import SETTINGS
 
-PATIENCE = 20.0  # seconds until a step that should come soon is held to have failed
+TIMEOUT_S = 20.0  # seconds until a step that should come soon is held to have failed
 UP, DRAINING, GONE = i.WorkerStatus.UP, i.WorkerStatus.DRAINING, i.WorkerStatus.GONE
 
 
-class Lines(Log):
+class RecordingLog(Log):
     """Keeps what is logged, as `kind text`."""
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
     def __call__(self, kind: str, text: str = "", **fields: object) -> None:
         self.lines.append(f"{kind} {text}")
 
-    def of(self, kind: str) -> list[str]:
+    def of_kind(self, kind: str) -> list[str]:
         return [line for line in self.lines if line.split()[0] == kind]
 
 
@@ -64,60 +64,65 @@
         self.listening = socket.socket()
         self.listening.bind(("127.0.0.1", 0))
         self.listening.listen()
-        self.listening.settimeout(PATIENCE)
+        self.listening.settimeout(TIMEOUT_S)
         self.conn: Any = None
 
-    def asked(self) -> str:
+    def accept_request(self) -> str:
         """Takes the next connection; what it asks for."""
         self.conn, _ = self.listening.accept()
-        self.conn.settimeout(PATIENCE)
+        self.conn.settimeout(TIMEOUT_S)
         asked: bytes = self.conn.makefile("rb").readline()
         return asked.decode().strip()
 
-    def say_until_lost(self, data: bytes, every_s: float) -> None:
+    def send_until_closed(self, data: bytes, every_s: float) -> None:
         """The same again and again, until the follower closes."""
-        with pytest.raises(OSError), gevent.Timeout(PATIENCE):
+        with pytest.raises(OSError), gevent.Timeout(TIMEOUT_S):
             while True:
                 self.conn.sendall(data)
                 gevent.sleep(every_s)
 
-    def ended(self) -> bool:
+    def is_closed(self) -> bool:
         try:
             return not self.conn.recv(1)
         except ConnectionResetError:
             return True
 
 
-class Watch:
+class WatchedBus:
     """A follower between a bus and a list that takes events only while `gate` is open."""
 
-    def __init__(self, last: int = 1, **limits: Any) -> None:
-        usual: dict[str, Any] = {"bus_backoff_ms": 10.0, "bus_quiet_ms": 5000.0} | limits
-        self.bus, self.told, self.log, self.gate = (
+    def __init__(self, last_offset: int = 1, **limits: Any) -> None:
+        changed: dict[str, Any] = {"bus_backoff_ms": 10.0, "bus_quiet_ms": 5000.0} | limits
+        self.bus, self.received, self.log, self.accepting = (
             Bus(),
             list[EventReceived | ListReplaced](),
-            Lines(),
+            RecordingLog(),
             Event(),
         )
         self.confirmed: list[float] = []
-        self.gate.set()
-        where = self.bus.listening.getsockname()[:2]
-        self.follower = BusFollower(where, last, replace(Limits(), **usual), self.log, self.tell)
+        self.accepting.set()
+        address = self.bus.listening.getsockname()[:2]
+        self.follower = BusFollower(
+            address, last_offset, replace(Limits(), **changed), self.log, self.receive
+        )
         self.follower.start()
 
-    def tell(self, said: EventReceived | ListReplaced | ListConfirmed) -> None:
-        if isinstance(said, ListConfirmed):
-            return self.confirmed.append(said.as_of)
-        self.told.append(said)
-        self.gate.wait()
+    def receive(self, message: EventReceived | ListReplaced | ListConfirmed) -> None:
+        if isinstance(message, ListConfirmed):
+            return self.confirmed.append(message.as_of)
+        self.received.append(message)
+        self.accepting.wait()
 
     def until(self, seen: Callable[[], object]) -> None:
-        with gevent.Timeout(PATIENCE):
+        with gevent.Timeout(TIMEOUT_S):
             while not seen():
                 gevent.sleep(0.002)
 
     def offsets(self) -> list[int]:
-        return [s.event.offset if isinstance(s, EventReceived) else -s.update.offset for s in self.told]
+        return [
+            message.event.offset if isinstance(message, EventReceived) else -message.update.offset
+            for message in self.received
+        ]
 
     def end(self) -> None:
         for greenlet in (self.follower.reader, self.follower.greenlet):
@@ -127,35 +132,35 @@
 
 
 @pytest.fixture
-def watch() -> Iterator[Callable[..., Watch]]:
-    made: list[Watch] = []
+def watch() -> Iterator[Callable[..., WatchedBus]]:
+    watches: list[WatchedBus] = []
 
-    def make(*args: Any, **limits: Any) -> Watch:
-        made.append(Watch(*args, **limits))
-        return made[-1]
+    def make(*args: Any, **limits: Any) -> WatchedBus:
+        watches.append(WatchedBus(*args, **limits))
+        return watches[-1]
 
     yield make
-    for each in made:
-        each.end()
+    for watched in watches:
+        watched.end()
 
 
 @pytest.mark.parametrize("drip", [b"1", b"\n", b" \n", b"{"])
 def test_a_watch_that_sends_bytes_and_no_whole_line_is_made_anew(
-    watch: Callable[..., Watch], drip: bytes
+    watch: Callable[..., WatchedBus], drip: bytes
 ) -> None:
     w = watch(bus_quiet_ms=300.0, bus_line_ms=600.0)
-    assert w.bus.asked() == "from 1"
-    w.bus.say_until_lost(drip, 0.05)
-    assert w.bus.asked() == "from 1" and w.told == []
+    assert w.bus.accept_request() == "from 1"
+    w.bus.send_until_closed(drip, 0.05)
+    assert w.bus.accept_request() == "from 1" and w.received == []
 
 
 def test_blank_lines_that_are_always_there_to_be_read_keep_no_watch_alive(
-    watch: Callable[..., Watch],
+    watch: Callable[..., WatchedBus],
 ) -> None:
     w = watch(bus_quiet_ms=300.0)
-    assert w.bus.asked() == "from 1"
-    w.bus.say_until_lost(b"\n" * 4096, 0)
-    assert w.bus.asked() == "from 1" and w.told == []
+    assert w.bus.accept_request() == "from 1"
+    w.bus.send_until_closed(b"\n" * 4096, 0)
+    assert w.bus.accept_request() == "from 1" and w.received == []
 
 
 def test_a_read_waits_no_longer_than_until_the_line_is_due() -> None:
@@ -167,15 +172,15 @@
         buffer.feed(b" ", 6001.0)
 
 
-def test_a_long_line_may_take_longer_than_a_heartbeat(watch: Callable[..., Watch]) -> None:
+def test_a_long_line_may_take_longer_than_a_heartbeat(watch: Callable[..., WatchedBus]) -> None:
     w = watch(bus_quiet_ms=800.0, bus_line_ms=60_000.0)
-    assert w.bus.asked() == "from 1"
+    assert w.bus.accept_request() == "from 1"
     line = event(2, entry("h1", 1))
     for n in range(len(line)):
         w.bus.conn.sendall(line[n : n + 1])
         gevent.sleep(1.2 / len(line))
     w.until(lambda: w.offsets() == [2])
-    assert not w.log.of("bus-lost")
+    assert not w.log.of_kind("bus-lost")
 
 
 @pytest.mark.parametrize(
@@ -190,13 +195,13 @@
     ],
 )
 def test_a_watch_that_is_lost_again_and_again_is_made_anew_with_growing_bounded_pauses(
-    watch: Callable[..., Watch], said: bytes, closes: bool
+    watch: Callable[..., WatchedBus], said: bytes, closes: bool
 ) -> None:
     """It ends, names events that never come, or falls silent with its connection open."""
     w = watch(bus_quiet_ms=60_000.0 if closes or b"9" in said else 200.0, bus_backoff_most_ms=60.0)
     pauses = []
     for _ in range(5):
-        assert w.bus.asked() == "from 1"
+        assert w.bus.accept_request() == "from 1"
         pauses.append(w.follower.backoff_ms)
         w.bus.conn.sendall(said)
         if closes:
@@ -204,82 +209,90 @@
     assert pauses == [10.0, 20.0, 40.0, 60.0, 60.0]
 
 
-def test_a_watch_that_falls_silent_late_is_followed_from_its_last_event(watch: Callable[..., Watch]) -> None:
+def test_a_watch_that_falls_silent_late_is_followed_from_its_last_event(
+    watch: Callable[..., WatchedBus],
+) -> None:
     w = watch(bus_quiet_ms=300.0)
-    assert w.bus.asked() == "from 1"
+    assert w.bus.accept_request() == "from 1"
     w.bus.conn.sendall(event(2, entry("h1", 1)) + b"2\n")
-    assert w.bus.ended() and w.bus.asked() == "from 2" and w.offsets() == [2]
+    assert w.bus.is_closed() and w.bus.accept_request() == "from 2" and w.offsets() == [2]
 
 
 # --- a move ---
 
 
-def test_a_move_drops_the_half_line_and_asks_from_the_last_whole_event(watch: Callable[..., Watch]) -> None:
+def test_a_move_drops_the_half_line_and_asks_from_the_last_whole_event(
+    watch: Callable[..., WatchedBus],
+) -> None:
     w, other = watch(), Bus()
-    assert w.bus.asked() == "from 1"
+    assert w.bus.accept_request() == "from 1"
     w.bus.conn.sendall(event(2, entry("h1", 1)) + event(3, entry("old", 2))[:30])
     w.until(lambda: w.offsets() == [2])
     w.follower.change_address(other.listening.getsockname()[:2])
-    assert other.asked() == "from 2" and w.bus.ended()
+    assert other.accept_request() == "from 2" and w.bus.is_closed()
     other.conn.sendall(event(3, entry("new", 2)))
     w.until(lambda: w.offsets() == [2, 3])
-    assert isinstance(said := w.told[1], EventReceived) and said.event.topology is not None
+    assert isinstance(said := w.received[1], EventReceived) and said.event.topology is not None
     assert [s.id for s in said.event.topology.servers] == ["new"]
 
 
-def test_a_line_queued_behind_a_move_is_dropped_and_one_before_it_counts(watch: Callable[..., Watch]) -> None:
+def test_a_line_queued_behind_a_move_is_dropped_and_one_before_it_counts(
+    watch: Callable[..., WatchedBus],
+) -> None:
     w, other = watch(), Bus()
-    assert w.bus.asked() == "from 1"
-    w.gate.clear()
+    assert w.bus.accept_request() == "from 1"
+    w.accepting.clear()
     w.bus.conn.sendall(event(2) + event(3))
-    w.until(lambda: w.told and len(w.follower.mailbox) == 1)  # 2 is in hand, 3 is queued
+    w.until(lambda: w.received and len(w.follower.mailbox) == 1)  # 2 is in hand, 3 is queued
     w.follower.change_address(other.listening.getsockname()[:2])
     w.bus.conn.sendall(event(4))
     w.until(lambda: len(w.follower.mailbox) == 3)
-    w.gate.set()
-    assert other.asked() == "from 3"
+    w.accepting.set()
+    assert other.accept_request() == "from 3"
     other.conn.sendall(event(5))
-    w.until(lambda: len(w.told) == 3)
+    w.until(lambda: len(w.received) == 3)
     assert w.offsets() == [2, 3, 5]
 
 
 # --- a bus that numbers anew ---
 
-ANEW = event(1, entry("h1", 1), entry("h2", 2), full=True) + event(2, entry("h2", 2, "left"), entry("h3", 3))
+RENUMBERED = event(1, entry("h1", 1), entry("h2", 2), full=True) + event(
+    2, entry("h2", 2, "left"), entry("h3", 3)
+)
 
 
 def test_a_bus_that_numbers_anew_is_fetched_from_its_first_event_and_taken_as_one_list(
-    watch: Callable[..., Watch],
+    watch: Callable[..., WatchedBus],
 ) -> None:
     w = watch(5, bus_anew_ms=300.0)
-    assert w.bus.asked() == "from 5"
-    w.bus.say_until_lost(event(3, entry("old", 9)) + b"2\n", 0.02)
-    assert w.bus.asked() == "from 0"
-    w.bus.conn.sendall(ANEW)
+    assert w.bus.accept_request() == "from 5"
+    w.bus.send_until_closed(event(3, entry("old", 9)) + b"2\n", 0.02)
+    assert w.bus.accept_request() == "from 0"
+    w.bus.conn.sendall(RENUMBERED)
     w.bus.conn.close()  # before it has named its number: nothing may be taken yet
-    assert w.bus.asked() == "from 0" and w.told == []
-    w.bus.conn.sendall(ANEW + b"2\n" + event(2, entry("old", 9)) + event(3, entry("h4", 4)))
+    assert w.bus.accept_request() == "from 0" and w.received == []
+    w.bus.conn.sendall(RENUMBERED + b"2\n" + event(2, entry("old", 9)) + event(3, entry("h4", 4)))
     w.until(lambda: w.offsets() == [-2, 3])
-    assert isinstance(said := w.told[0], ListReplaced)
+    assert isinstance(said := w.received[0], ListReplaced)
     assert said.update.is_full and {s.id: s.addr[-1] for s in said.update.servers.values()} == {
         "h1": "1",
         "h3": "3",
     }
 
 
-def events_into(told: list[Any]) -> Callable[[object], None]:
+def events_into(received: list[Any]) -> Callable[[object], None]:
     """Keeps what tells of the list, and not that it is confirmed."""
-    return lambda said: None if isinstance(said, ListConfirmed) else told.append(said)
+    return lambda message: None if isinstance(message, ListConfirmed) else received.append(message)
 
 
 def followed(patch: pytest.MonkeyPatch, last: int) -> tuple[BusFollower, list[Any], list[float]]:
     """A follower without a reader, under a clock of the test."""
-    clock, told = [0.0], list[Any]()
+    clock, received = [0.0], list[Any]()
     patch.setattr(bus_follower, "now_ms", lambda: clock[0])
     patch.setattr(bus_follower, "spawn", lambda *reader: None)
-    follower = BusFollower(("", 1), last, Limits(), Lines(), events_into(told))
+    follower = BusFollower(("", 1), last, Limits(), RecordingLog(), events_into(received))
     follower.connect(0.0)
-    return follower, told, clock
+    return follower, received, clock
 
 
 @pytest.mark.parametrize("between", [b"5", event(6), event(3)])
@@ -331,7 +344,7 @@
     for at in (0.0, 8000.0):
         clock[0] = at
         follower.receive(LineReceived(follower.connection, b"2"))
-    first, second = ANEW.splitlines()
+    first, second = RENUMBERED.splitlines()
     old = follower.connection
     for message in (
         LineReceived(old, first),
@@ -348,7 +361,7 @@
 
 # --- how old the list is ---
 
-CONFIRMED: dict[str, tuple[list[tuple[float, bytes]], list[float]]] = {
+CONFIRMATIONS: dict[str, tuple[list[tuple[float, bytes]], list[float]]] = {
     "the first heartbeat tells no more than of the connection": ([(900.0, b"5")], [0.0]),
     "each further one tells of a second more": ([(900.0, b"5"), (1900.0, b"5")], [0.0, 1000.0]),
     "late ones that come together are as old as they are": ([(6000.0, b"5")] * 3, [0.0, 1000.0, 2000.0]),
@@ -367,11 +380,11 @@
 }
 
 
-@pytest.mark.parametrize("case", CONFIRMED)
+@pytest.mark.parametrize("case", CONFIRMATIONS)
 def test_a_heartbeat_with_our_last_number_confirms_the_list_as_of_when_it_may_have_been_written(
     monkeypatch: pytest.MonkeyPatch, case: str
 ) -> None:
-    lines, expected = CONFIRMED[case]
+    lines, expected = CONFIRMATIONS[case]
     follower, _, clock = followed(monkeypatch, 5)
     heard: list[Any] = []
     follower.send_to_list = heard.append
@@ -404,37 +417,37 @@
 # --- the list ---
 
 
-class List:
+class DrivenList:
     """The list's actor, driven by lines of the bus; `module` is what the module knows."""
 
     def __init__(self) -> None:
-        self.log, self.module, self.ports = Lines(), dict[int, i.WorkerEntry](), dict[int, Any]()
+        self.log, self.module, self.ports = RecordingLog(), dict[int, i.WorkerEntry](), dict[int, Any]()
         self.confirmed: list[i.ListConfirmed] = []
-        told = self.tell
-        self.actor = HostListActor(SETTINGS, Limits(), self.log, told, lambda ended: None, Metrics())
+        receive = self.receive
+        self.actor = HostListActor(SETTINGS, Limits(), self.log, receive, lambda ended: None, Metrics())
         self.offset = 0
 
-    def tell(self, listed: WorkersChanged | WorkerListConfirmed) -> None:
-        if isinstance(listed, WorkerListConfirmed):
-            return self.confirmed.append(listed.event)
-        workers = [e.worker for e in listed.event.workers]
+    def receive(self, message: WorkersChanged | WorkerListConfirmed) -> None:
+        if isinstance(message, WorkerListConfirmed):
+            return self.confirmed.append(message.event)
+        workers = [e.worker for e in message.event.workers]
         assert len(workers) == len(set(workers)), "two words on one host"
-        if listed.event.scope is not i.ListScope.CHANGES:
+        if message.event.scope is not i.ListScope.CHANGES:
             self.module, self.ports = {}, {}
-        self.ports |= listed.ports
-        self.module |= {e.worker: e for e in listed.event.workers}
+        self.ports |= message.ports
+        self.module |= {e.worker: e for e in message.event.workers}
         self.module = {w: e for w, e in self.module.items() if e.status is not GONE}
 
-    def say(self, *servers: Any, full: bool = False) -> None:
+    def send_event(self, *servers: Any, full: bool = False) -> None:
         self.offset += 1
-        said = decode_line(event(self.offset, *servers, full=full))
-        assert isinstance(said, EventReceived)
-        self.actor.receive(said)
+        message = decode_line(event(self.offset, *servers, full=full))
+        assert isinstance(message, EventReceived)
+        self.actor.receive(message)
 
     def state(self) -> dict[str, tuple[i.WorkerStatus, int]]:
         """Drain and port of each host; the module and the hosts' actors agree on them."""
         hosts = self.actor.hosts
-        state = {id: (standing.state, standing.address[1]) for id, (standing, _) in hosts.items()}
+        state = {id: (status.state, status.address[1]) for id, (status, _) in hosts.items()}
         assert {worker_number(id): drain for id, (drain, _) in state.items()} == {
             worker: e.status for worker, e in self.module.items()
         }
@@ -444,18 +457,18 @@
 
 
 @pytest.fixture
-def listed() -> Iterator[List]:
+def listed() -> Iterator[DrivenList]:
     """A list of h1 and h2."""
-    made = List()
-    made.say(entry("h1", 1), entry("h2", 2), full=True)
-    yield made
-    for id in list(made.actor.hosts):
-        made.actor.remove_host(id, immediately=True)
+    driven = DrivenList()
+    driven.send_event(entry("h1", 1), entry("h2", 2), full=True)
+    yield driven
+    for id in list(driven.actor.hosts):
+        driven.actor.remove_host(id, immediately=True)
     gevent.sleep(0)
 
 
 BOTH = {"h1": (UP, 1), "h2": (UP, 2)}
-SPOILT: dict[str, tuple[str, Any]] = {
+INVALID_FIELDS: dict[str, tuple[str, Any]] = {
     "a label too long": ("addr", "a" * 64 + ".tn:1"),
     "an empty label": ("addr", "a..tn:1"),
     "a name too long": ("addr", "a." * 200 + "tn:1"),
@@ -478,44 +491,44 @@
 
 
 @pytest.mark.parametrize("full", [False, True])
-@pytest.mark.parametrize("case", SPOILT)
+@pytest.mark.parametrize("case", INVALID_FIELDS)
 def test_a_spoilt_entry_is_named_once_and_its_host_keeps_its_former_state(
-    listed: List, case: str, full: bool
+    listed: DrivenList, case: str, full: bool
 ) -> None:
-    field, value = SPOILT[case]
+    field, value = INVALID_FIELDS[case]
     spoilt = entry("h1", 1, "leaving") | {field: value}
     if isinstance(value, float):  # what JSON can't say comes from a reader that is less strict
         servers = [Server(**spoilt), Server(**entry("h3", 3))]
         listed.actor.receive(EventReceived(BusEvent(2, Topology(servers, full=full))))
     else:
-        listed.say(spoilt, entry("h3", 3), full=full)
+        listed.send_event(spoilt, entry("h3", 3), full=full)
     assert listed.state() == {"h1": (UP, 1), "h3": (UP, 3)} | ({} if full else {"h2": (UP, 2)})
-    (line,) = listed.log.of("bad-event")
+    (line,) = listed.log.of_kind("bad-event")
     assert line.startswith("bad-event event 2: model host 'h1': ") and len(line) < 400
     assert f"h1': {field}: " in line or "entry: " in line
 
 
 @pytest.mark.parametrize("id", ["", "h" * 257, 7, None])
-def test_a_whole_list_with_an_entry_that_names_no_host_strikes_none(listed: List, id: Any) -> None:
-    listed.say(entry("h3", 3), entry("x", 9) | {"id": id}, full=True)
-    assert listed.state() == BOTH | {"h3": (UP, 3)} and len(listed.log.of("bad-event")) == 1
+def test_a_whole_list_with_an_entry_that_names_no_host_strikes_none(listed: DrivenList, id: Any) -> None:
+    listed.send_event(entry("h3", 3), entry("x", 9) | {"id": id}, full=True)
+    assert listed.state() == BOTH | {"h3": (UP, 3)} and len(listed.log.of_kind("bad-event")) == 1
 
 
-def test_an_unknown_zone_is_named_and_the_host_is_heard_all_the_same(listed: List) -> None:
+def test_an_unknown_zone_is_named_and_the_host_is_heard_all_the_same(listed: DrivenList) -> None:
     """The settings may name it only at the next SIGHUP; a host that drains there has to get nothing new."""
-    listed.say(entry("h1", 1, "leaving", zone="nowhere", kind="odd"))
+    listed.send_event(entry("h1", 1, "leaving", zone="nowhere", kind="odd"))
     assert listed.state() == BOTH | {"h1": (DRAINING, 1)}
-    (line,) = listed.log.of("bad-event")
+    (line,) = listed.log.of_kind("bad-event")
     assert "event 2: model host 'h1': zone: 'nowhere'" in line
 
 
 @pytest.mark.parametrize("full", [False, True])
 def test_a_host_whose_entry_was_spoilt_is_confirmed_by_its_next_good_one_alone(
-    listed: List, full: bool
+    listed: DrivenList, full: bool
 ) -> None:
-    listed.say(entry("h1", 1, "?"), entry("h2", 2), full=full)
+    listed.send_event(entry("h1", 1, "?"), entry("h2", 2), full=full)
     listed.actor.receive(ListConfirmed(5.0))
-    listed.say(entry("h1", 1))
+    listed.send_event(entry("h1", 1))
     listed.actor.receive(ListConfirmed(6.0))
     assert listed.confirmed == [
         i.ListConfirmed(5.0, frozenset({worker_number("h1")})),
@@ -524,27 +537,27 @@
 
 
 def test_an_entry_that_may_have_meant_any_host_keeps_the_list_unconfirmed_until_a_whole_one(
-    listed: List,
+    listed: DrivenList,
 ) -> None:
-    listed.say(entry("", 1))
+    listed.send_event(entry("", 1))
     listed.actor.receive(ListConfirmed(5.0))
-    listed.say(entry("h1", 1))
+    listed.send_event(entry("h1", 1))
     listed.actor.receive(ListConfirmed(6.0))
     assert listed.confirmed == []
-    listed.say(entry("h1", 1), full=True)
+    listed.send_event(entry("h1", 1), full=True)
     listed.actor.receive(ListConfirmed(7.0))
     assert listed.confirmed == [i.ListConfirmed(7.0)]
 
 
 def test_the_list_of_the_start_is_as_old_as_the_file_that_holds_it() -> None:
-    made = List()
+    made = DrivenList()
     made.actor.load_initial(KnownEvents(1, [BusEvent(1, Topology([Server(**entry("h1", 1))]))]), as_of=5.0)
     assert made.confirmed == [i.ListConfirmed(5.0 - PROPAGATION_DELAY_MS)]
     made.actor.remove_host("h1", immediately=True)
     gevent.sleep(0)
 
 
-WHOLE: dict[str, tuple[list[Any], dict[str, tuple[i.WorkerStatus, int]]]] = {
+FULL_LISTS: dict[str, tuple[list[Any], dict[str, tuple[i.WorkerStatus, int]]]] = {
     "lacks a host": ([entry("h2", 2)], {"h2": (UP, 2)}),
     "is empty": ([], {}),
     "can't be read in any entry": ([entry("h1", 1, "?"), entry("h2", 99999), 7], BOTH),
@@ -555,11 +568,13 @@
 }
 
 
-@pytest.mark.parametrize("case", WHOLE)
-def test_a_whole_list_says_who_is_there_and_a_spoilt_one_changes_nothing(listed: List, case: str) -> None:
-    servers, expected = WHOLE[case]
+@pytest.mark.parametrize("case", FULL_LISTS)
+def test_a_whole_list_says_who_is_there_and_a_spoilt_one_changes_nothing(
+    listed: DrivenList, case: str
+) -> None:
+    servers, expected = FULL_LISTS[case]
     before = {id: actor for id, (_, actor) in listed.actor.hosts.items()}
-    listed.say(*servers, full=True)
+    listed.send_event(*servers, full=True)
     assert listed.state() == expected
     assert all(listed.actor.hosts[id][1] is before[id] for id in expected)
 
@@ -567,7 +582,7 @@
 def test_a_whole_list_crosses_a_change_by_its_offset_alone(monkeypatch: pytest.MonkeyPatch) -> None:
     """An old or repeated one changes nothing, a newer one everything."""
     follower, told, _ = followed(monkeypatch, 2)
-    made = List()
+    made = DrivenList()
     for line in (
         event(3, entry("h1", 1)),
         event(2, entry("h2", 2), full=True),
@@ -584,7 +599,7 @@
 
 
 # one event, in either order of its entries, to a list of h1 at 1 and h2 at 2
-TOGETHER: dict[str, tuple[list[Any], dict[str, tuple[i.WorkerStatus, int]]]] = {
+SIMULTANEOUS_CHANGES: dict[str, tuple[list[Any], dict[str, tuple[i.WorkerStatus, int]]]] = {
     "left, its address another's": ([entry("h1", 1, "left"), entry("n", 1)], {"n": (UP, 1), "h2": (UP, 2)}),
     "drains, its address another's": (
         [entry("h1", 1, "leaving"), entry("n", 1)],
@@ -596,25 +611,25 @@
 }
 
 
-@pytest.mark.parametrize("turned", [False, True])
-@pytest.mark.parametrize("case", TOGETHER)
+@pytest.mark.parametrize("is_reversed", [False, True])
+@pytest.mark.parametrize("case", SIMULTANEOUS_CHANGES)
 def test_hosts_that_change_places_in_one_event_do_so_in_either_order(
-    listed: List, case: str, turned: bool
+    listed: DrivenList, case: str, is_reversed: bool
 ) -> None:
-    servers, expected = TOGETHER[case]
+    servers, expected = SIMULTANEOUS_CHANGES[case]
     before = {id: listed.actor.hosts[id] for id in listed.actor.hosts}
-    listed.say(*(servers[::-1] if turned else servers))
+    listed.send_event(*(servers[::-1] if is_reversed else servers))
     assert listed.state() == expected
-    for id, (standing, _) in before.items():
-        where = {port: other for other, (_, port) in expected.items()}.get(standing.address[1], id)
-        assert standing.replaced or where == id or standing.state is GONE
+    for id, (status, _) in before.items():
+        successors = {port: other for other, (_, port) in expected.items()}.get(status.address[1], id)
+        assert status.replaced or successors == id or status.state is GONE
     if "n" in expected:
         assert before["h1"][0].replaced
 
 
 @pytest.mark.parametrize("begins", [False, True])
 def test_a_host_gone_and_back_in_one_batch_is_there_and_one_back_and_gone_is_not(begins: bool) -> None:
-    made = List()
+    made = DrivenList()
     steps = [entry("h1", 1), entry("h1", 1, "left"), entry("h1", 1, started_ms=5)]
     steps += [entry("h2", 2, "left"), entry("h2", 2), entry("h2", 2, "left"), entry("h3", 3), entry("h4", 3)]
     servers = [Server(**step) for step in steps]
@@ -630,7 +645,7 @@
 
 
 def test_a_replaced_host_does_not_come_back_where_its_successor_leaves_in_the_same_batch() -> None:
-    made = List()
+    made = DrivenList()
     steps = [entry("h1", 1), entry("h2", 1), entry("h2", 1, "left")]
     batch = [BusEvent(n, Topology([Server(**step)])) for n, step in enumerate(steps)]
     made.actor.load_initial(KnownEvents(2, batch))
@@ -664,8 +679,8 @@
 @settings(max_examples=300, deadline=None)
 @given(said=EVENT | JSON)
 def test_no_json_ends_the_follower_or_the_list_and_what_is_spoilt_changes_nothing(said: Any) -> None:
-    made, told, log = List(), list[Any](), Lines()
-    made.say(entry("h1", 1), entry("h2", 2), full=True)
+    made, told, log = DrivenList(), list[Any](), RecordingLog()
+    made.send_event(entry("h1", 1), entry("h2", 2), full=True)
     before = made.state()
     follower = BusFollower(("", 1), 2, Limits(), log, events_into(told))
     with pytest.MonkeyPatch.context() as patch:
@@ -673,10 +688,10 @@
         follower.connect(0.0)
         for _ in range(2):  # the second time it is left out
             follower.receive(LineReceived(follower.connection, json.dumps(said).encode()))
-    changes = len(made.log.of("list"))
+    changes = len(made.log.of_kind("list"))
     for each in told:
         made.actor.receive(each)
-    assert len(made.log.of("list")) > changes or made.state() == before
+    assert len(made.log.of_kind("list")) > changes or made.state() == before
     assert made.state() is not None
     for id in list(made.actor.hosts):
         made.actor.remove_host(id, immediately=True)
--- a/tests/test_discovery_outage.py
+++ b/tests/test_discovery_outage.py
@@ -21,22 +21,22 @@
 from harrieryoke.lab.hosts import Outage
 from harrieryoke.lab.world import GRACE, World
 
-TOLD_WITHIN = 7000.0  # ms: what the bus has to tell counts as told by then, whether it arrived or not
-CALLS_A_SECOND = 60.0
-AFTER_DEADLINE = 4000.0  # ms of the play behind the last moment at which sends are allowed
+ANNOUNCED_WITHIN_MS = 7000.0  # ms: what the bus has to tell counts as told by then, whether it arrived or not
+CALLS_PER_S = 60.0
+RUN_AFTER_DEADLINE_MS = 4000.0  # ms of the play behind the last moment at which sends are allowed
 
 
-class Play:
+class OutageRun:
     """Half of the hosts drain half a second into an outage and stay up, turning new work away. With `restart`
     the invoker is killed behind the deadline and starts from its old file; else the outage ends at last."""
 
     def __init__(self, folder: Path, outage: Outage | None, restart: bool = False) -> None:
         folder.mkdir()
         self.outage, self.restart = outage, restart
-        self.world = World(folder, seed=3, rate=CALLS_A_SECOND, hosts=6)
-        self.restarted = 0.0
+        self.world = World(folder, seed=3, rate=CALLS_PER_S, hosts=6)
+        self.restarted_at = 0.0
 
-    def trouble(self) -> None:
+    def inject_outage(self) -> None:
         gevent.sleep(4.0)
         if self.outage is not None:
             self.world.bus.begin_outage(self.outage)
@@ -45,31 +45,33 @@
         for host in drained:
             host.state = "leaving"
         self.world.bus.tell(drained)
-        gevent.sleep((TOLD_WITHIN + GRACE + AFTER_DEADLINE) / 1000)
+        gevent.sleep((ANNOUNCED_WITHIN_MS + GRACE + RUN_AFTER_DEADLINE_MS) / 1000)
         if self.restart:
             self.world.kill()
-            self.restarted = now_ms()
+            self.restarted_at = now_ms()
         elif self.outage is not None:
             self.world.bus.end_outage()
 
-    def run(self) -> Play:
-        gevent.spawn(self.trouble)
-        self.world.run(8.5 + (TOLD_WITHIN + GRACE + AFTER_DEADLINE) / 1000, trouble_every=0.0)
-        self.drained = max(at for host in self.world.hosts for at, _ in host.told)
+    def run(self) -> OutageRun:
+        gevent.spawn(self.inject_outage)
+        self.world.run(8.5 + (ANNOUNCED_WITHIN_MS + GRACE + RUN_AFTER_DEADLINE_MS) / 1000, trouble_every=0.0)
+        self.drained_at = max(at for host in self.world.hosts for at, _ in host.told)
         self.figures = self.world.figures()
         self.exit = self.world.close()
         self.log = (self.world.folder / "log").read_text()
         return self
 
-    def late_sends(self) -> int:
-        told_within = 0.0 if self.outage is None else TOLD_WITHIN
-        return audit.sends_after_drain(self.world.arrived, self.world.hosts, GRACE, told_within)
+    def count_late_sends(self) -> int:
+        announced_within = 0.0 if self.outage is None else ANNOUNCED_WITHIN_MS
+        return audit.sends_after_drain(self.world.arrived, self.world.hosts, GRACE, announced_within)
 
-    def served(self, since: float) -> float:
-        return audit.served_share([c for c in self.world.load.calls if c.sent > since], lambda call: True)
+    def served_share(self, sent_after: float) -> float:
+        return audit.served_share(
+            [c for c in self.world.load.calls if c.sent > sent_after], lambda call: True
+        )
 
 
-PLAYS: dict[str, tuple[Outage | None, bool]] = {
+RUNS: dict[str, tuple[Outage | None, bool]] = {
     "no outage": (None, False),
     **{outage.value: (outage, False) for outage in Outage},
     "a start in the outage": (Outage.REFUSED, True),
@@ -77,33 +79,33 @@
 
 
 @pytest.fixture(scope="module")
-def plays(tmp_path_factory: pytest.TempPathFactory) -> dict[str, Play]:
+def plays(tmp_path_factory: pytest.TempPathFactory) -> dict[str, OutageRun]:
     """All plays at the same time, each with an invoker of its own."""
     folder = tmp_path_factory.mktemp("outages")
-    begun = [
-        gevent.spawn(lambda n, kind: Play(folder / str(n), *kind).run(), n, kind)
-        for n, kind in enumerate(PLAYS.values())
+    greenlets = [
+        gevent.spawn(lambda n, kind: OutageRun(folder / str(n), *kind).run(), n, kind)
+        for n, kind in enumerate(RUNS.values())
     ]
-    return {name: greenlet.get() for name, greenlet in zip(PLAYS, begun, strict=True)}
+    return {name: greenlet.get() for name, greenlet in zip(RUNS, greenlets, strict=True)}
 
 
-def test_nothing_new_goes_to_hosts_whose_drain_counts_as_told(plays: dict[str, Play]) -> None:
-    assert {name: play.late_sends() for name, play in plays.items()} == dict.fromkeys(plays, 0)
+def test_nothing_new_goes_to_hosts_whose_drain_counts_as_told(plays: dict[str, OutageRun]) -> None:
+    assert {name: play.count_late_sends() for name, play in plays.items()} == dict.fromkeys(plays, 0)
 
 
-@pytest.mark.parametrize("name", PLAYS)
-def test_the_calls_are_served_all_the_same(plays: dict[str, Play], name: str) -> None:
+@pytest.mark.parametrize("name", RUNS)
+def test_the_calls_are_served_all_the_same(plays: dict[str, OutageRun], name: str) -> None:
     play = plays[name]
     if play.restart:
-        assert play.served(play.restarted) > 0.9
+        assert play.served_share(play.restarted_at) > 0.9
     else:
-        assert play.served(play.drained + TOLD_WITHIN) > 0.9
+        assert play.served_share(play.drained_at + ANNOUNCED_WITHIN_MS) > 0.9
         assert play.figures["unanswered"] == play.figures["doubled"] == 0
     assert play.exit == 0
 
 
-@pytest.mark.parametrize("name", PLAYS)
-def test_the_log_tells_how_old_the_list_is(plays: dict[str, Play], name: str) -> None:
+@pytest.mark.parametrize("name", RUNS)
+def test_the_log_tells_how_old_the_list_is(plays: dict[str, OutageRun], name: str) -> None:
     log, play = plays[name].log, plays[name]
     assert ("list-unconfirmed" in log) is (play.outage is not None)
     assert ("list-current" in log) is (play.outage is not None and not play.restart)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -169,7 +169,7 @@
 
 def test_no_order_of_a_handover_leaves_a_client_waiting(tmp_path: Path) -> None:
     counts = explore(lambda: Handover(tmp_path))
-    assert counts.whole and counts.states > 200, counts
+    assert counts.complete and counts.states > 200, counts
 
 
 @pytest.mark.parametrize(
--- a/tests/test_host_starts.py
+++ b/tests/test_host_starts.py
@@ -25,7 +25,7 @@
         self.now, self.error = NOW_MS, error
         self.starts = HostStarts(lambda: self.now, lambda: UNIX_MS + self.now - NOW_MS + self.error)
 
-    def ages(self, *seconds_ago: float) -> list[float | None]:
+    def learn_ages_s(self, *seconds_ago: float) -> list[float | None]:
         """For how many seconds hosts of a first list are held to be up that started so long ago."""
         servers = [server(f"h{n}", UNIX_MS - 1000 * ago) for n, ago in enumerate(seconds_ago)]
         self.starts.learn_initial(servers)
@@ -51,13 +51,13 @@
 
 @pytest.mark.parametrize("error", WALL_ERRORS)
 def test_no_host_of_the_first_list_is_held_for_older_than_it_is(error: str) -> None:
-    ages = Machine(WALL_ERRORS[error]).ages(1, 5, 90)
+    ages = Machine(WALL_ERRORS[error]).learn_ages_s(1, 5, 90)
     assert all(age is not None and age <= true for age, true in zip(ages, (1, 5, 90), strict=True))
     assert ages == ([0, 0, 0] if error == "an hour back" else [0, 4, 89])
 
 
 def test_a_host_whose_own_stamp_lies_ahead_makes_no_other_one_old() -> None:
-    assert Machine().ages(-3600, 2, 60) == [0, 2, 60]
+    assert Machine().learn_ages_s(-3600, 2, 60) == [0, 2, 60]
 
 
 def test_a_start_that_the_list_tells_again_leaves_the_host_as_warm_as_it_is() -> None:
--- a/tests/test_interleave.py
+++ b/tests/test_interleave.py
@@ -32,7 +32,7 @@
 NEW = i.RequestClass("swarm-alert", 300, 900, 4.0, 0.2, i.Effect.UNSAFE)
 
 
-def planted(make: Callable[[], World], failure: str) -> str:
+def find_planted_fault(make: Callable[[], World], failure: str) -> str:
     """The schedule in which the fault shows; played again, it shows in the same way."""
     with pytest.raises(Failed, match=failure) as found:
         explore(make)
@@ -43,43 +43,43 @@
 # --- the explorer itself ---
 
 
-class Plain(World):
+class Additions(World):
     """Two threads that add one to a number each, by reading and writing; `keyed` states are known again."""
 
     def __init__(self, keyed: bool, safe: bool = False) -> None:
-        self.keyed, self.number, self.held = keyed, 0, {"a": 0, "b": 0}
-        self.threads = {name: self.adding(name, safe) for name in "ab"}
+        self.keyed, self.number, self.read_values = keyed, 0, {"a": 0, "b": 0}
+        self.threads = {name: self.adding_thread(name, safe) for name in "ab"}
 
-    def adding(self, name: str, safe: bool) -> Thread:
+    def adding_thread(self, name: str, safe: bool) -> Thread:
         def read() -> None:
-            self.held[name] = self.number
+            self.read_values[name] = self.number
 
         def write() -> None:
-            self.number = (self.number if safe else self.held[name]) + 1
+            self.number = (self.number if safe else self.read_values[name]) + 1
 
         return [("begin", lambda: None), ("read", read), ("write", write)]
 
     def key(self) -> Hashable:
-        return (self.number, *self.held.values()) if self.keyed else None
+        return (self.number, *self.read_values.values()) if self.keyed else None
 
     def final(self) -> None:
         assert self.number == 2, "an addition was lost"
 
 
 def test_all_orders_are_played_each_once() -> None:
-    assert explore(lambda: Plain(False, safe=True)) == Counts(20, 69, True)  # 6! / 3! / 3!
-    assert explore(lambda: Plain(True, safe=True)).states < 40
-    assert explore(lambda: Plain(False, safe=True), preemptions=0) == Counts(2, 13, False)
-    assert not explore(lambda: Plain(False, safe=True), most=19).whole
+    assert explore(lambda: Additions(False, safe=True)) == Counts(20, 69, True)  # 6! / 3! / 3!
+    assert explore(lambda: Additions(True, safe=True)).states < 40
+    assert explore(lambda: Additions(False, safe=True), preemptions=0) == Counts(2, 13, False)
+    assert not explore(lambda: Additions(False, safe=True), max_schedules=19).complete
 
 
 @pytest.mark.parametrize("keyed", [False, True])
 def test_the_schedule_found_is_the_shortest_and_can_be_played_again(keyed: bool) -> None:
-    schedule = planted(lambda: Plain(keyed), "AssertionError: an addition was lost")
+    schedule = find_planted_fault(lambda: Additions(keyed), "AssertionError: an addition was lost")
     lines = schedule.splitlines()
     assert len(lines) == 6 and sum(a[0] != b[0] for a, b in pairwise(lines)) == 2
     with pytest.raises(ValueError, match="only"):
-        replay(lambda: Plain(keyed), "c:read")
+        replay(lambda: Additions(keyed), "c:read")
 
 
 class Locks(World):
@@ -87,9 +87,9 @@
 
     def __init__(self) -> None:
         self.free = {"x": True, "y": True}
-        self.threads = {"a": self.taking("x", "y"), "b": self.taking("y", "x")}
+        self.threads = {"a": self.locking_thread("x", "y"), "b": self.locking_thread("y", "x")}
 
-    def taking(self, *names: str) -> Iterator[Wait]:
+    def locking_thread(self, *names: str) -> Iterator[Wait]:
         for name in names:
             yield Wait(partial(self.free.get, name), f"take-{name}")
             self.free[name] = False
@@ -97,17 +97,17 @@
 
 
 def test_a_deadlock_is_a_failure() -> None:
-    assert planted(Locks, "deadlock of a, b") == "a:take-x\nb:take-y"
+    assert find_planted_fault(Locks, "deadlock of a, b") == "a:take-x\nb:take-y"
 
 
 # --- the real code: what stands round it ---
 
 
-class Quiet(Log):
+class NullLog(Log):
     def put(self, *told: object) -> None: ...
 
 
-class Single:
+class SingleHostRouter:
     """In the module's place: one attempt for each call, at one host; what ends otherwise is refused."""
 
     outs, list_current = 0, True  # the actor reads them for its log
@@ -128,7 +128,7 @@
         return actions
 
 
-class Table(RequestTable):
+class CountingTable(RequestTable):
     """The real table; counts the attempts that it has made."""
 
     made = 0
@@ -141,13 +141,15 @@
 class Core(World):
     """The real module's actor and table on a clock of the world's own; as a front it writes down answers."""
 
-    def __init__(self, patch: pytest.MonkeyPatch, worker: int, kind: type[Table] = Table) -> None:
+    def __init__(
+        self, patch: pytest.MonkeyPatch, worker: int, kind: type[CountingTable] = CountingTable
+    ) -> None:
         # to go on late is as good as a tick
         patch.setattr(module, "gevent", SimpleNamespace(sleep=lambda s: None))
-        self.now, self.ends, self.answers = 1000.0, list[tuple[str, str]](), list[str]()
-        self.log = Quiet()
+        self.now, self.results, self.answers = 1000.0, list[tuple[str, str]](), list[str]()
+        self.log = NullLog()
         self.core = ModuleActor(SETTINGS, 7, Limits(), self.log, self.clock)
-        self.script = self.core.router = Single(worker)  # type: ignore[assignment]
+        self.script = self.core.router = SingleHostRouter(worker)  # type: ignore[assignment]
         self.table = self.core.table = kind(SETTINGS, Limits(), self.core.figures, self.log)
         self.table.watchers.append(self)
         self.calls = [Call(f"{n:016x}", 0, "f", 1100.0 + n) for n in (1, 2)]
@@ -177,21 +179,21 @@
         self.answers.append(call.request_id)
 
     def call_ended(self, call: Call, how: str) -> None:
-        self.ends.append((call.request_id, how))
+        self.results.append((call.request_id, how))
 
     def attempts(self) -> list[i.AttemptEnded]:
         return [e for e in self.script.heard if isinstance(e, i.AttemptEnded)]
 
     def check(self) -> None:
-        assert max(Counter(rid for rid, _ in self.ends).values(), default=1) == 1, "a call ended twice"
-        owed = [rid for rid, how in self.ends if how != "withdrawn"]
+        assert max(Counter(rid for rid, _ in self.results).values(), default=1) == 1, "a call ended twice"
+        owed = [rid for rid, how in self.results if how != "withdrawn"]
         assert self.answers == owed, "an answer without an end"
         told = Counter((e.request, e.attempt) for e in self.attempts())
         assert max(told.values(), default=1) == 1, "an attempt ended twice"
         assert "module-fault" not in self.log.totals
 
     def final(self) -> None:
-        assert sorted(rid for rid, _ in self.ends) == [
+        assert sorted(rid for rid, _ in self.results) == [
             c.request_id for c in self.calls
         ], "a call without its end"
         table = self.table
@@ -204,7 +206,7 @@
         heard = sorted((e.request, e.attempt, e.outcome.value) for e in self.attempts())
         return shape(
             self.now,
-            sorted(self.ends),
+            sorted(self.results),
             heard,
             self.core.mailbox,
             self.core.echoes,
@@ -278,7 +280,7 @@
         self.applied += 1
 
 
-NEWS = {
+CHANGES = {
     "drains": Topology([Server("h1", "10.0.0.1:9", "leaving")]),
     "leaves": Topology([Server("h1", "10.0.0.1:9", "left")]),
     "left out": Topology([Server("h2", "10.0.0.2:9", "active")], full=True),
@@ -298,11 +300,11 @@
         patch.setattr(host, "spawn", lambda *reader: None)
         patch.setattr(hostlist, "HostActor", partial(kind, self))
         self.threads, self.actors = {}, list[StubHost]()
-        self.written, self.asked = list[str](), list[tuple[StubHost, int]]()
+        self.written, self.requests = list[str](), list[tuple[StubHost, int]]()
         self.reports: Counter[Task] = Counter()
         self.list = WatchedList(SETTINGS, Limits(), self.log, self.core.blocking_send, self.report, Metrics())
         self.list.apply_entries([Server("h1", "10.0.0.1:9", "active")], i.ListScope.REMEMBERED)
-        said = EventReceived(BusEvent(1, NEWS[news]))
+        said = EventReceived(BusEvent(1, CHANGES[news]))
         self.threads |= {
             "client": [self.offer(0), self.offer(1), self.withdraw(1)],
             "bus": [("say", lambda: self.list.blocking_send(said))],
@@ -320,13 +322,13 @@
         closed = self.list.applied > 1 and actor is self.actors[0]
         assert not closed, "written after the standing had changed"
         self.written.append(f"{id:016x}")
-        self.asked.append((actor, id))
+        self.requests.append((actor, id))
 
     def answering(self) -> Iterator[Wait]:
         """The model host: it serves what it has read, if the link is still there."""
         while True:
-            yield Wait(lambda: self.asked, "answer", idle=True)
-            actor, id = self.asked.pop(0)
+            yield Wait(lambda: self.requests, "answer", idle=True)
+            actor, id = self.requests.pop(0)
             for link in actor.links:
                 actor.blocking_send(FramesReceived(link, [frames.Frame(frames.OK, id, {})]))
 
@@ -342,7 +344,7 @@
         hosts = [
             (
                 a.mailbox,
-                getattr(a.mailbox, "hand", None),
+                getattr(a.mailbox, "current", None),
                 [(k.open, k.waiting_since, k.last_used) for k in a.links],
                 list(a.locations),
                 a.status,
@@ -351,10 +353,14 @@
             )
             for a in self.actors
         ]
-        return (super().key(), self.list.applied, shape(hosts, self.list.mailbox, self.written, self.asked))
+        return (
+            super().key(),
+            self.list.applied,
+            shape(hosts, self.list.mailbox, self.written, self.requests),
+        )
 
 
-@pytest.mark.parametrize("news", NEWS)
+@pytest.mark.parametrize("news", CHANGES)
 def test_no_order_of_a_close_against_a_dispatch_writes_late_or_ends_a_task_twice(
     monkeypatch: pytest.MonkeyPatch, news: str
 ) -> None:
@@ -405,7 +411,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     counts = explore(lambda: Reload(monkeypatch))
-    assert counts.whole and counts.states > 50
+    assert counts.complete and counts.states > 50
     with pytest.raises(Failed) as found:
         explore(lambda: Reload(monkeypatch, hasty=True))
     assert replay(lambda: Reload(monkeypatch, hasty=True), found.value.schedule) == found.value.failure
--- a/tests/test_interleave_council.py
+++ b/tests/test_interleave_council.py
@@ -366,7 +366,7 @@
 @pytest.mark.parametrize(("case", "states"), [("ends", 1500), ("passed", 100), ("wavers", 2500)])
 def test_no_order_lets_two_act_or_a_late_act_through(case: str, states: int) -> None:
     counts = explore(lambda: Duty(case, Parts()))
-    assert counts.whole and counts.states > states
+    assert counts.complete and counts.states > states
 
 
 @pytest.mark.parametrize(
@@ -412,7 +412,7 @@
 
 def test_no_order_says_what_is_not_durable() -> None:
     for heard in (ASKED, APPENDED):
-        assert explore(lambda heard=heard: Sync(Agreement, heard)).whole  # type: ignore[misc]
+        assert explore(lambda heard=heard: Sync(Agreement, heard)).complete  # type: ignore[misc]
 
 
 @pytest.mark.parametrize(
@@ -437,7 +437,7 @@
 
 def test_no_order_of_a_failing_disk_agrees_on_what_is_not_durable() -> None:
     counts = explore(lambda: Resigning(Agreement))
-    assert counts.whole and counts.states > 500
+    assert counts.complete and counts.states > 500
 
 
 def test_a_failed_write_that_counts_is_found() -> None:
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -13,7 +13,7 @@
 from harrieryoke.lab.audit import orders_over_budget
 from harrieryoke.lab.world import FLOOR, SHARE, WINDOW
 
-from .test_upgrade import Relays, end, played, relays, sent_to
+from .test_upgrade import Relays, count_late_sends, relays, start_load, terminate
 
 __all__ = ["relays"]
 
@@ -101,7 +101,7 @@
     def __init__(self, relays: Relays) -> None:
         gevent.sleep(WARM_S)
         self.relays, self.at, self.began = relays, list[float](), now_ms()
-        assert relays.ask(f"disable-server {relays.hosts[0].name}").startswith("done")
+        assert relays.send_operation(f"disable-server {relays.hosts[0].name}").startswith("done")
         self.banned_at = now_ms()
 
     def wait(self, process: subprocess.Popen[bytes], where: str) -> None:
@@ -109,15 +109,15 @@
         until = now_ms() + 6000
         while process.poll() is None and now_ms() < until:
             gevent.sleep(0.005)
-        assert process.poll() == -signal.SIGKILL, f"{where}: {process.poll()}\n{self.relays.text()}"
+        assert process.poll() == -signal.SIGKILL, f"{where}: {process.poll()}\n{self.relays.log_text()}"
         self.at.append(now_ms())
 
     def check(self, most: int) -> None:
         """Calls may be lost with the process that had taken them, so many for each, and no others; none is
         answered twice. A connection is refused only where nobody had the listening socket any more."""
         relays, calls = self.relays, self.relays.load.calls
-        assert sent_to(relays, relays.hosts[0].name, self.banned_at) == 0, "the ban was forgotten"
-        assert "invoker_pool_ejected 1" in relays.ask("show-stat")
+        assert count_late_sends(relays, relays.hosts[0].name, self.banned_at) == 0, "the ban was forgotten"
+        assert "invoker_pool_ejected 1" in relays.send_operation("show-stat")
         ended, unreachable = relays.audit(), relays.load.unreachable
         lost = [c.sent for c in calls if not c.answers]
         told = f"{ended} {unreachable} of {len(calls)}, deaths {self.at}, lost {lost}"
@@ -134,7 +134,7 @@
 def test_a_new_process_killed_at_each_point_of_the_handover_loses_no_more_than_it_had_taken(
     relays: Relays,
 ) -> None:
-    load, serving = played(relays, 60.0), relays.process
+    load, serving = start_load(relays, 60.0), relays.process
     deaths = Deaths(relays)
     address = relays.manage
     for where, point in NEW.items():
@@ -154,15 +154,15 @@
 def test_an_old_process_killed_at_each_point_of_the_handover_leaves_the_new_one_serving(
     relays: Relays,
 ) -> None:
-    load = played(relays, 60.0)
+    load = start_load(relays, 60.0)
     deaths = Deaths(relays)
     where = None
     for name, point in [*OLD.items(), (None, None)]:
         relays.command = PLAIN if point is None else armed(point)
         with idle_client(relays):
-            old = relays.next()
+            old = relays.start_next()
             if where is None:
-                end(old)
+                terminate(old)
             else:
                 if where == STOPPED:
                     old.send_signal(signal.SIGTERM)
--- a/tests/test_ledger_crash.py
+++ b/tests/test_ledger_crash.py
@@ -118,7 +118,7 @@
     steps: list[tuple[str, int]], fail: dict[int, str | int], seed: int
 ) -> None:
     disk, rng, epoch = Disk(seed), random.Random(seed), 1
-    disk.fail = fail
+    disk.faults = fail
     collector: dict[BatchId, tuple[str, list[Entry]]] = {}
     sealed: dict[int, str] = {}
     life: Life | None = None
@@ -147,7 +147,7 @@
         except (OSError, StoreError):
             if life is None:
                 disk.unlock()
-    disk.fail = {}
+    disk.faults = {}
     if life is not None:
         life.flush()
         life.store.leave()
--- a/tests/test_plugins.py
+++ b/tests/test_plugins.py
@@ -338,7 +338,7 @@
                 expect c1 {n + 1} result y""")
         # the first version waits for the outcome of its call
         until(lambda: first(scene, ops)["versions"]["1"]["stage"] == "retired")
-        scene.parties["h1"].last[65] = 1
+        scene.parties["h1"].last_ids[65] = 1
         scene.play("send h1 ok body=y\nexpect c1 1 result y")
         until(lambda: "1" not in first(scene, ops)["versions"])
         assert all(not v["faults"] for v in first(scene, ops)["versions"].values())
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from .scenario import PATIENCE, ROOT, Scene, ending
+from .scenario import ROOT, TIMEOUT_S, Scene, ending
 
 SOCKETS = 64  # the descriptors that a process of these tests may have open
 
@@ -35,7 +35,7 @@
         listening = socket(AF_INET, SOCK_STREAM)
         listening.bind((host, int(port)))
         listening.listen()
-        listening.settimeout(PATIENCE)
+        listening.settimeout(TIMEOUT_S)
         self.parties["bus"].listening = listening
 
     def bind_descriptors(self) -> None:
@@ -71,7 +71,7 @@
         scene.wait("bus-lost")
         scene.bind_descriptors()
         host, port = scene.address.split(":")
-        idle = [create_connection((host, int(port)), PATIENCE) for _ in range(2 * SOCKETS)]
+        idle = [create_connection((host, int(port)), TIMEOUT_S) for _ in range(2 * SOCKETS)]
         try:
             scene.play(SERVED)
             scene.open_bus()
@@ -94,7 +94,7 @@
         with socket(AF_UNIX, SOCK_STREAM) as before:
             before.bind(str(tmp_path / "harrieryoke-{}-{}.sock".format(*scene.address.split(":"))))
             before.listen()
-            before.settimeout(PATIENCE)
+            before.settimeout(TIMEOUT_S)
             env = os.environ | {"RELAY_CONFIG": str(tmp_path / "config.json"), "TMPDIR": str(tmp_path)}
             command = [sys.executable, "-m", "harrieryoke", "serve"]
             process = subprocess.Popen(command, env=env, cwd=ROOT, stderr=subprocess.DEVNULL)
@@ -105,7 +105,7 @@
                     process.send_signal(signal.SIGTERM)
                     if predecessor == "gone":
                         asked.close()
-                    assert process.wait(PATIENCE) == 0
+                    assert process.wait(TIMEOUT_S) == 0
             finally:
                 process.kill()
                 process.wait()
--- a/tests/test_shutdown_crossings.py
+++ b/tests/test_shutdown_crossings.py
@@ -12,7 +12,7 @@
 from harrieryoke.net.client import CloseIfIdle
 from harrieryoke.net.platform import ConnectionAccepted, ResumeAccepting, StopListening, TransferClients
 
-from .clients import BODY, PATIENCE, Connection, Front, line, read, until
+from .clients import BODY, TIMEOUT_S, Connection, Front, line, read, until
 from .scenario import Scene, ending
 
 CALL = json.loads(line(1))
@@ -24,7 +24,7 @@
 def until_refused(scene: Scene) -> None:
     """Until the invoker has closed its listening socket: whoever is to leave has been told so."""
     host, port = scene.address.split(":")
-    patience = time.monotonic() + 4 * PATIENCE
+    patience = time.monotonic() + 4 * TIMEOUT_S
     while time.monotonic() < patience:
         try:
             socket.create_connection((host, int(port)), 1).close()
@@ -102,7 +102,7 @@
     sock = f.connect(line(1)[:30])
     until(lambda: any(c.partial for c in f.front.clients), "half a line")
     f.front.try_send(StopListening())
-    assert sock.recv(1) == b"" and f.front.all_closed.wait(PATIENCE)
+    assert sock.recv(1) == b"" and f.front.all_closed.wait(TIMEOUT_S)
 
 
 def test_listener_outlives_a_connection_that_was_reset_at_once() -> None:
@@ -137,7 +137,7 @@
     greenlet = f.front.greenlet
     assert greenlet is not None
     broken.set()
-    greenlet.join(PATIENCE)
+    greenlet.join(TIMEOUT_S)
     assert greenlet.ready() and f.log.totals == {"greenlet-died": 1}
 
 
@@ -152,23 +152,23 @@
     socks = [f.connect(line(n)) for n in (1, 2, 3)]
     assert not f.front.clients
     f.front.try_send(StopListening())
-    until(lambda: len(f.core.offered) == 3, "offered")
+    until(lambda: len(f.core.calls) == 3, "offered")
     for client in list(f.front.clients):
         for call in list(client.ids):
             client.served(call, b"y")
     for n, sock in enumerate(socks, 1):
         assert read(sock, 1) == [(n, 1)] and sock.recv(1) == b""
     asleep.set()
-    assert f.front.all_closed.wait(PATIENCE)
+    assert f.front.all_closed.wait(TIMEOUT_S)
 
 
 def answered(f: Front, sock: socket.socket) -> None:
     """The stop waits for the call that came on its way through the front, and ends with its answer."""
-    until(lambda: f.core.offered, "offered")
+    until(lambda: f.core.calls, "offered")
     assert not f.front.all_closed.is_set()
     (client,) = f.front.clients
-    client.served(f.core.offered[1], b"")
-    assert read(sock, 1) == [(1, 0)] and f.front.all_closed.wait(PATIENCE)
+    client.served(f.core.calls[1], b"")
+    assert read(sock, 1) == [(1, 0)] and f.front.all_closed.wait(TIMEOUT_S)
 
 
 def test_stop_waits_for_a_connection_in_the_mailbox() -> None:
@@ -205,12 +205,12 @@
 def test_half_written_answer_is_written_to_its_end_at_a_stop() -> None:
     f = Front()
     sock = f.connect(line(1))
-    until(lambda: f.core.offered, "offered")
+    until(lambda: f.core.calls, "offered")
     (client,) = f.front.clients
-    client.served(f.core.offered[1], BODY)
+    client.served(f.core.calls[1], BODY)
     until(lambda: not client.mailbox and client.outgoing.unsent, "a half written answer")
     f.front.try_send(StopListening())
     until(lambda: client.close_requested, "told to close")
     assert not f.front.all_closed.is_set()
     assert read(sock, 1) == [(1, len(BODY))] and sock.recv(1) == b""
-    assert f.front.all_closed.wait(PATIENCE)
+    assert f.front.all_closed.wait(TIMEOUT_S)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -115,7 +115,7 @@
     steps: list[tuple[str, int]], fail: dict[int, str | int], policy: str, seed: int
 ) -> None:
     disk = Disk(seed)
-    disk.fail = fail
+    disk.faults = fail
     model = Model(disk, StoreSettings("x", sync=policy, segment_mb=0.002, queue_mb=0.01))
     for step, value in [*steps, ("close", 0), ("append", 1), ("turn", 3)]:
         try:
@@ -130,7 +130,7 @@
         except (OSError, StoreError):  # an open, a snapshot or a compaction that failed: tried again later
             if model.store is None:
                 disk.unlock()
-    disk.fail = {}
+    disk.faults = {}
     if model.store is None:
         disk.unlock()
     model.open()
@@ -259,7 +259,7 @@
         store.append(0.0, 1, b"", b"%d" % n)
     store.turn(0.0)  # the segment
     store.turn(0.0)  # the write
-    disk.fail = {disk.operations + 1: errno.EIO}
+    disk.faults = {disk.operations + 1: errno.EIO}
     assert not store.turn(0.0) and "EIO" in store.commit.failing and store.commit.durable == 0
     assert store.flush(1e6) and store.number == 2
     disk.crash()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -57,30 +57,30 @@
             },
         )
 
-    def ask(self, line: str, where: tuple[str, int] | None = None) -> str:
+    def send_operation(self, line: str, where: tuple[str, int] | None = None) -> str:
         """One call of an operator, and its whole answer."""
         with socket.create_connection(where or self.manage, 2) as sock:
             sock.sendall(line.encode() + b"\n")
             return b"".join(iter(lambda: sock.recv(65536), b"")).decode()
 
-    def next(self, within_ms: float = 6000.0) -> subprocess.Popen[bytes]:
+    def start_next(self, within_ms: float = 6000.0) -> subprocess.Popen[bytes]:
         """Starts the next process beside the one there is, until it says yes; the old one."""
         old, self.process = self.process, self.launch()
         self.until_ready(within_ms)
         return old
 
     def until_ready(self, within_ms: float) -> None:
-        until = now_ms() + within_ms
-        while now_ms() < until:
+        deadline = now_ms() + within_ms
+        while now_ms() < deadline:
             try:
-                if self.ask("ready").startswith("done"):
+                if self.send_operation("ready").startswith("done"):
                     return
             except OSError:
                 pass
             gevent.sleep(0.02)
         raise AssertionError((self.folder / "log").read_text())
 
-    def text(self) -> str:
+    def log_text(self) -> str:
         return (self.folder / "log").read_text()
 
     def audit(self) -> Counter[str]:
@@ -90,7 +90,7 @@
         )
 
 
-def end(process: subprocess.Popen[bytes]) -> tuple[int, float]:
+def terminate(process: subprocess.Popen[bytes]) -> tuple[int, float]:
     """SIGTERM; the exit code, and after how many ms."""
     process.send_signal(signal.SIGTERM)
     began = now_ms()
@@ -103,10 +103,10 @@
 
 @pytest.fixture
 def relays(tmp_path: Path) -> Iterator[Relays]:
-    made = Relays(tmp_path, 3, 150.0)
-    yield made
-    made.process.send_signal(signal.SIGCONT)
-    made.close()
+    started = Relays(tmp_path, 3, 150.0)
+    yield started
+    started.process.send_signal(signal.SIGCONT)
+    started.close()
 
 
 class SteppedRelays(Relays):
@@ -119,24 +119,24 @@
         return self.wall.environment()
 
 
-def played(relays: Relays, seconds: float) -> gevent.Greenlet:
+def start_load(relays: Relays, seconds: float) -> gevent.Greenlet:
     """The load, beside which the test goes on."""
     return gevent.spawn(relays.load.run, seconds)
 
 
 def test_two_upgrades_under_load_lose_no_call_and_the_old_processes_end_early(relays: Relays) -> None:
-    load = played(relays, 7.0)
+    load = start_load(relays, 7.0)
     for _ in range(2):
         gevent.sleep(1.5)
-        old = relays.next()
+        old = relays.start_next()
         gevent.sleep(0.5)
-        code, took = end(old)
+        code, took = terminate(old)
         assert code == 0 and took < 3500
     load.join()
     ended = relays.audit()
-    assert relays.load.unreachable == 0 and set(ended) <= {"served", "refused"}, (ended, relays.text())
+    assert relays.load.unreachable == 0 and set(ended) <= {"served", "refused"}, (ended, relays.log_text())
     assert ended["served"] > 0.95 * ended.total()
-    assert relays.text().count("taken-over") == 2 and "takeover-forgot" not in relays.text()
+    assert relays.log_text().count("taken-over") == 2 and "takeover-forgot" not in relays.log_text()
 
 
 @pytest.mark.parametrize("step_ms", [-3_600_000.0, 3_600_000.0])
@@ -144,16 +144,16 @@
     relays = SteppedRelays(tmp_path, 3, 150.0)
     assert relays.wall is not None
     try:
-        load = played(relays, 4.5)
+        load = start_load(relays, 4.5)
         gevent.sleep(2.0)
         relays.wall.step_clock(step_ms)
         gevent.sleep(0.5)
-        old = relays.next()
-        assert end(old)[0] == 0
+        old = relays.start_next()
+        assert terminate(old)[0] == 0
         load.join()
         ended = relays.audit()
         assert set(ended) <= {"served", "refused"} and ended["served"] > 0.8 * ended.total(), ended
-        assert "takeover-forgot" not in relays.text() and "module-fault" not in relays.text()
+        assert "takeover-forgot" not in relays.log_text() and "module-fault" not in relays.log_text()
     finally:
         relays.close()
 
@@ -162,7 +162,7 @@
 def test_a_new_process_killed_at_any_point_of_the_handover_leaves_the_old_one_serving(
     relays: Relays, after: float
 ) -> None:
-    load = played(relays, 3.0 + after)
+    load = start_load(relays, 3.0 + after)
     gevent.sleep(0.7)
     old = relays.process
     fresh = relays.launch()
@@ -175,7 +175,9 @@
     ended = relays.audit()
     # what the killed one had taken is lost with it, and no call is answered twice
     assert ended["twice"] == 0 and relays.load.unreachable == 0
-    assert ended["lost"] + ended["silent"] <= (40 if "taken-over" in relays.text() else 0), relays.text()
+    assert ended["lost"] + ended["silent"] <= (
+        40 if "taken-over" in relays.log_text() else 0
+    ), relays.log_text()
     late = [c for c in relays.load.calls if c.sent > relays.load.calls[-1].sent - 500]
     assert late and all(c.answers == 1 for c in late)
 
@@ -184,11 +186,11 @@
     relays: Relays,
 ) -> None:
     relays.process.send_signal(signal.SIGSTOP)
-    old = relays.next()
-    assert "takeover-failed" in relays.text()
+    old = relays.start_next()
+    assert "takeover-failed" in relays.log_text()
     old.kill()
     old.wait()
-    load = played(relays, 1.0)
+    load = start_load(relays, 1.0)
     load.join()
     assert set(relays.audit()) <= {"served", "refused"}
 
@@ -205,15 +207,15 @@
         with suppress(BrokenPipeError):  # it may be turned away before it says anything
             strangers[-1].sendall(b"what is here?\n" if n % 2 else b"")
     gevent.sleep(0.3)
-    holding = [s for s in strangers if not readable(s)]
+    holding = [s for s in strangers if not is_closed(s)]
     assert len(holding) <= 4
-    old = relays.next()
-    assert "takeover" in relays.text() and end(old)[0] == 0
+    old = relays.start_next()
+    assert "takeover" in relays.log_text() and terminate(old)[0] == 0
     for each in strangers:
         each.close()
 
 
-def readable(sock: socket.socket) -> bool:
+def is_closed(sock: socket.socket) -> bool:
     """Whether its other end has closed it."""
     sock.settimeout(0.05)
     try:
@@ -222,7 +224,7 @@
         return not isinstance(error, TimeoutError)
 
 
-def sent_to(relays: Relays, host: str, since: float) -> int:
+def count_late_sends(relays: Relays, host: str, since: float) -> int:
     """Attempts that reached the host later than the grace of one second after `since`."""
     return sum(a.host == host and a.code == REQUEST and a.at > since + 1050 for a in relays.arrived)
 
@@ -231,33 +233,33 @@
 def test_a_ban_holds_over_an_upgrade_and_the_churn_of_the_bus_until_it_is_taken_back(
     relays: Relays, killed: bool
 ) -> None:
-    load, host = played(relays, 7.0 if killed else 9.0), relays.hosts[0]
+    load, host = start_load(relays, 7.0 if killed else 9.0), relays.hosts[0]
     gevent.sleep(1.0)
-    assert relays.ask(f"disable-server {host.name}").startswith("done")
-    assert relays.ask("disable-server mh-nobody").startswith("error")
+    assert relays.send_operation(f"disable-server {host.name}").startswith("done")
+    assert relays.send_operation("disable-server mh-nobody").startswith("error")
     banned_at = now_ms()
     old = relays.process
     if killed:
         old.kill()
         old.wait()
-        relays.next()
+        relays.start_next()
     else:
         old_address = relays.manage
-        relays.next()
+        relays.start_next()
         # said to either process while both are there, it binds in both
         other = relays.hosts[1]
-        assert relays.ask(f"disable-server {other.name}", old_address).startswith("done")
+        assert relays.send_operation(f"disable-server {other.name}", old_address).startswith("done")
         gevent.sleep(0.2)
-        assert "invoker_pool_ejected 2" in relays.ask("show-stat")
-        assert relays.ask(f"enable-server {other.name}").startswith("done")
-        end(old)
+        assert "invoker_pool_ejected 2" in relays.send_operation("show-stat")
+        assert relays.send_operation(f"enable-server {other.name}").startswith("done")
+        terminate(old)
     relays.restart(host)  # listed anew, as a fresh start, while it is out
     gevent.sleep(2.0)
-    assert sent_to(relays, host.name, banned_at) == 0
-    assert "invoker_pool_ejected 1" in relays.ask("show-stat")
-    assert relays.ask(f"enable-server {host.name}").startswith("done")
+    assert count_late_sends(relays, host.name, banned_at) == 0
+    assert "invoker_pool_ejected 1" in relays.send_operation("show-stat")
+    assert relays.send_operation(f"enable-server {host.name}").startswith("done")
     gevent.sleep(0.6)
-    assert "invoker_pool_ejected 0" in relays.ask("show-stat")
+    assert "invoker_pool_ejected 0" in relays.send_operation("show-stat")
     load.join()
     assert relays.audit()["lost"] == 0 or killed
 
@@ -265,14 +267,16 @@
 def test_a_stale_socket_of_a_dead_process_is_no_hindrance(relays: Relays) -> None:
     relays.process.kill()
     relays.process.wait()
-    relays.next()
-    assert "takeover-failed" not in relays.text() and len(list((relays.folder / "tmp").glob("*.sock"))) == 1
+    relays.start_next()
+    assert (
+        "takeover-failed" not in relays.log_text() and len(list((relays.folder / "tmp").glob("*.sock"))) == 1
+    )
 
 
 NOW, WALL = 5000.0, 1.8e12  # milliseconds on the two clocks of a machine
 
 
-def learned() -> Rig:
+def router_with_copies() -> Rig:
     """A router with a copy at one worker and one worker in doubt."""
     rig = Rig(SETTINGS)
     rig.give(i.WorkersListed(i.ListScope.REMEMBERED, workers(3)))
@@ -291,7 +295,7 @@
 
 
 def test_a_router_that_was_told_what_another_learned_sends_to_the_copy_at_once() -> None:
-    rig = learned()
+    rig = router_with_copies()
     held = list(rig.router.functions["f"].copies)
     assert held
     fresh = Rig(SETTINGS)
@@ -305,7 +309,7 @@
 
 
 def test_a_host_that_started_since_is_as_cold_as_the_list_says() -> None:
-    rig = learned()
+    rig = router_with_copies()
     fresh = Router(SETTINGS, 1)
     held = list(rig.router.functions["f"].copies)
     restarted = tuple(i.WorkerEntry(w.worker, started=rig.now + 5) for w in workers(3) if w.worker in held)
@@ -317,7 +321,7 @@
 @pytest.mark.parametrize("version", [1, 2])
 def test_times_on_another_clock_are_moved_to_the_receivers(version: int) -> None:
     """Version 1 has the times of the wall clock; of version 2 the sender's machine may have started anew."""
-    rig = learned()
+    rig = router_with_copies()
     here = unpack(pack(rig.router, rig.now), rig.now, WALL)
     if version == 1:
         body = msgspec.json.encode(move_times(here, WALL - rig.now))
@@ -335,7 +339,7 @@
 
 
 def test_a_host_of_the_same_start_keeps_what_was_learned_of_it_however_late_the_list_puts_it() -> None:
-    rig, fresh = learned(), Router(SETTINGS, 1)
+    rig, fresh = router_with_copies(), Router(SETTINGS, 1)
     stamped = tuple(replace(w, started=rig.now - 400, start_stamp=WALL) for w in workers(3))
     rig.give(i.WorkersListed(i.ListScope.CHANGES, stamped))
     rig.router.believe(rig.router.functions["f"], 1)
@@ -360,7 +364,7 @@
     ],
 )
 def test_what_was_handed_on_and_is_damaged_is_refused_whole(spoil: object) -> None:
-    data = pack(learned().router, NOW)
+    data = pack(router_with_copies().router, NOW)
     with pytest.raises(StateTransferError):
         unpack(spoil(data), NOW, WALL)  # type: ignore[operator]
 
