--- a/tests/clients.py
+++ b/tests/clients.py
@@ -1,4 +1,4 @@
-"""A client's connection on loopback with its real actor, and a core that a test plays."""
+"""A client's connection on loopback with its real actor, and a core that the test plays."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from harrieryoke.net.client import ClientActor
 from harrieryoke.net.platform import PlatformFront
 
-TIMEOUT_S = 5.0  # seconds until a step that should come at once is held to have failed
-LONG_MS = 60000.0  # a write's time-out that no test waits for
+TIMEOUT_S = 5.0  # until a step that should succeed at once counts as failed
+LONG_MS = 60000.0  # a write time-out that no test reaches
 SETTINGS = i.Settings((i.RequestClass("weight-read", 1000, 4000),))
 BODY = b"b" * 16000
 
@@ -36,13 +36,14 @@
 
 
 class NullLog(Log):
-    """Keeps the kinds of its lines."""
+    """Counts lines by kind and writes none."""
 
     def put(self, *told: object) -> None: ...
 
 
 class Core:
-    """In the module's place: `offer` waits while the gate is closed; `answers`: each call at once."""
+    """Replaces the module: `offer` waits while the gate is closed; with `answers`, it serves each call at
+    once."""
 
     def __init__(self) -> None:
         self.figures, self.gate, self.answers = Metrics(["weight-read"]), Event(), False
@@ -63,7 +64,7 @@
 
 
 def line(id: int, method: str = "weight-read") -> bytes:
-    """A call, a probe, or the giveUp of `id`."""
+    """Return the line of a call, a probe, or the giveUp of `id`."""
     params: dict[str, Any] = {"rid": f"{id:016x}", "budget": 3500, "obj": "7f3a9c21e0b4d655"}
     message: dict[str, Any] = {"jsonrpc": "2.0", "method": method, "id": id, "params": params}
     if method == "giveUp":
@@ -72,7 +73,7 @@
 
 
 def read(sock: socket.socket, count: int) -> list[tuple[int, int]]:
-    """Reads so many answers: id and length of the body."""
+    """Read a number of answers; return the id and the length of the body of each."""
     answers, data = [], b""
     with gevent.Timeout(TIMEOUT_S, AssertionError("an answer is missing")):
         while data.count(b"\n") < count:
@@ -86,7 +87,7 @@
 
 
 class Connection:
-    """Both ends of one connection: `sock` is the client's, `actor` has the other, with small buffers."""
+    """Both ends of one connection: `sock` is the client's, `actor` has the other one, with small buffers."""
 
     def __init__(self, **limits: Any) -> None:
         with socket.socket() as listening:
@@ -111,7 +112,7 @@
         self.sock.sendall(b"".join(lines))
 
     def send_calls(self, *ids: int) -> None:
-        """Calls, until the core has them."""
+        """Send calls and wait until the core has them."""
         self.send(*map(line, ids))
         until(lambda: self.core.calls.keys() >= set(ids), f"offered {ids}")
 
@@ -119,7 +120,7 @@
         self.actor.served(self.core.calls[id], body)
 
     def block_output(self, id: int) -> None:
-        """Answers the call with more than the client, who does not read, has room for."""
+        """Answer the call with more than fits the buffers of a client that does not read."""
         self.answer(id)
         until(
             lambda: not self.actor.mailbox and self.actor.outgoing.unsent, "an answer that can't be written"
@@ -136,7 +137,7 @@
 
 
 class StubListener:
-    """In the listening socket's place, and in that of the descriptor to accept on: `accept` is the test's."""
+    """Replaces the listening socket and the acceptor's descriptor; `accept` is the test's."""
 
     def __init__(self, sock: socket.socket, accept: Callable[[socket.socket], Any]) -> None:
         self.sock, self.accept_call = sock, accept
@@ -152,8 +153,7 @@
 
 
 class Front:
-    """The front on loopback with small buffers; the listener's greenlet accepts as `accept` says, and the
-    front itself from the socket."""
+    """The front on loopback with small buffers; its acceptor uses `accept`, the front itself the socket."""
 
     def __init__(self, accept: Callable[[socket.socket], Any] = socket.socket.accept, **limits: Any) -> None:
         self.core, self.log = Core(), NullLog()
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -1,4 +1,4 @@
-"""Files that fail: a disk in memory that knows what was synced, and can crash, tear, lose and refuse."""
+"""A disk in memory with injected faults: it tracks what was synced, and can crash, tear, lose and refuse."""
 
 from __future__ import annotations
 
@@ -11,22 +11,24 @@
 
 
 class Killed(Exception):
-    """The process ended; the machine, and what it holds in memory, goes on."""
+    """The process ended; the machine and the contents of its memory remain."""
 
 
 class Disk:
-    """What is on the disk and what is only in the system's memory. `fail` maps the number of an operation to
-    what happens there: "crash", "kill", "short", or the number of an error."""
+    """The contents of the disk, and those only in the system's memory.
+
+    `faults` maps the number of an operation to what happens there: "crash", "kill", "short", or an errno.
+    """
 
     def __init__(self, seed: int = 0) -> None:
         self.rng = random.Random(seed)
-        self.durable: dict[str, bytes] = {}  # by name, as of the last sync of file and folder
+        self.durable: dict[str, bytes] = {}  # by name, as of the last sync of file and directory
         self.volatile: dict[str, bytearray] = {}
-        self.synced: dict[str, bytes] = {}  # contents that a sync has brought to the disk, by name
+        self.synced: dict[str, bytes] = {}  # by name, the contents that a sync has written to the disk
         self.faults: dict[int, str | int] = {}
         self.operations, self.locked = 0, False
-        self.failing_sync = False  # all syncs and writes say ENOSPC
-        self.full_from: int | None = None  # from that operation on all of them say ENOSPC, until this is None
+        self.failing_sync = False  # all syncs and writes fail with ENOSPC
+        self.full_from: int | None = None  # from that operation on all fail with ENOSPC, until this is None
 
     def operation(self) -> str | None:
         self.operations += 1
@@ -42,11 +44,11 @@
         return fault
 
     def crash(self) -> None:
-        """The machine loses what was not synced, or keeps any part of it, torn and out of order."""
+        """Lose what was not synced, or keep any part of it, torn and out of order."""
         self.locked = False
         names: dict[str, bytes] = {}
         for name in self.durable.keys() | self.volatile.keys():
-            # a name that was made or removed and whose folder was not synced since may be there or not
+            # a name created or removed since the last sync of its directory may exist or not
             exists = name in self.volatile if self.rng.random() < 0.5 else name in self.durable
             if exists:
                 names[name] = self.torn_contents(name)
@@ -62,15 +64,15 @@
         unsynced = bytearray(
             contents[len(safe) : len(safe) + self.rng.randrange(len(contents) - len(safe) + 1)]
         )
-        if kind == 2 and unsynced:  # a later block came to the disk, an earlier one did not
+        if kind == 2 and unsynced:  # a later block was written, an earlier one was not
             start = self.rng.randrange(len(unsynced))
             for index in range(start, min(len(unsynced), start + 40)):
                 unsynced[index] = 0
-        if kind == 3:  # the length came to the disk, the data did not
+        if kind == 3:  # the length was written, the data was not
             unsynced = bytearray(len(unsynced))
         return safe + bytes(unsynced)
 
-    # --- the interface of one folder ---
+    # --- the interface of one directory ---
 
     def lock(self) -> None:
         if self.locked:
@@ -135,7 +137,7 @@
         try:
             self.disk.operation()
         except OSError:
-            # what a failed sync leaves is anybody's guess; a second one would say yes to nothing
+            # the state after a failed sync is undefined; a second sync would succeed without writing
             self.disk.volatile[self.name][:] = self.disk.torn_contents(self.name)
             self.disk.synced[self.name] = bytes(self.disk.volatile[self.name])
             raise
--- a/tests/interleave.py
+++ b/tests/interleave.py
@@ -1,9 +1,8 @@
-"""All interleavings of a few threads of control: depth first, each schedule played from its start on a fresh
-world, no clock and no chance in it.
+"""Explores all interleavings of a few threads of control, depth first and deterministically.
 
-A thread of control is a list of labelled steps, or a generator that yields where another may go on: the
-label of what it will do next, or a `Wait`. What lies before its first yield must have no effect. A schedule
-is a text with a line for each step, `thread:label`.
+Each schedule is played from its start on a fresh world. A thread of control is a list of labelled steps, or a
+generator that yields where another thread may continue: the label of its next step, or a `Wait`. What
+precedes its first yield must have no effect. A schedule is a text with a line for each step, `thread:label`.
 """
 
 from __future__ import annotations
@@ -18,13 +17,15 @@
 
 from harrieryoke.core.actor import Actor
 
-MAX_STEPS = 500  # steps; a schedule that goes on for longer is taken for one without an end
+MAX_STEPS = 500  # longer schedules are taken as endless
 
 
 @dataclass
 class Wait:
-    """A point from which a thread goes on only while `condition` holds. One that is `idle` may stand there
-    for ever; any other that does is in a deadlock."""
+    """A point where a thread continues only while `condition` holds.
+
+    An `idle` thread may wait there forever; any other that does is in a deadlock.
+    """
 
     condition: Callable[[], object]
     label: str | Callable[[], str]
@@ -35,30 +36,31 @@
 
 
 class World:
-    """What the threads of one schedule share. Further threads may join while it is played."""
+    """The state shared by the threads of one schedule. Threads may join while it is played."""
 
     threads: dict[str, Thread]
 
     def check(self) -> None:
-        """Holds after each step."""
+        """Check invariants; called after each step."""
 
     def final(self) -> None:
-        """Holds once no thread can go on."""
+        """Check the final state; called once no thread can continue."""
 
     def key(self) -> Hashable:
-        """All of the state that what comes can depend on, and all that is still to be checked; where the
-        threads stand is known without it. None: no two states are taken for the same."""
+        """Return all state that later steps and checks depend on, without the positions of the threads.
+
+        With None no two states are taken as equal.
+        """
         return None
 
 
 def shape(*state: object) -> str:
-    """For `World.key`: its `repr`, where objects without one of their own are alike."""
+    """Return the state's `repr` for `World.key`; objects with a default repr are taken as equal."""
     return re.sub(r" at 0x[0-9a-f]+", "", repr(state))
 
 
 class Failed(AssertionError):
-    """Some schedule breaks the world: of all that do, this has the fewest preemptions, and of those the
-    fewest steps."""
+    """A schedule that breaks the world, with the fewest preemptions, and among those the fewest steps."""
 
     def __init__(self, failure: str, schedule: str) -> None:
         super().__init__(f"{failure}\nin this schedule:\n{schedule}")
@@ -67,8 +69,10 @@
 
 @dataclass
 class Counts:
-    """`schedules` were played, to their end or to a state that was known; `states` differ; `whole`: neither
-    the bound on preemptions nor the one on schedules left anything out."""
+    """Schedules played to their end or to a known state, and distinct states.
+
+    `complete`: neither the bound on preemptions nor that on schedules left anything out.
+    """
 
     schedules: int = 0
     states: int = 0
@@ -76,11 +80,11 @@
 
 
 class ThreadState:
-    """A thread as it is played."""
+    """The progress of a thread."""
 
     def __init__(self, thread: Thread) -> None:
         self.points = self.run_steps(thread) if isinstance(thread, list) else thread
-        self.steps_taken = 0  # in a list, how many of its steps have been taken
+        self.steps_taken = 0  # of a list
         self.advance()
 
     def run_steps(self, steps: list[tuple[str, Callable[[], object]]]) -> Iterator[str]:
@@ -93,7 +97,7 @@
         self.position: str | Wait | None = next(self.points, None)
 
     def label(self) -> str | None:
-        """Of its next step; None where it can't go on."""
+        """Return the label of the next step, or None if the thread can't continue."""
         if not isinstance(self.position, Wait):
             return self.position
         if not self.position.condition():
@@ -108,7 +112,7 @@
         self.world = make()
         self.thread_states: dict[str, ThreadState] = {}
         self.schedule: list[str] = []
-        self.ready: dict[str, str] = {}  # threads that can go on, and the label of the step
+        self.ready: dict[str, str] = {}  # threads that can continue, and the labels of their next steps
         self.last_thread, self.preemptions = "", 0
         self.failure: str | None = None
         self.run_step(lambda: None)
@@ -116,7 +120,7 @@
             self.advance(line)
 
     def run_step(self, step: Callable[[], object]) -> None:
-        """Whatever escapes from a step or from what is checked behind it is the schedule's failure."""
+        """Run a step and the checks; any exception is the schedule's failure."""
         try:
             step()
             for name in list(self.world.threads)[len(self.thread_states) :]:
@@ -142,7 +146,7 @@
             self.world.final()
 
     def preemption_cost(self, name: str) -> int:
-        """1 for a preemption: another goes on although the last one could."""
+        """Return 1 for a preemption: the last thread could continue, but another one does."""
         return int(name != self.last_thread and self.last_thread in self.ready)
 
     def advance(self, line: str) -> None:
@@ -155,7 +159,10 @@
         self.run_step(self.thread_states[name].advance)
 
     def key(self, bounded: bool) -> Hashable:
-        """None where the world has none. With a bound, what may come also depends on who went last."""
+        """Return the state's key, or None if the world has none.
+
+        With a bound, later steps also depend on the last thread.
+        """
         if (key := self.world.key()) is None:
             return None
         places = tuple(
@@ -165,15 +172,14 @@
 
 
 def replay(make: Callable[[], World], schedule: str) -> str | None:
-    """The failure of that schedule, the same each time."""
+    """Play a schedule again and return its failure."""
     return Run(make, schedule.splitlines()).failure
 
 
 def explore(
     make: Callable[[], World], preemptions: int | None = None, max_schedules: int = 200_000
 ) -> Counts:
-    """Plays all schedules, or those with at most so many preemptions. Raises `Failed` if one breaks the
-    world."""
+    """Play all schedules, or those within a bound of preemptions. Raises `Failed` if one breaks the world."""
     counts, found = search(make, preemptions, max_schedules)
     if found is None:
         return counts
@@ -188,9 +194,11 @@
 def search(
     make: Callable[[], World], bound: int | None, max_schedules: int, shortest: bool = False
 ) -> tuple[Counts, Run | None]:
-    """Ends with the first schedule that fails, or with the shortest one."""
+    """Search until the first schedule that fails, or for the shortest one."""
     counts, found = Counts(), None
-    seen: dict[Hashable, tuple[int, int]] = {}  # states, and with how many preemptions and steps they came
+    seen: dict[
+        Hashable, tuple[int, int]
+    ] = {}  # for each state, the preemptions and steps with which it was reached
     stack: list[list[str]] = [[]]
     while stack and (shortest or found is None):
         if counts.schedules == max_schedules:
@@ -221,11 +229,11 @@
     return counts, found
 
 
-# --- the real code as threads of control ---
+# --- real code as threads of control ---
 
 
 def fiber(run: Callable[[], object]) -> Iterator[str | Wait]:
-    """Real code as a thread of control: another may go on at each `pause`, however deep in its calls."""
+    """Run real code as a thread of control; others may continue at each `pause`, at any depth of calls."""
     inside = greenlet(run)
     while True:
         point = inside.switch()
@@ -235,12 +243,12 @@
 
 
 def pause(point: str | Wait) -> None:
-    """Within a `fiber`: where the real code would wait."""
+    """Let other threads continue; called within a `fiber` where the real code would wait."""
     getcurrent().parent.switch(point)
 
 
 class PausingMailbox(deque[Any]):
-    """A mailbox with a point before each message. `hand` is the message that is being received."""
+    """A mailbox with a `pause` before each message. `current` is the message being handled."""
 
     current: Any = None
     woken = False
@@ -256,9 +264,11 @@
 
 
 def actor_thread(actor: Actor, clock: Callable[[], float]) -> Iterator[str | Wait]:
-    """An actor's own `run`, `work`, `receive` and `finish`: one message a step, with the points that the code
-    it calls may add. It can go on when its mailbox is not empty or when the time it waits for has come. The
-    module takes all that has come in one step, as it does in its rounds."""
+    """Run an actor's own code with one message per step, and the pauses of the code it calls.
+
+    It can continue when its mailbox is not empty or when its time-out has passed. The module takes all
+    messages in one step, as it does in its rounds.
+    """
     mailbox = PausingMailbox(actor.mailbox)
 
     def wait(timeout_ms: float | None = None) -> None:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,16 +1,15 @@
-"""The scenario language: a real invoker in its own process, and the parties round it as this test plays them.
+"""The scenario language: a real invoker in its own process, and the parties it talks to, played by the test.
 
-A scenario is text, a step a line; what one step takes from a party, no later step sees again.
+A scenario is text, one step a line; what a step has received from a party is consumed.
 
-    send PARTY WORDS     the party says something       expect PARTY WORDS   the next thing it hears is this
-    close PARTY          its connection ends            wait WORDS           until the invoker's log says so
-    get ADDRESS METHOD PATH STATUS                      one request of the operators' HTTP
+    send PARTY WORDS     the party sends a message      expect PARTY WORDS   the next message it gets is this
+    close PARTY          close its connection           wait WORDS           until the invoker's log has them
+    get ADDRESS METHOD PATH STATUS                      one HTTP request of an operator
 
 Parties: `c...` clients, `m...` operators, `h...` model hosts, `bus` and `bus2`, `broker`, `config` (its
 file), `clock` (its wall clock: `send clock MS` steps it, back where negative), `calls` (its system calls:
 `send calls fail socket ENOBUFS [name=value ...]`, `send calls clear`), and `node` (the process: `send node
-TERM`, `expect node exit 0`). That nothing comes is seen by what comes next: it must be what is
-expected then.
+TERM`, `expect node exit 0`). A scenario shows that no message is sent by the next one it expects.
 """
 
 from __future__ import annotations
@@ -37,7 +36,7 @@
 from .faults.shim import FaultShim
 
 ROOT = Path(__file__).parent.parent
-TIMEOUT_S = 20.0  # seconds until a step that should come at once is held to have failed
+TIMEOUT_S = 20.0  # until a step that should succeed at once counts as failed
 FUNCTION = "7f3a9c21e0b4d655"
 SETTINGS: dict[str, Any] = {
     "classes": [
@@ -105,8 +104,11 @@
 
 
 def free_address() -> str:
-    """An address for a process of the test's to listen at. Its loopback host is this call's alone: no other
-    test, also of a run beside this one, and no outgoing connection takes it before the process binds."""
+    """Return an address for a process of the test to listen at.
+
+    Its loopback host is used by this call alone: no other test, also of a concurrent run, and no outgoing
+    connection takes it before the process binds.
+    """
     pid = os.getpid()
     host = f"127.{64 + (pid >> 8) % 128}.{pid % 256}.{1 + next(ADDRESSES) % 254}"
     with socket.create_server((host, 0)) as sock:
@@ -114,7 +116,7 @@
 
 
 class Party:
-    """A peer of the invoker: a listener, where it has one, and its newest connection."""
+    """A peer of the invoker: its listener, if it has one, and its newest connection."""
 
     def __init__(self, listening: socket.socket | None = None, sock: socket.socket | None = None) -> None:
         self.listening, self.connection, self.buffer = listening, sock, b""
@@ -134,11 +136,11 @@
         return self.connection
 
     def line(self) -> str:
-        """The next line, or '' at the connection's end."""
+        """Return the next line, or '' at the end of the connection."""
         while b"\n" not in self.buffer:
             try:
                 data = self.sock().recv(65536)
-            except ConnectionResetError:  # closed with more of ours unread
+            except ConnectionResetError:  # closed while some of our bytes were unread
                 data = b""
             if not data:
                 return ""
@@ -147,7 +149,7 @@
         return line.decode()
 
     def frame(self) -> frames.Frame | None:
-        """The next frame, or None at the connection's end."""
+        """Return the next frame, or None at the end of the connection."""
         while not self.unread_frames:
             data = self.sock().recv(65536)
             if not data:
@@ -165,7 +167,7 @@
 
 
 class Scene:
-    """One invoker and its parties; plays a scenario's steps in order."""
+    """One invoker and its peers; plays the steps of a scenario in order."""
 
     def __init__(
         self,
@@ -177,8 +179,11 @@
         settings: dict[str, Any] | None = None,
         shim: FaultShim | None = None,
     ) -> None:
-        """`operator` is TOML in which BROKER stands for the broker's address; `window` of keyed classes.
-        Hosts have the first zone and flavor of the `settings`, which are SETTINGS if none are given."""
+        """Start the invoker.
+
+        `operator` is TOML in which BROKER stands for the broker's address; `window` is that of keyed classes.
+        Hosts have the first zone and flavor of the `settings`, by default SETTINGS.
+        """
         self.broker = broker or Broker()
         self.folder, self.parties, self.offset = folder, {b: Party(listener()) for b in ("bus", "bus2")}, 0
         self.hosts = {f"h{n + 1}": Party(listener()) for n in range(hosts)}
@@ -215,8 +220,11 @@
         self.wait("started")
 
     def send_config(self, *words: str) -> None:
-        """`raw TEXT`, or `KEY=VALUE ...` for new values, where a party stands for its address and
-        an object is JSON."""
+        """Write the configuration file.
+
+        `raw TEXT`, or `KEY=VALUE ...` for new values, where a party stands for its address and an object is
+        JSON.
+        """
         given = dict(w.split("=", 1) for w in words if words[0] != "raw")
         for key, value in given.items():
             address = self.parties[value].address() if value in self.parties else value
@@ -225,7 +233,7 @@
         (self.folder / "config.json").write_text(text)
 
     def event(self, state: str, *names: str) -> dict[str, Any]:
-        """An event of the bus; `name@other` has the address of another."""
+        """Return an event of the bus; `name@other` has the address of another host."""
         self.offset += 1
         servers = [
             {
@@ -247,7 +255,7 @@
         return (self.folder / "log").read_text()
 
     def wait(self, words: str) -> None:
-        """Until the log says it, from where the last wait ended."""
+        """Wait until the log contains the words after the end of the previous match."""
         deadline = time.monotonic() + TIMEOUT_S
         while (found_at := self.log().find(words, self.log_position)) < 0:
             assert time.monotonic() < deadline and self.process.poll() is None, f"never logged: {words}"
@@ -305,7 +313,8 @@
     # --- clients ---
 
     def send_client(self, party: Party, words: list[str]) -> None:
-        """`call ID CLASS [name=value ...]`, `giveUp ID`, `probe ID`, `raw TEXT`, or `part TEXT` (no end)."""
+        """`call ID CLASS [name=value ...]`, `giveUp ID`, `probe ID`, `raw TEXT`, or `part TEXT`
+        (unterminated)."""
         if words[0] in ("raw", "part"):
             text = words[1].encode() * int((words[2:] or ["1"])[0])
             return party.sock().sendall(text + (b"" if words[0] == "part" else b"\n"))
@@ -351,7 +360,7 @@
     # --- operators ---
 
     def send_management(self, party: Party, words: list[str]) -> None:
-        """A call with its arguments, or `part TEXT` for a line that does not end."""
+        """An operation with its arguments, or `part TEXT` for an unterminated line."""
         part = words[0] == "part"
         party.sock().sendall(words[1].encode() if part else " ".join(words).encode() + b"\n")
 
@@ -362,14 +371,14 @@
         self.assert_equal("", party.line())
 
     def ask(self, call: str) -> list[str]:
-        """The lines of the answer to one call of the operators."""
+        """Return the lines of the answer to one operation."""
         host, port = self.management.split(":")
         with socket.create_connection((host, int(port)), TIMEOUT_S) as sock:
             sock.sendall(call.encode() + b"\n")
             return b"".join(iter(lambda: sock.recv(65536), b"")).decode().splitlines()
 
     def figures(self) -> dict[str, int]:
-        """What 'show-stat' tells, by figure."""
+        """Return the counters of 'show-stat' by name."""
         *lines, last = self.ask("show-stat")
         self.assert_equal("end", last)
         return {name: int(value) for name, value in (line.rsplit(" ", 1) for line in lines)}
@@ -378,7 +387,10 @@
 
     def send_host(self, party: Party, words: list[str]) -> None:
         """`ok|miss|... [of=hold] [body=TEXT] [field=value ...] [then=TEXT] [short=BYTES]` answers the newest
-        frame, with more behind it or without its end; `raw TEXT`."""
+        frame; `raw TEXT`.
+
+        `then` appends text, `short` omits the last bytes.
+        """
         if words[0] == "raw":
             return party.sock().sendall(words[1].encode())
         given = dict(w.split("=", 1) for w in words[1:])
@@ -403,8 +415,8 @@
 
     def talk_to_broker(self, verb: str, words: list[str]) -> None:
         """`send broker TOPIC PAYLOAD [response=TOPIC] [correlation=TEXT] [expiry=S] [retain=1] [out=1]`;
-        `out` was delivered in an earlier life. `expect broker served|refused|failed [to=TOPIC]
-        [correlation=TEXT] [body=TEXT]`, `acked N`, `redelivered N`, `end`. Closed, it keeps the session."""
+        `out` was delivered to an earlier process. `expect broker served|refused|failed [to=TOPIC]
+        [correlation=TEXT] [body=TEXT]`, `acked N`, `redelivered N`, `end`. Closing it keeps the session."""
         broker = self.broker
         if verb == "close":
             return broker.drop()
@@ -443,7 +455,7 @@
     # --- the event bus ---
 
     def send_bus(self, party: Party, words: list[str]) -> None:
-        """`STATE HOST [HOST ...]`, or `raw TEXT`, or `part TEXT` for a line that does not end."""
+        """`STATE HOST [HOST ...]`, `raw TEXT`, or `part TEXT` for an unterminated line."""
         is_literal = words[0] in ("raw", "part")
         message = words[1] if is_literal else json.dumps(self.event(words[0], *words[1:]))
         party.sock().sendall(message.encode() + (b"" if words[0] == "part" else b"\n"))
@@ -453,7 +465,7 @@
         party.connection = None if words == ["end"] else party.connection
 
     def end(self) -> str:
-        """Ends the process if it still runs; what it logged."""
+        """Kill the process if it still runs; return its log."""
         if self.process.poll() is None:
             self.process.kill()
             self.process.wait()
@@ -468,7 +480,7 @@
 
 @contextmanager
 def ending(scene: S) -> Iterator[S]:
-    """The scene's invoker ends with the block, and has logged no failure of its own by then."""
+    """Kill the scene's invoker after the block, and check that it logged no failure of its own."""
     try:
         yield scene
     finally:
@@ -477,7 +489,7 @@
 
 
 def invoker(folder: Path, *failing: str, **options: Any) -> AbstractContextManager[Scene]:
-    """A scene whose invoker has come up while these calls failed, and whose further faults the test tells."""
+    """Return a scene whose invoker started while these calls failed; the test sets further faults."""
     shim = FaultShim(folder)
     for fault in failing:
         shim.tell(["fail", *fault.split()])
@@ -485,7 +497,7 @@
 
 
 def run(folder: Path, text: str, bodies: dict[str, str] | None = None, **options: Any) -> str:
-    """Plays one scenario against an invoker of its own; what it logged. `bodies` gets the HTTP's bodies."""
+    """Play one scenario against a new invoker and return its log; `bodies` receives those of HTTP answers."""
     with ending(Scene(folder, **options)) as scene:
         scene.bodies = {} if bodies is None else bodies
         scene.play(text)
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -1,4 +1,4 @@
-"""The worker list against a plain model: whatever the list says and operators do, no cause is forgotten."""
+"""The worker list against a simple model: bans and list states combine in any order without being lost."""
 
 from __future__ import annotations
 
@@ -70,16 +70,15 @@
 
 
 class Bans(RuleBasedStateMachine):
-    """`words` is what the list last said of each id, and `banned` whom operators left out: no more is needed
-    to say what each host is."""
+    """The model: the latest listed entry of each id and the banned ids determine the state of each host."""
 
     def __init__(self) -> None:
         super().__init__()
         self.listed_servers: dict[str, Server] = {}
         self.banned: set[str] = set()
         self.received: list[WorkersChanged] = []
-        self.module_entries: dict[int, i.WorkerEntry] = {}  # what the module knows
-        self.stored: set[str] = set()  # what the next process would know
+        self.module_entries: dict[int, i.WorkerEntry] = {}  # the module's view
+        self.stored: set[str] = set()  # the bans that the next process would read
         self.actor = create_list(self.received)
         self.actor.on_ban_changed = lambda id, on: self.stored.add(id) if on else self.stored.discard(id)
         self.offset = self.events = 0
@@ -110,7 +109,7 @@
         full=st.booleans(),
     )
     def list_servers(self, entries: list[tuple[str, int, str, int]], full: bool) -> None:
-        """Listed, drained, gone, back, restarted, moved, or at the address of another."""
+        """Hosts are listed, drained, gone, back, restarted, moved, or at the address of another."""
         servers = [Server(id, f"127.0.0.1:{port}", state, started_ms=at) for id, port, state, at in entries]
         if full:
             self.listed_servers = {id: Server(id, s.addr, "left") for id, s in self.listed_servers.items()}
@@ -121,7 +120,7 @@
 
     @rule(id=IDS, banned=st.booleans(), at_peer=st.booleans())
     def switch_ban(self, id: str, banned: bool, at_peer: bool) -> None:
-        """By an operator here, or at the other process of an upgrade."""
+        """An operator bans a host here, or at the other process of an upgrade."""
         known = at_peer or id in self.listed_servers or id in self.banned
         is_reported = (
             banned != (id in self.banned)
@@ -171,7 +170,7 @@
 TestBans.settings = settings(max_examples=150, stateful_step_count=30, deadline=None)
 
 
-def test_ids_that_are_gone_are_remembered_up_to_a_bound_and_banned_ones_for_ever() -> None:
+def test_ids_of_removed_hosts_are_kept_up_to_a_limit_and_banned_ones_without_limit() -> None:
     actor = create_list([], replace(Limits(), ids_remembered=3))
     for n, id in enumerate("abcdef"):
         for state in ("active", "left"):
@@ -182,7 +181,7 @@
     gevent.sleep(0)
 
 
-def test_a_list_that_has_no_time_is_said_to_be_busy_within_a_second() -> None:
+def test_a_busy_list_is_reported_as_busy_within_a_second() -> None:
     stuck, full = create_list([]), create_list([], replace(Limits(), list_mailbox=0))
     for actor in (stuck, full):
         admin = AdminServer(("", 0), Metrics(), bool, actor.try_send, Limits(), NullLog())
--- a/tests/test_discovery_crossings.py
+++ b/tests/test_discovery_crossings.py
@@ -1,5 +1,8 @@
-"""Discovery where events cross: a watch that is lost in every way, a bus that numbers anew, spoilt events and
-hosts that change places within one event."""
+"""Races in discovery.
+
+A connection to the bus that is lost in various ways, a bus that restarts its numbering, invalid events, and
+hosts that exchange addresses within one event.
+"""
 
 from __future__ import annotations
 
@@ -28,12 +31,12 @@
 
 from .rig import SETTINGS
 
-TIMEOUT_S = 20.0  # seconds until a step that should come soon is held to have failed
+TIMEOUT_S = 20.0  # for what should happen soon
 UP, DRAINING, GONE = i.WorkerStatus.UP, i.WorkerStatus.DRAINING, i.WorkerStatus.GONE
 
 
 class RecordingLog(Log):
-    """Keeps what is logged, as `kind text`."""
+    """Records what is logged, as `kind text`."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -54,11 +57,11 @@
     return json.dumps({"offset": offset, "topology": {"full": full, "servers": servers}}).encode() + b"\n"
 
 
-# --- the watch ---
+# --- the connection to the bus ---
 
 
 class Bus:
-    """The event bus as the test plays it."""
+    """The event bus, played by the test."""
 
     def __init__(self) -> None:
         self.listening = socket.socket()
@@ -68,14 +71,14 @@
         self.conn: Any = None
 
     def accept_request(self) -> str:
-        """Takes the next connection; what it asks for."""
+        """Accept the next connection and return its request."""
         self.conn, _ = self.listening.accept()
         self.conn.settimeout(TIMEOUT_S)
         asked: bytes = self.conn.makefile("rb").readline()
         return asked.decode().strip()
 
     def send_until_closed(self, data: bytes, every_s: float) -> None:
-        """The same again and again, until the follower closes."""
+        """Send the same data repeatedly until the follower closes."""
         with pytest.raises(OSError), gevent.Timeout(TIMEOUT_S):
             while True:
                 self.conn.sendall(data)
@@ -89,7 +92,7 @@
 
 
 class WatchedBus:
-    """A follower between a bus and a list that takes events only while `gate` is open."""
+    """A follower between a bus and a list that accepts events only while `accepting` is set."""
 
     def __init__(self, last_offset: int = 1, **limits: Any) -> None:
         changed: dict[str, Any] = {"bus_backoff_ms": 10.0, "bus_quiet_ms": 5000.0} | limits
@@ -145,7 +148,7 @@
 
 
 @pytest.mark.parametrize("drip", [b"1", b"\n", b" \n", b"{"])
-def test_a_watch_that_sends_bytes_and_no_whole_line_is_made_anew(
+def test_a_bus_that_sends_bytes_but_no_complete_line_is_reconnected(
     watch: Callable[..., WatchedBus], drip: bytes
 ) -> None:
     w = watch(bus_quiet_ms=300.0, bus_line_ms=600.0)
@@ -154,7 +157,7 @@
     assert w.bus.accept_request() == "from 1" and w.received == []
 
 
-def test_blank_lines_that_are_always_there_to_be_read_keep_no_watch_alive(
+def test_continuous_blank_lines_do_not_keep_a_connection_alive(
     watch: Callable[..., WatchedBus],
 ) -> None:
     w = watch(bus_quiet_ms=300.0)
@@ -163,7 +166,7 @@
     assert w.bus.accept_request() == "from 1" and w.received == []
 
 
-def test_a_read_waits_no_longer_than_until_the_line_is_due() -> None:
+def test_a_read_times_out_when_the_line_is_due() -> None:
     buffer = LineBuffer(Limits(bus_quiet_ms=2000.0, bus_line_ms=4000.0), 0.0)
     assert buffer.feed(b"1\n\n", 500.0) == [b"1"] and buffer.read_timeout_ms(700.0) == 1800.0
     assert buffer.feed(b"{", 2000.0) == [] and buffer.read_timeout_ms(2500.0) == 2000.0
@@ -194,10 +197,10 @@
         (b"1\n", False),
     ],
 )
-def test_a_watch_that_is_lost_again_and_again_is_made_anew_with_growing_bounded_pauses(
+def test_repeated_losses_of_the_bus_are_retried_with_bounded_exponential_backoff(
     watch: Callable[..., WatchedBus], said: bytes, closes: bool
 ) -> None:
-    """It ends, names events that never come, or falls silent with its connection open."""
+    """The connection ends, names events that never come, or falls silent while open."""
     w = watch(bus_quiet_ms=60_000.0 if closes or b"9" in said else 200.0, bus_backoff_most_ms=60.0)
     pauses = []
     for _ in range(5):
@@ -209,7 +212,7 @@
     assert pauses == [10.0, 20.0, 40.0, 60.0, 60.0]
 
 
-def test_a_watch_that_falls_silent_late_is_followed_from_its_last_event(
+def test_a_bus_that_falls_silent_is_followed_from_its_last_event(
     watch: Callable[..., WatchedBus],
 ) -> None:
     w = watch(bus_quiet_ms=300.0)
@@ -218,10 +221,10 @@
     assert w.bus.is_closed() and w.bus.accept_request() == "from 2" and w.offsets() == [2]
 
 
-# --- a move ---
+# --- a change of address ---
 
 
-def test_a_move_drops_the_half_line_and_asks_from_the_last_whole_event(
+def test_a_change_of_address_drops_a_partial_line_and_continues_from_the_last_event(
     watch: Callable[..., WatchedBus],
 ) -> None:
     w, other = watch(), Bus()
@@ -236,14 +239,16 @@
     assert [s.id for s in said.event.topology.servers] == ["new"]
 
 
-def test_a_line_queued_behind_a_move_is_dropped_and_one_before_it_counts(
+def test_a_line_queued_after_a_change_of_address_is_dropped_and_one_before_it_counts(
     watch: Callable[..., WatchedBus],
 ) -> None:
     w, other = watch(), Bus()
     assert w.bus.accept_request() == "from 1"
     w.accepting.clear()
     w.bus.conn.sendall(event(2) + event(3))
-    w.until(lambda: w.received and len(w.follower.mailbox) == 1)  # 2 is in hand, 3 is queued
+    w.until(
+        lambda: w.received and len(w.follower.mailbox) == 1
+    )  # event 2 is being handled, event 3 is queued
     w.follower.change_address(other.listening.getsockname()[:2])
     w.bus.conn.sendall(event(4))
     w.until(lambda: len(w.follower.mailbox) == 3)
@@ -254,14 +259,14 @@
     assert w.offsets() == [2, 3, 5]
 
 
-# --- a bus that numbers anew ---
+# --- a bus that restarts its numbering ---
 
 RENUMBERED = event(1, entry("h1", 1), entry("h2", 2), full=True) + event(
     2, entry("h2", 2, "left"), entry("h3", 3)
 )
 
 
-def test_a_bus_that_numbers_anew_is_fetched_from_its_first_event_and_taken_as_one_list(
+def test_a_bus_that_restarts_its_numbering_is_fetched_from_its_first_event_as_one_list(
     watch: Callable[..., WatchedBus],
 ) -> None:
     w = watch(5, bus_anew_ms=300.0)
@@ -269,7 +274,7 @@
     w.bus.send_until_closed(event(3, entry("old", 9)) + b"2\n", 0.02)
     assert w.bus.accept_request() == "from 0"
     w.bus.conn.sendall(RENUMBERED)
-    w.bus.conn.close()  # before it has named its number: nothing may be taken yet
+    w.bus.conn.close()  # before the bus has named its number: no event may be applied yet
     assert w.bus.accept_request() == "from 0" and w.received == []
     w.bus.conn.sendall(RENUMBERED + b"2\n" + event(2, entry("old", 9)) + event(3, entry("h4", 4)))
     w.until(lambda: w.offsets() == [-2, 3])
@@ -281,12 +286,12 @@
 
 
 def events_into(received: list[Any]) -> Callable[[object], None]:
-    """Keeps what tells of the list, and not that it is confirmed."""
+    """Return a receiver that stores changes of the list and ignores confirmations."""
     return lambda message: None if isinstance(message, ListConfirmed) else received.append(message)
 
 
 def followed(patch: pytest.MonkeyPatch, last: int) -> tuple[BusFollower, list[Any], list[float]]:
-    """A follower without a reader, under a clock of the test."""
+    """Return a follower without a reader, on a clock that the test sets."""
     clock, received = [0.0], list[Any]()
     patch.setattr(bus_follower, "now_ms", lambda: clock[0])
     patch.setattr(bus_follower, "spawn", lambda *reader: None)
@@ -296,10 +301,10 @@
 
 
 @pytest.mark.parametrize("between", [b"5", event(6), event(3)])
-def test_a_number_below_the_last_event_has_to_stay_there(
+def test_only_a_lasting_number_below_the_last_event_counts_as_restarted_numbering(
     monkeypatch: pytest.MonkeyPatch, between: bytes
 ) -> None:
-    """A newer event or the right number in between begins the time anew; an old event changes nothing."""
+    """A newer event or the right number in between restarts the period; an old event has no effect."""
     follower, _, clock = followed(monkeypatch, 5)
     for at, line in ((0.0, b"2"), (4000.0, between), (5000.0, b"2"), (8000.0, b"2")):
         clock[0] = at
@@ -310,7 +315,7 @@
     assert follower.snapshot is not None or between == event(3)
 
 
-def test_a_new_numbering_without_events_or_without_a_whole_one_empties_no_list(
+def test_a_restarted_numbering_without_a_full_list_does_not_empty_the_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     follower, told, clock = followed(monkeypatch, 5)
@@ -323,7 +328,7 @@
     assert [t.update.is_full for t in told] == [False]
 
 
-def test_an_event_under_a_spoilt_high_offset_keeps_later_ones_from_being_heard_for_a_while_only(
+def test_an_event_with_a_wrong_high_offset_hides_later_events_only_temporarily(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     follower, told, clock = followed(monkeypatch, 5)
@@ -337,7 +342,7 @@
     assert [t.event.offset for t in told[2:]] == [7]
 
 
-def test_a_move_in_the_middle_of_fetching_begins_at_the_first_event_again(
+def test_a_change_of_address_during_a_snapshot_restarts_it_from_the_first_event(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     follower, told, clock = followed(monkeypatch, 5)
@@ -354,12 +359,15 @@
     ):
         follower.receive(message)
     assert told == [] and follower.last_offset == 0
-    for line in (event(1, entry("h7", 7)), b"1"):  # not whole, so that nothing but the move clears the others
+    for line in (
+        event(1, entry("h7", 7)),
+        b"1",
+    ):  # not a full list, so that only the change of address discards the others
         follower.receive(LineReceived(follower.connection, line))
     assert [list(t.update.servers) for t in told] == [["h7"]]
 
 
-# --- how old the list is ---
+# --- confirmations of the list ---
 
 CONFIRMATIONS: dict[str, tuple[list[tuple[float, bytes]], list[float]]] = {
     "the first heartbeat tells no more than of the connection": ([(900.0, b"5")], [0.0]),
@@ -375,13 +383,13 @@
     "not while a line is left out": ([(1.0, b"{"), (2.0, b"{"), (900.0, b"6"), (1900.0, b"6")], []),
     "again after a whole list": (
         [(1.0, b"{"), (2.0, b"{"), (900.0, b"6"), (950.0, event(7, full=True)), (1900.0, b"7")],
-        [1051.0],  # the line was asked for once more, on a connection of its own: 1 ms and the pause later
+        [1051.0],  # the line was requested once more on a new connection: 1 ms and the back-off later
     ),
 }
 
 
 @pytest.mark.parametrize("case", CONFIRMATIONS)
-def test_a_heartbeat_with_our_last_number_confirms_the_list_as_of_when_it_may_have_been_written(
+def test_a_heartbeat_with_the_last_number_confirms_the_list_as_of_its_earliest_writing(
     monkeypatch: pytest.MonkeyPatch, case: str
 ) -> None:
     lines, expected = CONFIRMATIONS[case]
@@ -399,10 +407,10 @@
     "period, latency, remade",
     [(1000.0, 0.0, 0), (1010.0, 0.0, 5), (1100.0, 0.0, 46), (1300.0, 0.0, 100), (1000.0, 3000.0, 0)],
 )
-def test_a_bus_whose_heartbeats_come_rarely_is_connected_anew_before_they_seem_old(
+def test_a_bus_with_infrequent_heartbeats_is_reconnected_before_the_list_seems_old(
     monkeypatch: pytest.MonkeyPatch, period: float, latency: float, remade: int
 ) -> None:
-    """Where they only come late, by a slow link, another connection would not help."""
+    """If they are merely late because of a slow link, another connection would not help."""
     follower, _, clock = followed(monkeypatch, 5)
     heard: list[Any] = []
     follower.send_to_list = heard.append
@@ -418,7 +426,7 @@
 
 
 class DrivenList:
-    """The list's actor, driven by lines of the bus; `module` is what the module knows."""
+    """The list's actor, driven by lines of the bus; `module` is the module's view of the list."""
 
     def __init__(self) -> None:
         self.log, self.module, self.ports = RecordingLog(), dict[int, i.WorkerEntry](), dict[int, Any]()
@@ -445,7 +453,7 @@
         self.actor.receive(message)
 
     def state(self) -> dict[str, tuple[i.WorkerStatus, int]]:
-        """Drain and port of each host; the module and the hosts' actors agree on them."""
+        """Return status and port of each host; the module and the hosts' actors must agree on them."""
         hosts = self.actor.hosts
         state = {id: (status.state, status.address[1]) for id, (status, _) in hosts.items()}
         assert {worker_number(id): drain for id, (drain, _) in state.items()} == {
@@ -492,12 +500,12 @@
 
 @pytest.mark.parametrize("full", [False, True])
 @pytest.mark.parametrize("case", INVALID_FIELDS)
-def test_a_spoilt_entry_is_named_once_and_its_host_keeps_its_former_state(
+def test_an_invalid_entry_is_logged_once_and_its_host_keeps_its_previous_state(
     listed: DrivenList, case: str, full: bool
 ) -> None:
     field, value = INVALID_FIELDS[case]
     spoilt = entry("h1", 1, "leaving") | {field: value}
-    if isinstance(value, float):  # what JSON can't say comes from a reader that is less strict
+    if isinstance(value, float):  # values that JSON can't express, as a less strict decoder would return them
         servers = [Server(**spoilt), Server(**entry("h3", 3))]
         listed.actor.receive(EventReceived(BusEvent(2, Topology(servers, full=full))))
     else:
@@ -509,13 +517,13 @@
 
 
 @pytest.mark.parametrize("id", ["", "h" * 257, 7, None])
-def test_a_whole_list_with_an_entry_that_names_no_host_strikes_none(listed: DrivenList, id: Any) -> None:
+def test_a_full_list_with_an_entry_without_a_host_removes_no_host(listed: DrivenList, id: Any) -> None:
     listed.send_event(entry("h3", 3), entry("x", 9) | {"id": id}, full=True)
     assert listed.state() == BOTH | {"h3": (UP, 3)} and len(listed.log.of_kind("bad-event")) == 1
 
 
-def test_an_unknown_zone_is_named_and_the_host_is_heard_all_the_same(listed: DrivenList) -> None:
-    """The settings may name it only at the next SIGHUP; a host that drains there has to get nothing new."""
+def test_an_unknown_zone_is_logged_and_the_host_is_used_nevertheless(listed: DrivenList) -> None:
+    """The next SIGHUP may load the zone; until then a host that drains there must get nothing new."""
     listed.send_event(entry("h1", 1, "leaving", zone="nowhere", kind="odd"))
     assert listed.state() == BOTH | {"h1": (DRAINING, 1)}
     (line,) = listed.log.of_kind("bad-event")
@@ -523,7 +531,7 @@
 
 
 @pytest.mark.parametrize("full", [False, True])
-def test_a_host_whose_entry_was_spoilt_is_confirmed_by_its_next_good_one_alone(
+def test_a_host_with_an_invalid_entry_is_confirmed_only_by_its_next_valid_one(
     listed: DrivenList, full: bool
 ) -> None:
     listed.send_event(entry("h1", 1, "?"), entry("h2", 2), full=full)
@@ -536,7 +544,7 @@
     ]
 
 
-def test_an_entry_that_may_have_meant_any_host_keeps_the_list_unconfirmed_until_a_whole_one(
+def test_an_entry_that_may_concern_any_host_leaves_the_list_unconfirmed_until_a_full_one(
     listed: DrivenList,
 ) -> None:
     listed.send_event(entry("", 1))
@@ -549,7 +557,7 @@
     assert listed.confirmed == [i.ListConfirmed(7.0)]
 
 
-def test_the_list_of_the_start_is_as_old_as_the_file_that_holds_it() -> None:
+def test_the_initial_list_is_as_old_as_its_file() -> None:
     made = DrivenList()
     made.actor.load_initial(KnownEvents(1, [BusEvent(1, Topology([Server(**entry("h1", 1))]))]), as_of=5.0)
     assert made.confirmed == [i.ListConfirmed(5.0 - PROPAGATION_DELAY_MS)]
@@ -569,7 +577,7 @@
 
 
 @pytest.mark.parametrize("case", FULL_LISTS)
-def test_a_whole_list_says_who_is_there_and_a_spoilt_one_changes_nothing(
+def test_a_full_list_replaces_the_list_and_an_invalid_one_changes_nothing(
     listed: DrivenList, case: str
 ) -> None:
     servers, expected = FULL_LISTS[case]
@@ -579,8 +587,8 @@
     assert all(listed.actor.hosts[id][1] is before[id] for id in expected)
 
 
-def test_a_whole_list_crosses_a_change_by_its_offset_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An old or repeated one changes nothing, a newer one everything."""
+def test_a_full_list_and_changes_are_ordered_by_offset_alone(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An old or repeated list has no effect; a newer one replaces everything."""
     follower, told, _ = followed(monkeypatch, 2)
     made = DrivenList()
     for line in (
@@ -598,7 +606,7 @@
     gevent.sleep(0)
 
 
-# one event, in either order of its entries, to a list of h1 at 1 and h2 at 2
+# one event, in either order of its entries, applied to a list of h1 at port 1 and h2 at port 2
 SIMULTANEOUS_CHANGES: dict[str, tuple[list[Any], dict[str, tuple[i.WorkerStatus, int]]]] = {
     "left, its address another's": ([entry("h1", 1, "left"), entry("n", 1)], {"n": (UP, 1), "h2": (UP, 2)}),
     "drains, its address another's": (
@@ -613,7 +621,7 @@
 
 @pytest.mark.parametrize("is_reversed", [False, True])
 @pytest.mark.parametrize("case", SIMULTANEOUS_CHANGES)
-def test_hosts_that_change_places_in_one_event_do_so_in_either_order(
+def test_hosts_that_exchange_addresses_in_one_event_do_so_in_either_order(
     listed: DrivenList, case: str, is_reversed: bool
 ) -> None:
     servers, expected = SIMULTANEOUS_CHANGES[case]
@@ -628,7 +636,7 @@
 
 
 @pytest.mark.parametrize("begins", [False, True])
-def test_a_host_gone_and_back_in_one_batch_is_there_and_one_back_and_gone_is_not(begins: bool) -> None:
+def test_the_last_entry_of_a_host_in_a_batch_decides_whether_it_is_listed(begins: bool) -> None:
     made = DrivenList()
     steps = [entry("h1", 1), entry("h1", 1, "left"), entry("h1", 1, started_ms=5)]
     steps += [entry("h2", 2, "left"), entry("h2", 2), entry("h2", 2, "left"), entry("h3", 3), entry("h4", 3)]
@@ -644,7 +652,7 @@
     gevent.sleep(0)
 
 
-def test_a_replaced_host_does_not_come_back_where_its_successor_leaves_in_the_same_batch() -> None:
+def test_a_replaced_host_stays_removed_if_its_successor_leaves_in_the_same_batch() -> None:
     made = DrivenList()
     steps = [entry("h1", 1), entry("h2", 1), entry("h2", 1, "left")]
     batch = [BusEvent(n, Topology([Server(**step)])) for n, step in enumerate(steps)]
@@ -652,7 +660,7 @@
     assert made.state() == {}
 
 
-# --- any JSON ---
+# --- arbitrary JSON ---
 
 JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False) | st.text(),
@@ -678,7 +686,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(said=EVENT | JSON)
-def test_no_json_ends_the_follower_or_the_list_and_what_is_spoilt_changes_nothing(said: Any) -> None:
+def test_no_json_ends_the_follower_or_the_list_and_invalid_json_changes_nothing(said: Any) -> None:
     made, told, log = DrivenList(), list[Any](), RecordingLog()
     made.send_event(entry("h1", 1), entry("h2", 2), full=True)
     before = made.state()
@@ -686,7 +694,7 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(bus_follower, "spawn", lambda *reader: None)
         follower.connect(0.0)
-        for _ in range(2):  # the second time it is left out
+        for _ in range(2):  # the second time the line is skipped
             follower.receive(LineReceived(follower.connection, json.dumps(said).encode()))
     changes = len(made.log.of_kind("list"))
     for each in told:
@@ -698,7 +706,7 @@
     gevent.sleep(0)
 
 
-def test_lines_that_nest_deeper_than_the_reader_go_are_left_out(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lines_nested_too_deeply_for_the_decoder_are_skipped(monkeypatch: pytest.MonkeyPatch) -> None:
     follower, told, _ = followed(monkeypatch, 1)
     deep = b"[" * 100_000 + b"]" * 100_000
     for line in (b'{"offset":2,"x":' + deep + b"}", b'{"offset":2,"topology":{"servers":[' + deep + b"]}}"):
--- a/tests/test_discovery_outage.py
+++ b/tests/test_discovery_outage.py
@@ -1,12 +1,9 @@
-"""Incident 34: model hosts drained while discovery was out of reach.
-
-Seen: for seconds after the time at which a drain counts as told, and the grace, calls and load orders went on
-to the draining hosts, from every invoker. The hosts turned the calls away, and others served them.
-How: the event bus was lost, the watch asked again and again, and nothing else in the process changed.
-Cause: what discovery had told held until its next event, however long that took. No part knew how old the
-list was, and no answer of a host was read as a sign of whether it still takes new work.
-Proof: the plays below, with discovery lost in three ways, fail on that program: the hosts' own records count
-the sends. In the play without an outage the drain is told, and nothing is sent.
+"""Incident 34: model hosts drained while discovery was unreachable.
+
+For seconds after the drain should have been known, and the grace period, calls and load orders still went to
+the draining hosts: what discovery had announced held until its next event, and nothing tracked how old the
+list was. The runs below lose discovery in three ways and count the late sends in the hosts' own records;
+without an outage the drain is announced and nothing is sent.
 """
 
 from __future__ import annotations
@@ -21,14 +18,17 @@
 from harrieryoke.lab.hosts import Outage
 from harrieryoke.lab.world import GRACE, World
 
-ANNOUNCED_WITHIN_MS = 7000.0  # ms: what the bus has to tell counts as told by then, whether it arrived or not
+ANNOUNCED_WITHIN_MS = 7000.0  # by then an announcement of the bus counts as known, whether it arrived or not
 CALLS_PER_S = 60.0
-RUN_AFTER_DEADLINE_MS = 4000.0  # ms of the play behind the last moment at which sends are allowed
+RUN_AFTER_DEADLINE_MS = 4000.0  # of the run after the last moment at which sends are allowed
 
 
 class OutageRun:
-    """Half of the hosts drain half a second into an outage and stay up, turning new work away. With `restart`
-    the invoker is killed behind the deadline and starts from its old file; else the outage ends at last."""
+    """Half of the hosts drain half a second into an outage and stay up, rejecting new work.
+
+    With `restart` the invoker is killed after the deadline and starts from its old file; otherwise the outage
+    ends in the end.
+    """
 
     def __init__(self, folder: Path, outage: Outage | None, restart: bool = False) -> None:
         folder.mkdir()
@@ -80,7 +80,7 @@
 
 @pytest.fixture(scope="module")
 def plays(tmp_path_factory: pytest.TempPathFactory) -> dict[str, OutageRun]:
-    """All plays at the same time, each with an invoker of its own."""
+    """All runs at the same time, each with an invoker of its own."""
     folder = tmp_path_factory.mktemp("outages")
     greenlets = [
         gevent.spawn(lambda n, kind: OutageRun(folder / str(n), *kind).run(), n, kind)
@@ -89,12 +89,12 @@
     return {name: greenlet.get() for name, greenlet in zip(RUNS, greenlets, strict=True)}
 
 
-def test_nothing_new_goes_to_hosts_whose_drain_counts_as_told(plays: dict[str, OutageRun]) -> None:
+def test_no_new_work_goes_to_hosts_whose_drain_counts_as_announced(plays: dict[str, OutageRun]) -> None:
     assert {name: play.count_late_sends() for name, play in plays.items()} == dict.fromkeys(plays, 0)
 
 
 @pytest.mark.parametrize("name", RUNS)
-def test_the_calls_are_served_all_the_same(plays: dict[str, OutageRun], name: str) -> None:
+def test_calls_are_served_during_and_after_the_outage(plays: dict[str, OutageRun], name: str) -> None:
     play = plays[name]
     if play.restart:
         assert play.served_share(play.restarted_at) > 0.9
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize("name", RUNS)
-def test_the_log_tells_how_old_the_list_is(plays: dict[str, OutageRun], name: str) -> None:
+def test_the_log_reports_an_outdated_list(plays: dict[str, OutageRun], name: str) -> None:
     log, play = plays[name].log, plays[name]
     assert ("list-unconfirmed" in log) is (play.outage is not None)
     assert ("list-current" in log) is (play.outage is not None and not play.restart)
--- a/tests/test_host_crossings.py
+++ b/tests/test_host_crossings.py
@@ -1,5 +1,7 @@
-"""Events that cross on the links to a model host: a host's actor driven step by step against a stand-in on
-loopback, so that each crossing is forced."""
+"""Races on the links to a model host.
+
+A host's actor is driven step by step against a stand-in on loopback, so that each race is forced.
+"""
 
 from __future__ import annotations
 
@@ -24,9 +26,9 @@
 from harrieryoke.net.host import FIRST_INTERNAL_FRAME_ID, HostActor, HostStatus, LinkLost, LinkWritable
 from harrieryoke.net.link import HostSocket, Link, PendingFrame, host_socket
 
-TIMEOUT_S = 20.0  # seconds for what should come at once
+TIMEOUT_S = 20.0  # for what should happen at once
 SETTINGS = i.Settings((i.RequestClass("weight-read", 1000, 4000),))
-LARGE_BODY = b"x" * 16384  # more than the buffers of a `narrow` link
+LARGE_BODY = b"x" * 16384  # exceeds the buffers of a `narrow` link
 NOT_SENT, NO_CONNECTION, RESET, OK = (
     i.Outcome.NOT_SENT,
     i.Outcome.NO_CONNECTION,
@@ -36,7 +38,7 @@
 
 
 class Peer:
-    """The host's end of one link: keeps what it reads, and reads only while `reading` is set."""
+    """The host's end of one link: records the frames it reads, and reads only while `reading` is set."""
 
     def __init__(self, sock: socket.socket, reading: Event) -> None:
         self.sock, self.reading, self.received = sock, reading, list[tuple[int, int]]()
@@ -59,8 +61,10 @@
 
 
 class SteppedHost(HostActor):
-    """The real actor, with a stand-in on loopback; the test takes its messages from the mailbox by `step`.
-    `dialling` is called in each dial. On a `narrow` link a large request can't be written at once."""
+    """The real actor with a stand-in on loopback; `until` processes its mailbox.
+
+    `on_dial` is called in each dial. On a `narrow` link a large request can't be written at once.
+    """
 
     def __init__(self, limits: Limits | None = None, narrow: bool = False) -> None:
         self.listening = socket.socket()
@@ -93,7 +97,7 @@
         return sock
 
     def until(self, condition: Callable[[], object], process: bool = True) -> None:
-        """Goes on only once the condition is seen to hold; meanwhile the actor takes its messages."""
+        """Wait until the condition holds; meanwhile process the actor's mailbox."""
         deadline = time.monotonic() + TIMEOUT_S
         while not condition():
             assert time.monotonic() < deadline, (self.results, [p.received for p in self.peers])
@@ -102,7 +106,7 @@
             gevent.sleep(0.001)
 
     def send_blocked(self, body: bytes = LARGE_BODY) -> tuple[AttemptTask, Link]:
-        """A request of which a part is written, on a link whose host does not read."""
+        """Send a request that is written only in part, as its host does not read."""
         self.reading.clear()
         task = attempt(0xA, body=body)
         self.send_task(task)
@@ -141,7 +145,7 @@
     return frames.REQUEST, id
 
 
-# --- between the check and the first byte ---
+# --- changes between the check and the first byte ---
 
 
 def abandon(host: SteppedHost, task: AttemptTask) -> None:
@@ -172,7 +176,7 @@
 
 
 @pytest.mark.parametrize("change", CHANGES)
-def test_what_is_no_longer_wanted_when_its_dial_comes_up_does_not_begin(
+def test_a_task_cancelled_during_its_dial_is_not_sent(
     make_host: MakeHost, change: Callable[[SteppedHost, AttemptTask], None]
 ) -> None:
     host, task, marker = make_host(), attempt(1), OrderTask(1, 1e15, 0.0, function="f", copies=0)
@@ -188,7 +192,7 @@
 
 
 @pytest.mark.parametrize("change", CHANGES)
-def test_what_is_no_longer_wanted_when_the_host_reads_on_does_not_begin(
+def test_a_queued_task_cancelled_while_the_link_is_blocked_is_not_sent(
     make_host: MakeHost, change: Callable[[SteppedHost, AttemptTask], None]
 ) -> None:
     host, task, later = make_host(narrow=True), attempt(1), attempt(2)
@@ -208,7 +212,7 @@
 # --- a host that does not read ---
 
 
-def test_a_host_that_does_not_read_keeps_the_actor_from_nothing(make_host: MakeHost) -> None:
+def test_a_host_that_does_not_read_does_not_block_the_actor(make_host: MakeHost) -> None:
     host, early, given_up = make_host(narrow=True), attempt(1), attempt(2)
     host.send_task(early)
     host.until(lambda: host.peers[0].received)
@@ -227,7 +231,7 @@
     )
 
 
-def test_a_link_that_takes_nothing_for_its_time_ends_and_only_what_was_whole_may_have_run(
+def test_a_blocked_link_times_out_and_only_complete_requests_may_have_run(
     make_host: MakeHost,
 ) -> None:
     host, whole, queued = (
@@ -253,7 +257,7 @@
     assert sorted(host.results, key=lambda e: e[0] is large) == [(queued, NOT_SENT), (large, NOT_SENT)]
 
 
-def test_a_request_goes_rather_by_a_link_whose_host_reads(make_host: MakeHost) -> None:
+def test_a_request_prefers_a_link_that_is_not_blocked(make_host: MakeHost) -> None:
     host, tasks = make_host(Limits(streams_per_link=3), narrow=True), [attempt(n) for n in (1, 2, 3, 4)]
     for task in tasks[:3]:
         host.send_task(task)
@@ -263,7 +267,7 @@
     assert tasks[3].write_started and host.locations[tasks[3]][0] is host.links[0]
 
 
-def test_an_unload_that_has_not_begun_does_not_go_to_a_host_that_drains(make_host: MakeHost) -> None:
+def test_a_queued_unload_is_not_sent_to_a_draining_host(make_host: MakeHost) -> None:
     host, later = make_host(narrow=True), attempt(2)
     host.send_blocked()
     host.send_drop_copies("f")
@@ -276,7 +280,7 @@
     assert host.peers[0].received == [request(0xA), request(2)]
 
 
-def test_what_the_connection_takes_nothing_of_has_not_begun() -> None:
+def test_a_frame_of_which_no_byte_was_accepted_has_not_started() -> None:
     class Unready:
         def sendall(self, data: bytes) -> None:
             raise BlockingIOError(11, "full", 0)
@@ -291,7 +295,7 @@
 
 
 class NullPort:
-    """A host's mailbox that takes all and tells nothing."""
+    """A port and front that accepts everything and reports nothing."""
 
     def start_task(self, task: Task) -> bool:
         return True
@@ -313,16 +317,16 @@
 @pytest.mark.parametrize(
     ("effect", "outcomes", "start_by"),
     [
-        (i.Effect.KEYED, [RESET, RESET], 1000.0 + 300 - 2),  # the first of them counts
-        (i.Effect.KEYED, [NOT_SENT, RESET], 1100.0 + 300 - 2),  # that never ran
+        (i.Effect.KEYED, [RESET, RESET], 1000.0 + 300 - 2),  # the first attempt counts
+        (i.Effect.KEYED, [NOT_SENT, RESET], 1100.0 + 300 - 2),  # the first attempt never ran
         (i.Effect.KEYED, [NOT_SENT, i.Outcome.MISS], NEVER),
-        (i.Effect.KEYED, [None, NOT_SENT], 1000.0 + 300 - 2),  # that is still out
+        (i.Effect.KEYED, [None, NOT_SENT], 1000.0 + 300 - 2),  # the first attempt is still open
         (i.Effect.KEYED, [], NEVER),
         (i.Effect.SAFE, [RESET, None], NEVER),
         (i.Effect.UNSAFE, [RESET, None], NEVER),
     ],
 )
-def test_a_repeat_may_begin_while_the_first_that_may_have_run_is_known_by_its_key(
+def test_a_repeat_may_start_within_the_key_window_of_the_first_attempt_that_may_have_run(
     effect: i.Effect, outcomes: list[i.Outcome | None], start_by: float
 ) -> None:
     kind = i.RequestClass(
@@ -352,7 +356,7 @@
     assert host.results == [(task, RESET) for task in tasks] and not host.links and not host.locations
 
 
-def test_nothing_begins_on_a_link_that_the_host_has_closed_while_the_news_lies_in_the_mailbox(
+def test_no_request_starts_on_a_closed_link_whose_loss_is_still_queued(
     make_host: MakeHost,
 ) -> None:
     host, old, new = make_host(), attempt(1), attempt(2)
@@ -365,7 +369,7 @@
     assert host.peers[1].received == [request(2)] and host.results == [(old, RESET)]
 
 
-def test_what_waits_on_a_link_that_the_host_closes_never_begins(make_host: MakeHost) -> None:
+def test_queued_requests_on_a_link_closed_by_the_host_are_not_sent(make_host: MakeHost) -> None:
     host, queued = make_host(narrow=True), attempt(2)
     large, link = host.send_blocked(LARGE_BODY[:9000])
     host.send_task(queued)
@@ -373,18 +377,20 @@
     host.until(lambda: any(isinstance(m, LinkWritable) for m in host.mailbox), process=False)
     partial = link.backlog[0]
     written = len(host.encode_task(partial, large)) - len(partial.unwritten)
-    host.until(lambda: len(host.peers[0].decoder.buffer) == written, process=False)  # there is room for both
-    host.peers[0].sock.shutdown(socket.SHUT_WR)  # it would still read
+    host.until(
+        lambda: len(host.peers[0].decoder.buffer) == written, process=False
+    )  # the next frame would fit
+    host.peers[0].sock.shutdown(socket.SHUT_WR)  # the host would still read
     host.until(lambda: link.ended, process=False)
     host.until(lambda: len(host.results) == 2)
     assert dict(host.results) == {large: NOT_SENT, queued: NOT_SENT} and not queued.write_started
 
 
-def test_a_dial_that_never_comes_up_ends_all_that_waited_for_it_once(make_host: MakeHost) -> None:
+def test_a_dial_that_times_out_ends_each_queued_task_once(make_host: MakeHost) -> None:
     host, tasks = make_host(Limits(dial_ms=100.0)), [attempt(n) for n in (1, 2, 3)]
     host.listening.listen(0)
     address, connections = host.listening.getsockname(), list[socket.socket]()
-    with pytest.raises(TimeoutError):  # until the host's queue is full: it answers no dial any more
+    with pytest.raises(TimeoutError):  # until the host's backlog is full and dials are no longer answered
         while len(connections) < 10:
             connections.append(socket.create_connection(address, 0.2))
     for task in tasks[1:]:
@@ -397,7 +403,7 @@
         sock.close()
 
 
-def test_a_dial_without_a_descriptor_tells_nothing_of_the_host(make_host: MakeHost) -> None:
+def test_a_dial_without_a_free_descriptor_says_nothing_about_the_host(make_host: MakeHost) -> None:
     host, task, queued = make_host(), attempt(1), attempt(2)
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     host.start_task(queued)
@@ -413,7 +419,7 @@
     assert host.peers[0].received == [request(2)] and len(host.results) == 1
 
 
-def test_a_host_whose_links_are_all_full_is_not_taken_for_dead(make_host: MakeHost) -> None:
+def test_a_host_whose_links_are_all_full_is_not_taken_as_dead(make_host: MakeHost) -> None:
     host, tasks = make_host(Limits(links_per_host=2, streams_per_link=1)), [attempt(n) for n in (1, 2, 3, 4)]
     host.start_task(tasks[3])
     for task in tasks[:3]:
@@ -422,9 +428,7 @@
 
 
 @pytest.mark.parametrize("narrow", [False, True])
-def test_two_attempts_of_a_request_that_are_out_together_go_by_two_links(
-    make_host: MakeHost, narrow: bool
-) -> None:
+def test_concurrent_attempts_of_one_request_use_different_links(make_host: MakeHost, narrow: bool) -> None:
     host = make_host(narrow=narrow)
     if narrow:
         host.send_blocked()
--- a/tests/test_host_starts.py
+++ b/tests/test_host_starts.py
@@ -1,4 +1,4 @@
-"""When hosts started, as a process knows it whose wall clock is right, an hour off, or set while it runs."""
+"""Start times of hosts in a process whose wall clock is right, an hour off, or set while it runs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .rig import Rig, workers
 
 HOUR_MS = 3_600_000.0
-UNIX_MS = 1.8e12  # the list's clock when the monotonic one says NOW_MS
+UNIX_MS = 1.8e12  # the list's clock when the monotonic clock is at NOW_MS
 NOW_MS = 50_000.0
 WALL_ERRORS = {"right": 0.0, "an hour ahead": HOUR_MS, "an hour back": -HOUR_MS, "3 s ahead": 3000.0}
 
@@ -26,7 +26,7 @@
         self.starts = HostStarts(lambda: self.now, lambda: UNIX_MS + self.now - NOW_MS + self.error)
 
     def learn_ages_s(self, *seconds_ago: float) -> list[float | None]:
-        """For how many seconds hosts of a first list are held to be up that started so long ago."""
+        """Return the ages in seconds that are assumed for hosts of a first list that started so long ago."""
         servers = [server(f"h{n}", UNIX_MS - 1000 * ago) for n, ago in enumerate(seconds_ago)]
         self.starts.learn_initial(servers)
         read = [self.starts.observe(each) for each in servers]
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("error", WALL_ERRORS)
-def test_a_start_that_is_told_later_counts_from_when_it_is_heard_of(error: str) -> None:
+def test_a_start_announced_later_counts_from_its_arrival(error: str) -> None:
     machine = Machine(WALL_ERRORS[error])
     first = machine.starts.observe(server("h", UNIX_MS - 500))
     assert first is not None and first.started_at == NOW_MS
@@ -50,17 +50,17 @@
 
 
 @pytest.mark.parametrize("error", WALL_ERRORS)
-def test_no_host_of_the_first_list_is_held_for_older_than_it_is(error: str) -> None:
+def test_no_host_of_the_first_list_is_taken_as_older_than_it_is(error: str) -> None:
     ages = Machine(WALL_ERRORS[error]).learn_ages_s(1, 5, 90)
     assert all(age is not None and age <= true for age, true in zip(ages, (1, 5, 90), strict=True))
     assert ages == ([0, 0, 0] if error == "an hour back" else [0, 4, 89])
 
 
-def test_a_host_whose_own_stamp_lies_ahead_makes_no_other_one_old() -> None:
+def test_a_start_time_in_the_future_does_not_age_other_hosts() -> None:
     assert Machine().learn_ages_s(-3600, 2, 60) == [0, 2, 60]
 
 
-def test_a_start_that_the_list_tells_again_leaves_the_host_as_warm_as_it_is() -> None:
+def test_a_repeated_start_does_not_change_how_warm_the_host_is() -> None:
     rig = Rig()
     told = replace(workers(1)[0], started=rig.now, start_stamp=UNIX_MS)
     rig.give(i.WorkersListed(i.ListScope.CHANGES, (told,)))
--- a/tests/test_interleave.py
+++ b/tests/test_interleave.py
@@ -1,5 +1,8 @@
-"""Every order of a few messages: a host that closes against a dispatch, new settings against arrival and
-expiry; and faults planted in each, which have to be found."""
+"""Every order of a few messages: a host that closes against a dispatch, and new settings against arrival and
+expiry.
+
+Faults planted in each of them must be found.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +36,7 @@
 
 
 def find_planted_fault(make: Callable[[], World], failure: str) -> str:
-    """The schedule in which the fault shows; played again, it shows in the same way."""
+    """Return the schedule that shows the planted fault; the fault must show again when it is replayed."""
     with pytest.raises(Failed, match=failure) as found:
         explore(make)
     assert replay(make, found.value.schedule) == found.value.failure
@@ -44,7 +47,7 @@
 
 
 class Additions(World):
-    """Two threads that add one to a number each, by reading and writing; `keyed` states are known again."""
+    """Two threads that each add one to a number; with `keyed`, states are recognised."""
 
     def __init__(self, keyed: bool, safe: bool = False) -> None:
         self.keyed, self.number, self.read_values = keyed, 0, {"a": 0, "b": 0}
@@ -66,7 +69,7 @@
         assert self.number == 2, "an addition was lost"
 
 
-def test_all_orders_are_played_each_once() -> None:
+def test_each_schedule_is_played_once() -> None:
     assert explore(lambda: Additions(False, safe=True)) == Counts(20, 69, True)  # 6! / 3! / 3!
     assert explore(lambda: Additions(True, safe=True)).states < 40
     assert explore(lambda: Additions(False, safe=True), preemptions=0) == Counts(2, 13, False)
@@ -74,7 +77,7 @@
 
 
 @pytest.mark.parametrize("keyed", [False, True])
-def test_the_schedule_found_is_the_shortest_and_can_be_played_again(keyed: bool) -> None:
+def test_the_shortest_failing_schedule_is_found_and_can_be_replayed(keyed: bool) -> None:
     schedule = find_planted_fault(lambda: Additions(keyed), "AssertionError: an addition was lost")
     lines = schedule.splitlines()
     assert len(lines) == 6 and sum(a[0] != b[0] for a, b in pairwise(lines)) == 2
@@ -83,7 +86,7 @@
 
 
 class Locks(World):
-    """Two threads that take two locks in the opposite order."""
+    """Two threads that take two locks in opposite order."""
 
     def __init__(self) -> None:
         self.free = {"x": True, "y": True}
@@ -100,7 +103,7 @@
     assert find_planted_fault(Locks, "deadlock of a, b") == "a:take-x\nb:take-y"
 
 
-# --- the real code: what stands round it ---
+# --- surroundings of the real code ---
 
 
 class NullLog(Log):
@@ -108,9 +111,9 @@
 
 
 class SingleHostRouter:
-    """In the module's place: one attempt for each call, at one host; what ends otherwise is refused."""
+    """Replaces the router: one attempt for each call, at one host; a call without an answer is refused."""
 
-    outs, list_current = 0, True  # the actor reads them for its log
+    outs, list_current = 0, True  # read by the actor for its log
 
     def __init__(self, worker: int) -> None:
         self.worker, self.heard = worker, list[i.Event]()
@@ -129,7 +132,7 @@
 
 
 class CountingTable(RequestTable):
-    """The real table; counts the attempts that it has made."""
+    """The real table; counts the attempts it created."""
 
     made = 0
 
@@ -139,12 +142,12 @@
 
 
 class Core(World):
-    """The real module's actor and table on a clock of the world's own; as a front it writes down answers."""
+    """The real module actor and table on the world's clock; as a front, records the answers."""
 
     def __init__(
         self, patch: pytest.MonkeyPatch, worker: int, kind: type[CountingTable] = CountingTable
     ) -> None:
-        # to go on late is as good as a tick
+        # a late wake-up is equivalent to a tick
         patch.setattr(module, "gevent", SimpleNamespace(sleep=lambda s: None))
         self.now, self.results, self.answers = 1000.0, list[tuple[str, str]](), list[str]()
         self.log = NullLog()
@@ -220,7 +223,7 @@
 
 
 class StubSocket:
-    """Takes whole frames, and hands the requests among them to the world."""
+    """Accepts whole frames and passes the requests among them to the world."""
 
     def __init__(self, actor: StubHost) -> None:
         self.actor = actor
@@ -242,7 +245,7 @@
 
 
 class StubHost(HostActor):
-    """The real actor; its dial is a point where others go on."""
+    """The real actor; others may continue during its dial."""
 
     def __init__(self, world: Dispatch, *args: Any) -> None:
         super().__init__(*args)
@@ -261,7 +264,7 @@
 
 
 class HastyHost(StubHost):
-    """Planted: looks at the host's standing once, before the dial."""
+    """Planted fault: checks the host's status only once, before the dial."""
 
     def send_task(self, task: Task) -> None:
         standing = self.status
@@ -271,7 +274,7 @@
 
 
 class WatchedList(HostListActor):
-    """The real list; counts the events that it has applied."""
+    """The real list; counts the events it applied."""
 
     applied = 0
 
@@ -290,9 +293,11 @@
 
 
 class Dispatch(Core):
-    """Two calls for one host, which closes: the real list, module and host's actor, with a link that is a
-    stub. The second call lies in the host's mailbox while the first one dials. Late, and at once, all times
-    are over."""
+    """Two calls for one host, which closes: the real list, module and host's actor, with a stub link.
+
+    The second call is in the host's mailbox while the first one dials. At any moment, at once, all times may
+    pass.
+    """
 
     def __init__(self, patch: pytest.MonkeyPatch, news: str, kind: type[StubHost] = StubHost) -> None:
         super().__init__(patch, worker_number("h1"))
@@ -325,7 +330,7 @@
         self.requests.append((actor, id))
 
     def answering(self) -> Iterator[Wait]:
-        """The model host: it serves what it has read, if the link is still there."""
+        """The model host: it answers what it has read, if the link still exists."""
         while True:
             yield Wait(lambda: self.requests, "answer", idle=True)
             actor, id = self.requests.pop(0)
@@ -364,12 +369,12 @@
 def test_no_order_of_a_close_against_a_dispatch_writes_late_or_ends_a_task_twice(
     monkeypatch: pytest.MonkeyPatch, news: str
 ) -> None:
-    """A ban is such a drain: the list's actor tells of both in the same way."""
+    """A ban is the same kind of drain: the list's actor reports both in the same way."""
     counts = explore(lambda: Dispatch(monkeypatch, news), preemptions=1 if news == "drains" else 0)
     assert counts.states > (2000 if news == "drains" else 200)
 
 
-def test_a_host_that_looks_at_its_standing_before_the_dial_alone_is_found(
+def test_a_status_check_only_before_the_dial_is_found(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def make() -> Dispatch:
@@ -384,8 +389,10 @@
 
 
 class Reload(Core):
-    """A call of an old class, taken back or expiring, while settings come that add a class and retire the old
-    one; then a call of the new class. `hasty`: planted, the front names the new class too early."""
+    """A call of an old class, withdrawn or expiring, while settings add a class and retire the old one.
+
+    A call of the new class follows. `hasty` plants a fault: the front names the new class too early.
+    """
 
     def __init__(self, patch: pytest.MonkeyPatch, hasty: bool = False) -> None:
         super().__init__(patch, 1)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Processes that replace each other under load, and what is handed on between them."""
+"""Processes that replace each other under load, and the state handed over between them."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 class Relays(World):
-    """The platform's invoker, started again and again on the same addresses."""
+    """The platform's invoker, started repeatedly on the same addresses."""
 
     command: tuple[str, ...] = (sys.executable, "-B", "-m", "harrieryoke")
 
     def shim(self) -> dict[str, str]:
-        """Variables of the process beside the platform's."""
+        """Environment variables of the process in addition to the platform's."""
         return {}
 
     def launch(self) -> subprocess.Popen[bytes]:
@@ -58,13 +58,13 @@
         )
 
     def send_operation(self, line: str, where: tuple[str, int] | None = None) -> str:
-        """One call of an operator, and its whole answer."""
+        """Send one operation and return its whole answer."""
         with socket.create_connection(where or self.manage, 2) as sock:
             sock.sendall(line.encode() + b"\n")
             return b"".join(iter(lambda: sock.recv(65536), b"")).decode()
 
     def start_next(self, within_ms: float = 6000.0) -> subprocess.Popen[bytes]:
-        """Starts the next process beside the one there is, until it says yes; the old one."""
+        """Start the next process beside the current one, wait until it is ready, and return the old one."""
         old, self.process = self.process, self.launch()
         self.until_ready(within_ms)
         return old
@@ -84,14 +84,14 @@
         return (self.folder / "log").read_text()
 
     def audit(self) -> Counter[str]:
-        """What became of the calls: lost ones, and those answered twice, are named as such."""
+        """Count the outcomes of the calls, with lost calls and those answered twice."""
         return Counter(
             "twice" if c.answers > 1 else c.how or ("lost" if c.lost else "silent") for c in self.load.calls
         )
 
 
 def terminate(process: subprocess.Popen[bytes]) -> tuple[int, float]:
-    """SIGTERM; the exit code, and after how many ms."""
+    """Send SIGTERM; return the exit code, and after how many ms the process ended."""
     process.send_signal(signal.SIGTERM)
     began = now_ms()
     while process.poll() is None and now_ms() - began < 4500:
@@ -110,7 +110,7 @@
 
 
 class SteppedRelays(Relays):
-    """All processes read one wall clock, which a test steps."""
+    """All processes read one wall clock, which the test steps."""
 
     wall: FaultShim | None = None
 
@@ -120,7 +120,7 @@
 
 
 def start_load(relays: Relays, seconds: float) -> gevent.Greenlet:
-    """The load, beside which the test goes on."""
+    """Run the load beside the test."""
     return gevent.spawn(relays.load.run, seconds)
 
 
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize("step_ms", [-3_600_000.0, 3_600_000.0])
-def test_an_upgrade_hands_over_across_a_step_of_the_wall_clock(step_ms: float, tmp_path: Path) -> None:
+def test_an_upgrade_succeeds_across_a_step_of_the_wall_clock(step_ms: float, tmp_path: Path) -> None:
     relays = SteppedRelays(tmp_path, 3, 150.0)
     assert relays.wall is not None
     try:
@@ -173,7 +173,7 @@
     relays.process = old
     load.join()
     ended = relays.audit()
-    # what the killed one had taken is lost with it, and no call is answered twice
+    # calls accepted by the killed process are lost with it; no call is answered twice
     assert ended["twice"] == 0 and relays.load.unreachable == 0
     assert ended["lost"] + ended["silent"] <= (
         40 if "taken-over" in relays.log_text() else 0
@@ -182,7 +182,7 @@
     assert late and all(c.answers == 1 for c in late)
 
 
-def test_an_old_process_killed_before_it_hands_over_leaves_the_new_one_to_bind_for_itself(
+def test_a_new_process_binds_itself_if_the_old_one_does_not_hand_over(
     relays: Relays,
 ) -> None:
     relays.process.send_signal(signal.SIGSTOP)
@@ -195,7 +195,7 @@
     assert set(relays.audit()) <= {"served", "refused"}
 
 
-def test_strangers_on_the_socket_are_bounded_and_do_not_keep_a_new_process_from_serving(
+def test_unknown_connections_to_the_upgrade_socket_are_bounded_and_do_not_block_an_upgrade(
     relays: Relays,
 ) -> None:
     (path,) = (relays.folder / "tmp").glob("*.sock")
@@ -204,7 +204,7 @@
         strangers.append(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM))
         with short_socket_path(path) as name:
             strangers[-1].connect(name)
-        with suppress(BrokenPipeError):  # it may be turned away before it says anything
+        with suppress(BrokenPipeError):  # it may be rejected before it sends anything
             strangers[-1].sendall(b"what is here?\n" if n % 2 else b"")
     gevent.sleep(0.3)
     holding = [s for s in strangers if not is_closed(s)]
@@ -216,7 +216,7 @@
 
 
 def is_closed(sock: socket.socket) -> bool:
-    """Whether its other end has closed it."""
+    """Return whether the peer has closed the socket."""
     sock.settimeout(0.05)
     try:
         return not sock.recv(1)
@@ -225,12 +225,12 @@
 
 
 def count_late_sends(relays: Relays, host: str, since: float) -> int:
-    """Attempts that reached the host later than the grace of one second after `since`."""
+    """Count the attempts that reached the host after `since` and the grace period of one second."""
     return sum(a.host == host and a.code == REQUEST and a.at > since + 1050 for a in relays.arrived)
 
 
 @pytest.mark.parametrize("killed", [False, True])
-def test_a_ban_holds_over_an_upgrade_and_the_churn_of_the_bus_until_it_is_taken_back(
+def test_a_ban_survives_an_upgrade_and_changes_of_the_list_until_it_is_lifted(
     relays: Relays, killed: bool
 ) -> None:
     load, host = start_load(relays, 7.0 if killed else 9.0), relays.hosts[0]
@@ -246,14 +246,14 @@
     else:
         old_address = relays.manage
         relays.start_next()
-        # said to either process while both are there, it binds in both
+        # a change sent to either process while both run applies in both
         other = relays.hosts[1]
         assert relays.send_operation(f"disable-server {other.name}", old_address).startswith("done")
         gevent.sleep(0.2)
         assert "invoker_pool_ejected 2" in relays.send_operation("show-stat")
         assert relays.send_operation(f"enable-server {other.name}").startswith("done")
         terminate(old)
-    relays.restart(host)  # listed anew, as a fresh start, while it is out
+    relays.restart(host)  # listed again, as a fresh start, while it is banned
     gevent.sleep(2.0)
     assert count_late_sends(relays, host.name, banned_at) == 0
     assert "invoker_pool_ejected 1" in relays.send_operation("show-stat")
@@ -264,7 +264,7 @@
     assert relays.audit()["lost"] == 0 or killed
 
 
-def test_a_stale_socket_of_a_dead_process_is_no_hindrance(relays: Relays) -> None:
+def test_a_stale_socket_of_a_dead_process_does_not_block_a_start(relays: Relays) -> None:
     relays.process.kill()
     relays.process.wait()
     relays.start_next()
@@ -277,7 +277,7 @@
 
 
 def router_with_copies() -> Rig:
-    """A router with a copy at one worker and one worker in doubt."""
+    """Return a router that knows a copy at one worker and has doubts about another worker."""
     rig = Rig(SETTINGS)
     rig.give(i.WorkersListed(i.ListScope.REMEMBERED, workers(3)))
     for n in range(6):
@@ -294,7 +294,7 @@
     return rig
 
 
-def test_a_router_that_was_told_what_another_learned_sends_to_the_copy_at_once() -> None:
+def test_a_router_with_restored_state_sends_to_the_known_copy_at_once() -> None:
     rig = router_with_copies()
     held = list(rig.router.functions["f"].copies)
     assert held
@@ -319,8 +319,8 @@
 
 
 @pytest.mark.parametrize("version", [1, 2])
-def test_times_on_another_clock_are_moved_to_the_receivers(version: int) -> None:
-    """Version 1 has the times of the wall clock; of version 2 the sender's machine may have started anew."""
+def test_times_are_converted_to_the_receivers_clock(version: int) -> None:
+    """Version 1 has times of the wall clock; with version 2 the sender's machine may have rebooted."""
     rig = router_with_copies()
     here = unpack(pack(rig.router, rig.now), rig.now, WALL)
     if version == 1:
@@ -338,7 +338,7 @@
     assert fresh.router.functions["f"].copies.keys() == rig.router.functions["f"].copies.keys()
 
 
-def test_a_host_of_the_same_start_keeps_what_was_learned_of_it_however_late_the_list_puts_it() -> None:
+def test_learned_state_of_a_host_with_an_unchanged_start_is_kept() -> None:
     rig, fresh = router_with_copies(), Router(SETTINGS, 1)
     stamped = tuple(replace(w, started=rig.now - 400, start_stamp=WALL) for w in workers(3))
     rig.give(i.WorkersListed(i.ListScope.CHANGES, stamped))
@@ -363,15 +363,13 @@
         lambda d: d[d.index(b"\n") :],
     ],
 )
-def test_what_was_handed_on_and_is_damaged_is_refused_whole(spoil: object) -> None:
+def test_damaged_state_is_rejected_as_a_whole(spoil: object) -> None:
     data = pack(router_with_copies().router, NOW)
     with pytest.raises(StateTransferError):
         unpack(spoil(data), NOW, WALL)  # type: ignore[operator]
 
 
-def test_the_file_of_bans_is_written_whole_or_not_at_all(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_the_file_of_bans_is_replaced_atomically(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     file = BanFile(tmp_path / "bans")
     assert file.read() == []
     file.write(["b", "a"])
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""Spans are of real time: the wall clock of a real invoker is stepped while it serves."""
+"""Durations are of real time: the wall clock of a real invoker is stepped while it serves."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
     "an hour back": -HOUR_MS,
     "an hour ahead": HOUR_MS,
 }
-WINDOW_MS = 1500  # of keys and of the ration, so that a test can wait for its end
+WINDOW_MS = 1500  # of keys and of the load window, so that a test can wait for its end
 ONE, OTHER, LATER = (f"{n:016x}" for n in (1, 2, 3))  # functions
 
 
 def rationed(floor: float, share: float) -> dict[str, Any]:
-    """Settings under which load orders are scarce."""
+    """Return settings under which load orders are scarce."""
     settings = copy.deepcopy(SETTINGS)
     settings["extra"] |= {"load-window": WINDOW_MS, "load-floor": floor, "load-share": share}
     return settings
@@ -45,7 +45,7 @@
 
 
 def missed(number: int, function: str) -> str:
-    """A request for which no order may be given: it has to end refused."""
+    """A request for which no order may be given: it must end refused."""
     return f"""
         send c1 call {number} weight-read obj={function} budget=900
         expect h1 request asset={function}
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True)
 class Window:
-    """What is played before the step, right after it, and once the window has passed in real time."""
+    """The steps before the clock step, right after it, and once the window has passed in real time."""
 
     kind: dict[str, Any]
     before: str
@@ -103,7 +103,7 @@
 
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("case", WINDOWS)
-def test_windows_are_of_real_time(case: str, step: str, tmp_path: Path) -> None:
+def test_windows_are_measured_in_real_time(case: str, step: str, tmp_path: Path) -> None:
     window = WINDOWS[case]
     with invoker(tmp_path, **window.kind) as scene:
         scene.play(f"{window.before}\nsend clock {STEPS[step]}\n{window.within}")
@@ -114,9 +114,9 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_request_has_the_time_that_its_client_gave_it(step: str, tmp_path: Path) -> None:
-    """One that no host answers ends in its time, and one that a host answers soon is served, on the links and
-    client connections that there were."""
+def test_a_request_keeps_its_time_budget(step: str, tmp_path: Path) -> None:
+    """A request that no host answers ends in its time, and one that is answered is served, on the existing
+    links and client connections."""
     with invoker(tmp_path) as scene:
         began = time.monotonic()
         scene.play(
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_host_is_given_no_more_time_than_the_client_has_left(step: str, tmp_path: Path) -> None:
+def test_a_host_gets_no_more_time_than_the_client_has_left(step: str, tmp_path: Path) -> None:
     with invoker(tmp_path) as scene:
         scene.play(
             f"""
@@ -161,9 +161,9 @@
 
 
 @pytest.mark.parametrize("stopped", [False, True])
-def test_requests_that_wait_through_a_pause_count_from_when_they_came(stopped: bool, tmp_path: Path) -> None:
-    """The process stands still for most of a window, and is asked at its begin: once the window is over those
-    requests buy no order."""
+def test_requests_queued_during_a_pause_count_from_their_arrival(stopped: bool, tmp_path: Path) -> None:
+    """The process is stopped for most of a window and receives requests at its start; after the window those
+    requests justify no order."""
     with invoker(tmp_path, settings=rationed(floor=0, share=0.4)) as scene:
         scene.play("send c1 probe 1\nexpect c1 1 healthy")
         time.sleep(0.3)
@@ -180,7 +180,7 @@
         assert " order " not in scene.log() and ("stood-still" in scene.log()) == stopped
 
 
-def test_a_request_that_waited_through_a_pause_has_only_what_is_left_of_its_time(tmp_path: Path) -> None:
+def test_a_pause_is_deducted_from_a_requests_time(tmp_path: Path) -> None:
     with invoker(tmp_path) as scene:
         scene.play(
             "send c1 probe 1\nexpect c1 1 healthy\nsend node STOP\nsend c1 call 2 weight-read budget=3000"
@@ -191,9 +191,9 @@
         assert frame is not None and 1000 < int(frame.fields["patience"]) <= 1800
 
 
-def test_a_watch_over_the_wall_clock_tells_steps_from_slewing_and_from_pauses() -> None:
+def test_the_wall_clock_watch_distinguishes_steps_from_slewing_and_pauses() -> None:
     time_ms, base = 0.0, 1e12
-    delays = iter([0.0] * 6 + [4000.0] + [0.0] * 30)  # how long the process stands still before each reading
+    delays = iter([0.0] * 6 + [4000.0] + [0.0] * 30)  # how long the process is stopped before each reading
 
     def now() -> float:
         nonlocal time_ms
