--- a/tests/test_discovery_crossings.py
+++ b/tests/test_discovery_crossings.py
@@ -147,13 +147,13 @@
         watched.end()
 
 
-@pytest.mark.parametrize("drip", [b"1", b"\n", b" \n", b"{"])
+@pytest.mark.parametrize("data", [b"1", b"\n", b" \n", b"{"])
 def test_a_bus_that_sends_bytes_but_no_complete_line_is_reconnected(
-    watch: Callable[..., WatchedBus], drip: bytes
+    watch: Callable[..., WatchedBus], data: bytes
 ) -> None:
     w = watch(bus_quiet_ms=300.0, bus_line_ms=600.0)
     assert w.bus.accept_request() == "from 1"
-    w.bus.send_until_closed(drip, 0.05)
+    w.bus.send_until_closed(data, 0.05)
     assert w.bus.accept_request() == "from 1" and w.received == []
 
 
@@ -318,34 +318,34 @@
 def test_a_restarted_numbering_without_a_full_list_does_not_empty_the_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    follower, told, clock = followed(monkeypatch, 5)
+    follower, received, clock = followed(monkeypatch, 5)
     for at in (0.0, 8000.0, 9000.0):
         clock[0] = at
         follower.receive(LineReceived(follower.connection, b"0"))
-    assert told == [] and follower.last_offset == 0
+    assert received == [] and follower.last_offset == 0
     for line in (event(1, entry("h1", 1)), b"1"):
         follower.receive(LineReceived(follower.connection, line))
-    assert [t.update.is_full for t in told] == [False]
+    assert [t.update.is_full for t in received] == [False]
 
 
 def test_an_event_with_a_wrong_high_offset_hides_later_events_only_temporarily(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    follower, told, clock = followed(monkeypatch, 5)
+    follower, received, clock = followed(monkeypatch, 5)
     high = event(2**52, entry("h6", 6))
     for at, line in ((0.0, high), (1.0, b"6"), (8000.0, b"6")):
         clock[0] = at
         follower.receive(LineReceived(follower.connection, line))
     for line in (event(1, entry("h1", 1), full=True), high, b"6", event(7, entry("h7", 7))):
         follower.receive(LineReceived(follower.connection, line))
-    assert [list(t.update.servers) for t in told[1:2]] == [["h1", "h6"]]
-    assert [t.event.offset for t in told[2:]] == [7]
+    assert [list(t.update.servers) for t in received[1:2]] == [["h1", "h6"]]
+    assert [t.event.offset for t in received[2:]] == [7]
 
 
 def test_a_change_of_address_during_a_snapshot_restarts_it_from_the_first_event(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    follower, told, clock = followed(monkeypatch, 5)
+    follower, received, clock = followed(monkeypatch, 5)
     for at in (0.0, 8000.0):
         clock[0] = at
         follower.receive(LineReceived(follower.connection, b"2"))
@@ -358,30 +358,30 @@
         LineReceived(old, b"2"),
     ):
         follower.receive(message)
-    assert told == [] and follower.last_offset == 0
+    assert received == [] and follower.last_offset == 0
     for line in (
         event(1, entry("h7", 7)),
         b"1",
     ):  # not a full list, so that only the change of address discards the others
         follower.receive(LineReceived(follower.connection, line))
-    assert [list(t.update.servers) for t in told] == [["h7"]]
+    assert [list(t.update.servers) for t in received] == [["h7"]]
 
 
 # --- confirmations of the list ---
 
 CONFIRMATIONS: dict[str, tuple[list[tuple[float, bytes]], list[float]]] = {
-    "the first heartbeat tells no more than of the connection": ([(900.0, b"5")], [0.0]),
-    "each further one tells of a second more": ([(900.0, b"5"), (1900.0, b"5")], [0.0, 1000.0]),
-    "late ones that come together are as old as they are": ([(6000.0, b"5")] * 3, [0.0, 1000.0, 2000.0]),
+    "the first heartbeat confirms the start of the connection": ([(900.0, b"5")], [0.0]),
+    "each further one confirms one more second": ([(900.0, b"5"), (1900.0, b"5")], [0.0, 1000.0]),
+    "late ones that arrive together confirm no more": ([(6000.0, b"5")] * 3, [0.0, 1000.0, 2000.0]),
     "none was written after it was read": ([(10.0, b"5"), (20.0, b"5")], [0.0, 20.0]),
-    "an event tells nothing of others": ([(10.0, event(6))], []),
-    "the number of an event that has come": ([(10.0, event(6)), (900.0, b"6")], [0.0]),
-    "the number of one that has not": ([(900.0, b"6")], []),
-    "the number as an event that says nothing else": ([(900.0, b'{"offset":5}')], [0.0]),
-    "and of one that has not come": ([(900.0, b'{"offset":6}')], []),
+    "an event confirms nothing": ([(10.0, event(6))], []),
+    "the number of an event that was received": ([(10.0, event(6)), (900.0, b"6")], [0.0]),
+    "the number of one that was not": ([(900.0, b"6")], []),
+    "the number as an event without a topology": ([(900.0, b'{"offset":5}')], [0.0]),
+    "and of one that was not received": ([(900.0, b'{"offset":6}')], []),
     "a number below the last": ([(900.0, b"4")], []),
-    "not while a line is left out": ([(1.0, b"{"), (2.0, b"{"), (900.0, b"6"), (1900.0, b"6")], []),
-    "again after a whole list": (
+    "none while a line is skipped": ([(1.0, b"{"), (2.0, b"{"), (900.0, b"6"), (1900.0, b"6")], []),
+    "again after a full list": (
         [(1.0, b"{"), (2.0, b"{"), (900.0, b"6"), (950.0, event(7, full=True)), (1900.0, b"7")],
         [1051.0],  # the line was requested once more on a new connection: 1 ms and the back-off later
     ),
@@ -394,32 +394,32 @@
 ) -> None:
     lines, expected = CONFIRMATIONS[case]
     follower, _, clock = followed(monkeypatch, 5)
-    heard: list[Any] = []
-    follower.send_to_list = heard.append
+    received: list[Any] = []
+    follower.send_to_list = received.append
     for at, line in lines:
         clock[0] = at
         follower.receive(LineReceived(follower.connection, line))
-    confirmed = [said.as_of + PROPAGATION_DELAY_MS for said in heard if isinstance(said, ListConfirmed)]
+    confirmed = [said.as_of + PROPAGATION_DELAY_MS for said in received if isinstance(said, ListConfirmed)]
     assert confirmed == expected
 
 
 @pytest.mark.parametrize(
-    "period, latency, remade",
+    "period, latency, reconnects",
     [(1000.0, 0.0, 0), (1010.0, 0.0, 5), (1100.0, 0.0, 46), (1300.0, 0.0, 100), (1000.0, 3000.0, 0)],
 )
 def test_a_bus_with_infrequent_heartbeats_is_reconnected_before_the_list_seems_old(
-    monkeypatch: pytest.MonkeyPatch, period: float, latency: float, remade: int
+    monkeypatch: pytest.MonkeyPatch, period: float, latency: float, reconnects: int
 ) -> None:
     """If they are merely late because of a slow link, another connection would not help."""
     follower, _, clock = followed(monkeypatch, 5)
-    heard: list[Any] = []
-    follower.send_to_list = heard.append
+    received: list[Any] = []
+    follower.send_to_list = received.append
     first, most = follower.connection, max(follower.limits.bus_lag_ms, 2 * (latency + period))
     for n in range(1, 601):
         clock[0] = n * period + latency
         follower.receive(LineReceived(follower.connection, b"5"))
-        assert clock[0] - heard[-1].as_of <= most + PROPAGATION_DELAY_MS + period
-    assert follower.connection - first == remade
+        assert clock[0] - received[-1].as_of <= most + PROPAGATION_DELAY_MS + period
+    assert follower.connection - first == reconnects
 
 
 # --- the list ---
@@ -439,7 +439,7 @@
         if isinstance(message, WorkerListConfirmed):
             return self.confirmed.append(message.event)
         workers = [e.worker for e in message.event.workers]
-        assert len(workers) == len(set(workers)), "two words on one host"
+        assert len(workers) == len(set(workers)), "two entries for one host"
         if message.event.scope is not i.ListScope.CHANGES:
             self.module, self.ports = {}, {}
         self.ports |= message.ports
@@ -504,12 +504,12 @@
     listed: DrivenList, case: str, full: bool
 ) -> None:
     field, value = INVALID_FIELDS[case]
-    spoilt = entry("h1", 1, "leaving") | {field: value}
+    invalid = entry("h1", 1, "leaving") | {field: value}
     if isinstance(value, float):  # values that JSON can't express, as a less strict decoder would return them
-        servers = [Server(**spoilt), Server(**entry("h3", 3))]
+        servers = [Server(**invalid), Server(**entry("h3", 3))]
         listed.actor.receive(EventReceived(BusEvent(2, Topology(servers, full=full))))
     else:
-        listed.send_event(spoilt, entry("h3", 3), full=full)
+        listed.send_event(invalid, entry("h3", 3), full=full)
     assert listed.state() == {"h1": (UP, 1), "h3": (UP, 3)} | ({} if full else {"h2": (UP, 2)})
     (line,) = listed.log.of_kind("bad-event")
     assert line.startswith("bad-event event 2: model host 'h1': ") and len(line) < 400
@@ -558,21 +558,24 @@
 
 
 def test_the_initial_list_is_as_old_as_its_file() -> None:
-    made = DrivenList()
-    made.actor.load_initial(KnownEvents(1, [BusEvent(1, Topology([Server(**entry("h1", 1))]))]), as_of=5.0)
-    assert made.confirmed == [i.ListConfirmed(5.0 - PROPAGATION_DELAY_MS)]
-    made.actor.remove_host("h1", immediately=True)
+    driven = DrivenList()
+    driven.actor.load_initial(KnownEvents(1, [BusEvent(1, Topology([Server(**entry("h1", 1))]))]), as_of=5.0)
+    assert driven.confirmed == [i.ListConfirmed(5.0 - PROPAGATION_DELAY_MS)]
+    driven.actor.remove_host("h1", immediately=True)
     gevent.sleep(0)
 
 
 FULL_LISTS: dict[str, tuple[list[Any], dict[str, tuple[i.WorkerStatus, int]]]] = {
     "lacks a host": ([entry("h2", 2)], {"h2": (UP, 2)}),
     "is empty": ([], {}),
-    "can't be read in any entry": ([entry("h1", 1, "?"), entry("h2", 99999), 7], BOTH),
-    "can't be read in any entry, and each names its host": ([entry("h1", 1, "?")], BOTH),
+    "has only invalid entries": ([entry("h1", 1, "?"), entry("h2", 99999), 7], BOTH),
+    "has only invalid entries that name their hosts": ([entry("h1", 1, "?")], BOTH),
     "is repeated": ([entry("h1", 1), entry("h2", 2)], BOTH),
     "names a host twice": ([entry("h1", 3, "leaving"), entry("h1", 1), entry("h2", 2)], BOTH),
-    "names a host twice, spoilt at last": ([entry("h1", 1), entry("h2", 2), entry("h1", 1, "?")], BOTH),
+    "names a host twice, the second time invalid": (
+        [entry("h1", 1), entry("h2", 2), entry("h1", 1, "?")],
+        BOTH,
+    ),
 }
 
 
@@ -589,8 +592,8 @@
 
 def test_a_full_list_and_changes_are_ordered_by_offset_alone(monkeypatch: pytest.MonkeyPatch) -> None:
     """An old or repeated list has no effect; a newer one replaces everything."""
-    follower, told, _ = followed(monkeypatch, 2)
-    made = DrivenList()
+    follower, received, _ = followed(monkeypatch, 2)
+    driven = DrivenList()
     for line in (
         event(3, entry("h1", 1)),
         event(2, entry("h2", 2), full=True),
@@ -599,23 +602,26 @@
         event(4, full=True),
     ):
         follower.receive(LineReceived(follower.connection, line))
-    for said in told:
-        made.actor.receive(said)
-    assert made.state() == {"h4": (UP, 4)} and follower.last_offset == 4
-    made.actor.remove_host("h4", immediately=True)
+    for said in received:
+        driven.actor.receive(said)
+    assert driven.state() == {"h4": (UP, 4)} and follower.last_offset == 4
+    driven.actor.remove_host("h4", immediately=True)
     gevent.sleep(0)
 
 
 # one event, in either order of its entries, applied to a list of h1 at port 1 and h2 at port 2
 SIMULTANEOUS_CHANGES: dict[str, tuple[list[Any], dict[str, tuple[i.WorkerStatus, int]]]] = {
-    "left, its address another's": ([entry("h1", 1, "left"), entry("n", 1)], {"n": (UP, 1), "h2": (UP, 2)}),
-    "drains, its address another's": (
+    "left, with its address reused": ([entry("h1", 1, "left"), entry("n", 1)], {"n": (UP, 1), "h2": (UP, 2)}),
+    "drains, with its address reused": (
         [entry("h1", 1, "leaving"), entry("n", 1)],
         {"n": (UP, 1), "h2": (UP, 2)},
     ),
-    "moves to one that left": ([entry("h1", 2), entry("h2", 2, "left")], {"h1": (UP, 2)}),
-    "change places": ([entry("h1", 2), entry("h2", 1)], {"h1": (UP, 2), "h2": (UP, 1)}),
-    "moves to one that moves": ([entry("h1", 2), entry("h2", 3)], {"h1": (UP, 2), "h2": (UP, 3)}),
+    "moves to the address of one that left": ([entry("h1", 2), entry("h2", 2, "left")], {"h1": (UP, 2)}),
+    "exchange addresses": ([entry("h1", 2), entry("h2", 1)], {"h1": (UP, 2), "h2": (UP, 1)}),
+    "moves to the address of one that moves": (
+        [entry("h1", 2), entry("h2", 3)],
+        {"h1": (UP, 2), "h2": (UP, 3)},
+    ),
 }
 
 
@@ -635,29 +641,29 @@
         assert before["h1"][0].replaced
 
 
-@pytest.mark.parametrize("begins", [False, True])
-def test_the_last_entry_of_a_host_in_a_batch_decides_whether_it_is_listed(begins: bool) -> None:
-    made = DrivenList()
+@pytest.mark.parametrize("is_initial", [False, True])
+def test_the_last_entry_of_a_host_in_a_batch_decides_whether_it_is_listed(is_initial: bool) -> None:
+    driven = DrivenList()
     steps = [entry("h1", 1), entry("h1", 1, "left"), entry("h1", 1, started_ms=5)]
     steps += [entry("h2", 2, "left"), entry("h2", 2), entry("h2", 2, "left"), entry("h3", 3), entry("h4", 3)]
     servers = [Server(**step) for step in steps]
-    if begins:
-        made.actor.load_initial(KnownEvents(8, [BusEvent(n, Topology([s])) for n, s in enumerate(servers)]))
+    if is_initial:
+        driven.actor.load_initial(KnownEvents(8, [BusEvent(n, Topology([s])) for n, s in enumerate(servers)]))
     else:
-        made.actor.receive(EventReceived(BusEvent(1, Topology(servers))))
-    assert made.state() == {"h1": (UP, 1), "h4": (UP, 3)}
-    assert made.module[worker_number("h1")].start_stamp == 5
-    for id in list(made.actor.hosts):
-        made.actor.remove_host(id, immediately=True)
+        driven.actor.receive(EventReceived(BusEvent(1, Topology(servers))))
+    assert driven.state() == {"h1": (UP, 1), "h4": (UP, 3)}
+    assert driven.module[worker_number("h1")].start_stamp == 5
+    for id in list(driven.actor.hosts):
+        driven.actor.remove_host(id, immediately=True)
     gevent.sleep(0)
 
 
 def test_a_replaced_host_stays_removed_if_its_successor_leaves_in_the_same_batch() -> None:
-    made = DrivenList()
+    driven = DrivenList()
     steps = [entry("h1", 1), entry("h2", 1), entry("h2", 1, "left")]
     batch = [BusEvent(n, Topology([Server(**step)])) for n, step in enumerate(steps)]
-    made.actor.load_initial(KnownEvents(2, batch))
-    assert made.state() == {}
+    driven.actor.load_initial(KnownEvents(2, batch))
+    assert driven.state() == {}
 
 
 # --- arbitrary JSON ---
@@ -687,30 +693,33 @@
 @settings(max_examples=300, deadline=None)
 @given(said=EVENT | JSON)
 def test_no_json_ends_the_follower_or_the_list_and_invalid_json_changes_nothing(said: Any) -> None:
-    made, told, log = DrivenList(), list[Any](), RecordingLog()
-    made.send_event(entry("h1", 1), entry("h2", 2), full=True)
-    before = made.state()
-    follower = BusFollower(("", 1), 2, Limits(), log, events_into(told))
+    driven, received, log = DrivenList(), list[Any](), RecordingLog()
+    driven.send_event(entry("h1", 1), entry("h2", 2), full=True)
+    before = driven.state()
+    follower = BusFollower(("", 1), 2, Limits(), log, events_into(received))
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(bus_follower, "spawn", lambda *reader: None)
         follower.connect(0.0)
         for _ in range(2):  # the second time the line is skipped
             follower.receive(LineReceived(follower.connection, json.dumps(said).encode()))
-    changes = len(made.log.of_kind("list"))
-    for each in told:
-        made.actor.receive(each)
-    assert len(made.log.of_kind("list")) > changes or made.state() == before
-    assert made.state() is not None
-    for id in list(made.actor.hosts):
-        made.actor.remove_host(id, immediately=True)
+    changes = len(driven.log.of_kind("list"))
+    for each in received:
+        driven.actor.receive(each)
+    assert len(driven.log.of_kind("list")) > changes or driven.state() == before
+    assert driven.state() is not None
+    for id in list(driven.actor.hosts):
+        driven.actor.remove_host(id, immediately=True)
     gevent.sleep(0)
 
 
 def test_lines_nested_too_deeply_for_the_decoder_are_skipped(monkeypatch: pytest.MonkeyPatch) -> None:
-    follower, told, _ = followed(monkeypatch, 1)
-    deep = b"[" * 100_000 + b"]" * 100_000
-    for line in (b'{"offset":2,"x":' + deep + b"}", b'{"offset":2,"topology":{"servers":[' + deep + b"]}}"):
+    follower, received, _ = followed(monkeypatch, 1)
+    nested = b"[" * 100_000 + b"]" * 100_000
+    for line in (
+        b'{"offset":2,"x":' + nested + b"}",
+        b'{"offset":2,"topology":{"servers":[' + nested + b"]}}",
+    ):
         for _ in range(2):
             follower.receive(LineReceived(follower.connection, line))
     follower.receive(LineReceived(follower.connection, event(2)))
-    assert [t.event.offset for t in told] == [2]
+    assert [t.event.offset for t in received] == [2]
--- a/tests/test_discovery_outage.py
+++ b/tests/test_discovery_outage.py
@@ -79,7 +79,7 @@
 
 
 @pytest.fixture(scope="module")
-def plays(tmp_path_factory: pytest.TempPathFactory) -> dict[str, OutageRun]:
+def runs(tmp_path_factory: pytest.TempPathFactory) -> dict[str, OutageRun]:
     """All runs at the same time, each with an invoker of its own."""
     folder = tmp_path_factory.mktemp("outages")
     greenlets = [
@@ -89,24 +89,24 @@
     return {name: greenlet.get() for name, greenlet in zip(RUNS, greenlets, strict=True)}
 
 
-def test_no_new_work_goes_to_hosts_whose_drain_counts_as_announced(plays: dict[str, OutageRun]) -> None:
-    assert {name: play.count_late_sends() for name, play in plays.items()} == dict.fromkeys(plays, 0)
+def test_no_new_work_goes_to_hosts_whose_drain_counts_as_announced(runs: dict[str, OutageRun]) -> None:
+    assert {name: run.count_late_sends() for name, run in runs.items()} == dict.fromkeys(runs, 0)
 
 
 @pytest.mark.parametrize("name", RUNS)
-def test_calls_are_served_during_and_after_the_outage(plays: dict[str, OutageRun], name: str) -> None:
-    play = plays[name]
-    if play.restart:
-        assert play.served_share(play.restarted_at) > 0.9
+def test_calls_are_served_during_and_after_the_outage(runs: dict[str, OutageRun], name: str) -> None:
+    run = runs[name]
+    if run.restart:
+        assert run.served_share(run.restarted_at) > 0.9
     else:
-        assert play.served_share(play.drained_at + ANNOUNCED_WITHIN_MS) > 0.9
-        assert play.figures["unanswered"] == play.figures["doubled"] == 0
-    assert play.exit == 0
+        assert run.served_share(run.drained_at + ANNOUNCED_WITHIN_MS) > 0.9
+        assert run.figures["unanswered"] == run.figures["doubled"] == 0
+    assert run.exit == 0
 
 
 @pytest.mark.parametrize("name", RUNS)
-def test_the_log_reports_an_outdated_list(plays: dict[str, OutageRun], name: str) -> None:
-    log, play = plays[name].log, plays[name]
-    assert ("list-unconfirmed" in log) is (play.outage is not None)
-    assert ("list-current" in log) is (play.outage is not None and not play.restart)
-    assert (" probe mh-" in log) is (play.outage is not None), "hosts that take no new work are named"
+def test_the_log_reports_an_outdated_list(runs: dict[str, OutageRun], name: str) -> None:
+    log, run = runs[name].log, runs[name]
+    assert ("list-unconfirmed" in log) is (run.outage is not None)
+    assert ("list-current" in log) is (run.outage is not None and not run.restart)
+    assert (" probe mh-" in log) is (run.outage is not None), "hosts that accept no new work are logged"
--- a/tests/test_host_crossings.py
+++ b/tests/test_host_crossings.py
@@ -152,7 +152,7 @@
     task.call.abandoned = True
 
 
-def unwant(host: SteppedHost, task: AttemptTask) -> None:
+def cancel(host: SteppedHost, task: AttemptTask) -> None:
     task.wanted = False
 
 
@@ -160,19 +160,19 @@
     host.status.state = i.WorkerStatus.DRAINING
 
 
-def replaced(host: SteppedHost, task: AttemptTask) -> None:
+def replace_host(host: SteppedHost, task: AttemptTask) -> None:
     host.status.replaced = True
 
 
-def time_over(host: SteppedHost, task: AttemptTask) -> None:
+def expire(host: SteppedHost, task: AttemptTask) -> None:
     task.stop_at = 1.0
 
 
-def window_over(host: SteppedHost, task: AttemptTask) -> None:
+def close_repeat_window(host: SteppedHost, task: AttemptTask) -> None:
     task.start_by = 1.0
 
 
-CHANGES = [abandon, unwant, drain, replaced, time_over, window_over]
+CHANGES = [abandon, cancel, drain, replace_host, expire, close_repeat_window]
 
 
 @pytest.mark.parametrize("change", CHANGES)
@@ -213,15 +213,15 @@
 
 
 def test_a_host_that_does_not_read_does_not_block_the_actor(make_host: MakeHost) -> None:
-    host, early, given_up = make_host(narrow=True), attempt(1), attempt(2)
+    host, early, cancelled = make_host(narrow=True), attempt(1), attempt(2)
     host.send_task(early)
     host.until(lambda: host.peers[0].received)
     large, link = host.send_blocked()
-    host.send_task(given_up)
-    host.handle_cancel(given_up)
+    host.send_task(cancelled)
+    host.handle_cancel(cancelled)
     host.peers[0].answer(frames.OK, early)
     host.until(lambda: host.results)
-    assert host.results == [(early, OK)] and link.awaiting_writable and not given_up.write_started
+    assert host.results == [(early, OK)] and link.awaiting_writable and not cancelled.write_started
     host.handle_cancel(large)
     host.reading.set()
     host.until(lambda: len(host.peers[0].received) == 3)
@@ -234,17 +234,17 @@
 def test_a_blocked_link_times_out_and_only_complete_requests_may_have_run(
     make_host: MakeHost,
 ) -> None:
-    host, whole, queued = (
+    host, complete, queued = (
         make_host(Limits(write_ms=50.0, vanished_ms=60000.0), narrow=True),
         attempt(1),
         attempt(2),
     )
-    host.send_task(whole)
+    host.send_task(complete)
     host.until(lambda: host.peers[0].received)
     large, _ = host.send_blocked()
     host.send_task(queued)
     host.until(lambda: len(host.results) == 3)
-    assert dict(host.results) == {whole: RESET, large: NOT_SENT, queued: NOT_SENT}
+    assert dict(host.results) == {complete: RESET, large: NOT_SENT, queued: NOT_SENT}
     assert not host.links and host.count_attempts() == 1
 
 
--- a/tests/test_host_starts.py
+++ b/tests/test_host_starts.py
@@ -43,9 +43,9 @@
     first = machine.starts.observe(server("h", UNIX_MS - 500))
     assert first is not None and first.started_at == NOW_MS
     machine.now, machine.error = NOW_MS + 2000, machine.error + HOUR_MS
-    assert machine.starts.observe(server("h", UNIX_MS - 500)) == first, "told again, it is the same start"
-    again = machine.starts.observe(server("h", UNIX_MS + 1900))
-    assert again is not None and again.started_at == NOW_MS + 2000
+    assert machine.starts.observe(server("h", UNIX_MS - 500)) == first, "listed again, it is the same start"
+    restarted = machine.starts.observe(server("h", UNIX_MS + 1900))
+    assert restarted is not None and restarted.started_at == NOW_MS + 2000
     assert machine.starts.observe(server("h", 0.0)) is None and not machine.starts.starts
 
 
@@ -62,11 +62,13 @@
 
 def test_a_repeated_start_does_not_change_how_warm_the_host_is() -> None:
     rig = Rig()
-    told = replace(workers(1)[0], started=rig.now, start_stamp=UNIX_MS)
-    rig.give(i.WorkersListed(i.ListScope.CHANGES, (told,)))
+    listed = replace(workers(1)[0], started=rig.now, start_stamp=UNIX_MS)
+    rig.give(i.WorkersListed(i.ListScope.CHANGES, (listed,)))
     began = rig.router.workers[1].started
     rig.now += 500
-    rig.give(i.WorkersListed(i.ListScope.CHANGES, (replace(told, started=rig.now),)))
+    rig.give(i.WorkersListed(i.ListScope.CHANGES, (replace(listed, started=rig.now),)))
     assert rig.router.workers[1].started == began == rig.now - 500
-    rig.give(i.WorkersListed(i.ListScope.CHANGES, (replace(told, started=rig.now, start_stamp=UNIX_MS + 1),)))
+    rig.give(
+        i.WorkersListed(i.ListScope.CHANGES, (replace(listed, started=rig.now, start_stamp=UNIX_MS + 1),))
+    )
     assert rig.router.workers[1].started == rig.now
--- a/tests/test_interleave.py
+++ b/tests/test_interleave.py
@@ -189,8 +189,8 @@
 
     def check(self) -> None:
         assert max(Counter(rid for rid, _ in self.results).values(), default=1) == 1, "a call ended twice"
-        owed = [rid for rid, how in self.results if how != "withdrawn"]
-        assert self.answers == owed, "an answer without an end"
+        expected = [rid for rid, how in self.results if how != "withdrawn"]
+        assert self.answers == expected, "an answer without an end"
         told = Counter((e.request, e.attempt) for e in self.attempts())
         assert max(told.values(), default=1) == 1, "an attempt ended twice"
         assert "module-fault" not in self.log.totals
@@ -325,7 +325,7 @@
 
     def write(self, actor: StubHost, id: int) -> None:
         closed = self.list.applied > 1 and actor is self.actors[0]
-        assert not closed, "written after the standing had changed"
+        assert not closed, "written after the status had changed"
         self.written.append(f"{id:016x}")
         self.requests.append((actor, id))
 
@@ -339,11 +339,11 @@
 
     def check(self) -> None:
         super().check()
-        assert max(self.reports.values(), default=1) == 1, "a host told of one end twice"
+        assert max(self.reports.values(), default=1) == 1, "a host reported an end twice"
         assert max(Counter(self.written).values(), default=1) == 1, "written twice"
         for e in self.attempts():
-            rid = self.calls[e.request - 1].request_id
-            assert e.outcome not in NEVER_RAN or rid not in self.written, "it has run"
+            request_id = self.calls[e.request - 1].request_id
+            assert e.outcome not in NEVER_RAN or request_id not in self.written, "it has run"
 
     def key(self) -> Hashable:
         hosts = [
@@ -380,7 +380,7 @@
     def make() -> Dispatch:
         return Dispatch(monkeypatch, "drains", HastyHost)
 
-    with pytest.raises(Failed, match="written after the standing had changed") as found:
+    with pytest.raises(Failed, match="written after the status had changed") as found:
         explore(make, preemptions=1)
     assert replay(make, found.value.schedule) == found.value.failure
 
@@ -391,17 +391,17 @@
 class Reload(Core):
     """A call of an old class, withdrawn or expiring, while settings add a class and retire the old one.
 
-    A call of the new class follows. `hasty` plants a fault: the front names the new class too early.
+    A call of the new class follows. `early` plants a fault: the front names the new class too early.
     """
 
-    def __init__(self, patch: pytest.MonkeyPatch, hasty: bool = False) -> None:
+    def __init__(self, patch: pytest.MonkeyPatch, early: bool = False) -> None:
         super().__init__(patch, 1)
         merged = merge(SETTINGS, replace(SETTINGS, classes=(NEW, *SETTINGS.classes[1:])), 8)
         self.calls = [self.calls[0], Call(f"{2:016x}", len(SETTINGS.classes), "f", 1200.0)]
-        retune = "retune", lambda: self.core.blocking_send(SettingsChanged(merged))
+        reload = "reload", lambda: self.core.blocking_send(SettingsChanged(merged))
         self.threads = {
             "client": [self.offer(0), self.withdraw(0)],
-            "service": [self.offer(1), retune] if hasty else [retune, self.offer(1)],
+            "service": [self.offer(1), reload] if early else [reload, self.offer(1)],
             "module": actor_thread(self.core, self.clock),
             "clock": [self.until(1110.0), self.until(5000.0)],
         }
@@ -420,5 +420,5 @@
     counts = explore(lambda: Reload(monkeypatch))
     assert counts.complete and counts.states > 50
     with pytest.raises(Failed) as found:
-        explore(lambda: Reload(monkeypatch, hasty=True))
-    assert replay(lambda: Reload(monkeypatch, hasty=True), found.value.schedule) == found.value.failure
+        explore(lambda: Reload(monkeypatch, early=True))
+    assert replay(lambda: Reload(monkeypatch, early=True), found.value.schedule) == found.value.failure
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -165,10 +165,10 @@
     load = start_load(relays, 3.0 + after)
     gevent.sleep(0.7)
     old = relays.process
-    fresh = relays.launch()
+    successor = relays.launch()
     gevent.sleep(after)
-    fresh.kill()
-    fresh.wait()
+    successor.kill()
+    successor.wait()
     gevent.sleep(0.5)
     relays.process = old
     load.join()
@@ -199,19 +199,19 @@
     relays: Relays,
 ) -> None:
     (path,) = (relays.folder / "tmp").glob("*.sock")
-    strangers = []
+    connections = []
     for n in range(12):
-        strangers.append(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM))
+        connections.append(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM))
         with short_socket_path(path) as name:
-            strangers[-1].connect(name)
+            connections[-1].connect(name)
         with suppress(BrokenPipeError):  # it may be rejected before it sends anything
-            strangers[-1].sendall(b"what is here?\n" if n % 2 else b"")
+            connections[-1].sendall(b"what is here?\n" if n % 2 else b"")
     gevent.sleep(0.3)
-    holding = [s for s in strangers if not is_closed(s)]
+    holding = [s for s in connections if not is_closed(s)]
     assert len(holding) <= 4
     old = relays.start_next()
     assert "takeover" in relays.log_text() and terminate(old)[0] == 0
-    for each in strangers:
+    for each in connections:
         each.close()
 
 
@@ -296,26 +296,28 @@
 
 def test_a_router_with_restored_state_sends_to_the_known_copy_at_once() -> None:
     rig = router_with_copies()
-    held = list(rig.router.functions["f"].copies)
-    assert held
-    fresh = Rig(SETTINGS)
-    fresh.now = rig.now
-    fresh.give(i.WorkersListed(i.ListScope.REMEMBERED, workers(3)))
-    restore(fresh.router, unpack(pack(rig.router, rig.now), rig.now, WALL))
-    said = fresh.give(i.RequestArrived(99, 0, "f", fresh.now + 2000, slots=4))
-    assert next(a.worker for a in said if isinstance(a, i.StartAttempt)) in held
-    assert not [a for a in said if isinstance(a, i.OrderCopies)]
-    assert list(fresh.router.ordered) == list(rig.router.ordered)
+    copies = list(rig.router.functions["f"].copies)
+    assert copies
+    successor = Rig(SETTINGS)
+    successor.now = rig.now
+    successor.give(i.WorkersListed(i.ListScope.REMEMBERED, workers(3)))
+    restore(successor.router, unpack(pack(rig.router, rig.now), rig.now, WALL))
+    actions = successor.give(i.RequestArrived(99, 0, "f", successor.now + 2000, slots=4))
+    assert next(a.worker for a in actions if isinstance(a, i.StartAttempt)) in copies
+    assert not [a for a in actions if isinstance(a, i.OrderCopies)]
+    assert list(successor.router.ordered) == list(rig.router.ordered)
 
 
 def test_a_host_that_started_since_is_as_cold_as_the_list_says() -> None:
     rig = router_with_copies()
-    fresh = Router(SETTINGS, 1)
-    held = list(rig.router.functions["f"].copies)
-    restarted = tuple(i.WorkerEntry(w.worker, started=rig.now + 5) for w in workers(3) if w.worker in held)
-    fresh.handle(rig.now + 10, [i.WorkersListed(i.ListScope.REMEMBERED, restarted)])
-    restore(fresh, unpack(pack(rig.router, rig.now), rig.now, WALL))
-    assert not fresh.functions["f"].copies and all(fresh.warmth(w) < 0.5 for w in fresh.workers.values())
+    successor = Router(SETTINGS, 1)
+    copies = list(rig.router.functions["f"].copies)
+    restarted = tuple(i.WorkerEntry(w.worker, started=rig.now + 5) for w in workers(3) if w.worker in copies)
+    successor.handle(rig.now + 10, [i.WorkersListed(i.ListScope.REMEMBERED, restarted)])
+    restore(successor, unpack(pack(rig.router, rig.now), rig.now, WALL))
+    assert not successor.functions["f"].copies and all(
+        successor.warmth(w) < 0.5 for w in successor.workers.values()
+    )
 
 
 @pytest.mark.parametrize("version", [1, 2])
@@ -332,26 +334,26 @@
     assert moved.arrivals == pytest.approx(here.arrivals, abs=0.01) and here.arrivals
     for there, worker in zip(moved.workers, here.workers, strict=True):
         assert (there.heard, there.budget_at) == pytest.approx((worker.heard, worker.budget_at), abs=0.01)
-    fresh = Rig(SETTINGS)
-    fresh.now = rig.now
-    restore(fresh.router, moved)
-    assert fresh.router.functions["f"].copies.keys() == rig.router.functions["f"].copies.keys()
+    successor = Rig(SETTINGS)
+    successor.now = rig.now
+    restore(successor.router, moved)
+    assert successor.router.functions["f"].copies.keys() == rig.router.functions["f"].copies.keys()
 
 
 def test_learned_state_of_a_host_with_an_unchanged_start_is_kept() -> None:
-    rig, fresh = router_with_copies(), Router(SETTINGS, 1)
+    rig, successor = router_with_copies(), Router(SETTINGS, 1)
     stamped = tuple(replace(w, started=rig.now - 400, start_stamp=WALL) for w in workers(3))
     rig.give(i.WorkersListed(i.ListScope.CHANGES, stamped))
     rig.router.believe(rig.router.functions["f"], 1)
     later = tuple(replace(w, started=rig.now) for w in stamped)
-    fresh.handle(rig.now, [i.WorkersListed(i.ListScope.REMEMBERED, later)])
-    restore(fresh, unpack(pack(rig.router, rig.now), rig.now, WALL))
-    assert fresh.functions["f"].copies.keys() == {1}
-    assert {w.started for w in fresh.workers.values()} == {rig.now - 400}
+    successor.handle(rig.now, [i.WorkersListed(i.ListScope.REMEMBERED, later)])
+    restore(successor, unpack(pack(rig.router, rig.now), rig.now, WALL))
+    assert successor.functions["f"].copies.keys() == {1}
+    assert {w.started for w in successor.workers.values()} == {rig.now - 400}
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "damage",
     [
         lambda d: b"",
         lambda d: d[:-1],
@@ -363,10 +365,10 @@
         lambda d: d[d.index(b"\n") :],
     ],
 )
-def test_damaged_state_is_rejected_as_a_whole(spoil: object) -> None:
+def test_damaged_state_is_rejected_as_a_whole(damage: object) -> None:
     data = pack(router_with_copies().router, NOW)
     with pytest.raises(StateTransferError):
-        unpack(spoil(data), NOW, WALL)  # type: ignore[operator]
+        unpack(damage(data), NOW, WALL)  # type: ignore[operator]
 
 
 def test_the_file_of_bans_is_replaced_atomically(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
