--- a/harrieryoke/net/host.py
+++ b/harrieryoke/net/host.py
@@ -1,4 +1,4 @@
-"""The actor of one model host: it picks or dials a link for each task, and ends each task once."""
+"""The actor of one model host: it selects or opens a link for each task, and ends each task once."""
 
 from __future__ import annotations
 
@@ -18,265 +18,286 @@
 from ..limits import Limits
 from ..log import Log
 from . import frames
-from .answers import ENDS, FOUND, number, read_report
-from .link import HostSocket, Link, Unsent, host_socket
+from .answers import COPY_LOOKUPS, OUTCOMES, parse_count, parse_load_report
+from .link import HostSocket, Link, PendingFrame, host_socket
 
-FIRST_OWN_ID = 1 << 63  # of orders and probes; requests bring their ids, and must not meet these on a link
-MAY_PASS = (errno.ETIMEDOUT, errno.EHOSTUNREACH)  # told by the kernel; no answer in time has no number
+# ids of orders and probes; requests bring their own ids, which must not collide with these on a link
+FIRST_INTERNAL_FRAME_ID = 1 << 63
+# reported by the kernel; a dial that times out in this process has no errno
+RETRYABLE_CONNECT_ERRORS = (errno.ETIMEDOUT, errno.EHOSTUNREACH)
 
 
-class NoRoomForLinkError(Exception):
-    """This process can't have another link now, which tells nothing of the host."""
+class LinkUnavailableError(Exception):
+    """This process can't open another link at present, which implies nothing about the host."""
 
 
 @dataclass(slots=True)
-class Standing:
-    """What the worker list says of a host. The list's actor alone writes it; the host reads it."""
+class HostStatus:
+    """The host's state in the worker list. The list's actor alone writes it; the host's actor reads it."""
 
     address: tuple[str, int]
-    drain: i.WorkerStatus = i.WorkerStatus.UP
+    state: i.WorkerStatus = i.WorkerStatus.UP
     replaced: bool = False
 
-    def takes(self, task: Task) -> bool:
-        """A draining, gone or replaced host gets nothing new; one that drains may still be asked."""
-        if self.replaced or self.drain is i.WorkerStatus.GONE:
+    def accepts(self, task: Task) -> bool:
+        """Return whether the host may get the task.
+
+        A draining, gone or replaced host gets nothing new; a draining host may still be probed.
+        """
+        if self.replaced or self.state is i.WorkerStatus.GONE:
             return False
-        return self.drain is i.WorkerStatus.UP or (isinstance(task, OrderTask) and task.copies == 0)
+        return self.state is i.WorkerStatus.UP or (isinstance(task, OrderTask) and task.copies == 0)
 
 
 @dataclass(slots=True)
-class Begin:
+class StartTask:
+    """Send the task to the host."""
+
     task: Task
 
 
 @dataclass(slots=True)
-class Revoke:
+class CancelTask:
+    """The answer to the task is no longer wanted."""
+
     task: Task
 
 
 @dataclass(slots=True)
-class Drop:
+class DropCopies:
+    """Ask the host to unload its copies of the function."""
+
     function: str
 
 
 @dataclass(slots=True)
-class Heard:
+class FramesReceived:
+    """The link's reader decoded these frames; none if a frame has only started."""
+
     link: Link
     frames: list[frames.Frame]
 
 
 @dataclass(slots=True)
-class Lost:
+class LinkLost:
+    """The link's reader has ended."""
+
     link: Link
     reason: str
 
 
 @dataclass(slots=True)
-class Writable:
-    """The link takes more; or it has not for too long, or has failed, and `error` says so."""
+class LinkWritable:
+    """The link can be written again, or `error` says that it timed out or failed."""
 
     link: Link
     error: str = ""
 
 
 @dataclass(slots=True)
-class Retire:
-    """The host has left the list: it ends once nothing is out on it, or now if its address is another's."""
+class HostRemoved:
+    """The host left the list: end once nothing is open, or immediately if its address was reused."""
 
-    now: bool = False
+    immediately: bool = False
 
 
-def soon(task: Task) -> bool:
-    """A load may take its time; all else is answered within its usual time, or the host is silent."""
+def answers_promptly(task: Task) -> bool:
+    """Return whether the host must answer the task within its usual time; only a load may take longer."""
     return not isinstance(task, OrderTask) or task.copies == 0
 
 
 class HostActor(Actor):
-    """Serialises all that goes to one model host. A host that is silent holds up nobody but itself."""
+    """Serialises all tasks of one model host, so that a silent host delays only its own tasks."""
 
     def __init__(
         self,
         name: str,
-        standing: Standing,
+        status: HostStatus,
         settings: i.Settings,
         limits: Limits,
         log: Log,
         report: Callable[[TaskEnded], object],
-        figures: Metrics,
+        metrics: Metrics,
     ) -> None:
         super().__init__(f"host {name}", limits.host_mailbox, log, reserve=limits.host_mailbox // 4)
-        self.standing, self.limits, self.report = standing, limits, report
-        self.figures = figures
-        self.retune(settings)
+        self.status, self.limits, self.report = status, limits, report
+        self.metrics = metrics
+        self.apply_settings(settings)
         self.links: list[Link] = []
-        self.places: dict[Task, tuple[Link, int]] = {}
-        self.serial = FIRST_OWN_ID
-        self.retiring = False
+        self.locations: dict[Task, tuple[Link, int]] = {}
+        self.last_internal_id = FIRST_INTERNAL_FRAME_ID
+        self.removed = False
 
-    def retune(self, settings: i.Settings) -> None:
-        """For whoever keeps the list, as with `Standing`."""
+    def apply_settings(self, settings: i.Settings) -> None:
+        """Apply new settings; called by the owner of the list, like changes of `HostStatus`."""
         self.classes = settings.classes
-        # slow hosts still answer something in this time
-        self.silence = max(self.limits.silent_ms, 1.4 * settings.shortest_latency_target())
+        # even slow hosts answer something within this time
+        self.silence_limit_ms = max(self.limits.silent_ms, 1.4 * settings.shortest_latency_target())
 
-    # --- the port that the module actor sees ---
+    # --- interface to the module actor ---
 
     def start_task(self, task: Task) -> bool:
-        return self.try_send(Begin(task))
+        return self.try_send(StartTask(task))
 
     def cancel_task(self, task: Task) -> None:
-        self.try_send(Revoke(task))
+        self.try_send(CancelTask(task))
 
     def drop_copies(self, function: str) -> None:
-        self.try_send(Drop(function))
+        self.try_send(DropCopies(function))
 
-    # --- the loop ---
+    # --- main loop ---
 
     def run(self) -> None:
         while not self.finished:
-            owed = any(link.part_since is not None or link.asked is not None for link in self.links)
-            self.wait_for_message(self.limits.frame_ms / 2 if owed else self.limits.link_idle_ms / 4)
+            answer_due = any(
+                link.partial_since is not None or link.waiting_since is not None for link in self.links
+            )
+            self.wait_for_message(self.limits.frame_ms / 2 if answer_due else self.limits.link_idle_ms / 4)
             self.process_mailbox()
-            self.tidy()
-            if self.retiring and not self.places and not self.mailbox:
+            self.close_dead_links()
+            if self.removed and not self.locations and not self.mailbox:
                 return
 
     def finish(self) -> None:
-        """Whatever ended the actor: nothing that was out or queued stays without its end."""
+        """End every open or queued task, whatever ended the actor."""
         self.finished = True
         for link in list(self.links):
-            self.close(link, "the host's actor ended")
+            self.close_link(link, "the host's actor ended")
         for message in list(self.mailbox):
-            if isinstance(message, Begin):
-                self.end(message.task, i.Outcome.NOT_SENT)
+            if isinstance(message, StartTask):
+                self.end_task(message.task, i.Outcome.NOT_SENT)
         self.mailbox.clear()
         super().finish()
 
     def receive(self, message: Any) -> None:
         match message:
-            case Begin(task):
-                self.send(task)
-            case Revoke(task):
-                self.give_up(task)
-            case Drop(function):
-                self.unload(function)
-            case Heard(link, heard):
-                link.asked = None
-                for frame in heard if link in self.links else []:
-                    self.answer(link, frame)
-                if any(map(soon, link.open.values())):
-                    link.asked = now_ms()
-            case Lost(link, reason):
-                self.close(link, reason)
-            case Writable(link, error):
-                link.waiting = False
+            case StartTask(task):
+                self.send_task(task)
+            case CancelTask(task):
+                self.handle_cancel(task)
+            case DropCopies(function):
+                self.send_drop_copies(function)
+            case FramesReceived(link, received):
+                link.waiting_since = None
+                for frame in received if link in self.links else []:
+                    self.handle_answer(link, frame)
+                if any(map(answers_promptly, link.open.values())):
+                    link.waiting_since = now_ms()
+            case LinkLost(link, reason):
+                self.close_link(link, reason)
+            case LinkWritable(link, error):
+                link.awaiting_writable = False
                 if error and link.backlog:
-                    self.close(link, error)
+                    self.close_link(link, error)
                 else:
                     self.flush(link)
-            case Retire(now):
-                self.retiring, self.finished = True, self.finished or now
+            case HostRemoved(immediately):
+                self.removed, self.finished = True, self.finished or immediately
 
-    def end(self, task: Task, outcome: i.Outcome, **told: Any) -> None:
-        self.report(TaskEnded(task, outcome, **told))
+    def end_task(self, task: Task, outcome: i.Outcome, **details: Any) -> None:
+        self.report(TaskEnded(task, outcome, **details))
 
-    # --- towards the host ---
+    # --- sending ---
 
-    def may_begin(self, task: Task) -> bool:
-        """Whether the task is still to be written: asked again directly before its first byte."""
+    def may_start(self, task: Task) -> bool:
+        """Return whether the task may still be written; checked again directly before its first byte."""
         now = now_ms()
         if not task.is_open or task.stop_at <= now or task.start_by <= now:
             return False
         if isinstance(task, AttemptTask) and task.call.abandoned:
             return False
-        return self.standing.takes(task)
+        return self.status.accepts(task)
+
+    def may_drop_copies(self) -> bool:
+        return self.status.state is i.WorkerStatus.UP and not self.status.replaced
 
-    def may_unload(self) -> bool:
-        return self.standing.drain is i.WorkerStatus.UP and not self.standing.replaced
+    def send_task(self, task: Task) -> None:
+        """Queue the task on a link.
 
-    def send(self, task: Task) -> None:
-        """Puts the task on a link. Much can change while a dial takes its time, or while the link takes
-        nothing: `flush` looks again."""
-        if not self.may_begin(task):
-            return self.end(task, i.Outcome.NOT_SENT)
+        Much can change during a dial or while the link is blocked: `flush` checks again.
+        """
+        if not self.may_start(task):
+            return self.end_task(task, i.Outcome.NOT_SENT)
         try:
-            link = self.link_for(task)
-        except NoRoomForLinkError:
-            return self.end(task, i.Outcome.NOT_SENT)
+            link = self.select_link(task)
+        except LinkUnavailableError:
+            return self.end_task(task, i.Outcome.NOT_SENT)
         if link is None:
-            self.fail_queued()
-            return self.end(task, i.Outcome.NO_CONNECTION)
-        frame = self.frame_for(task, link)
-        self.places[task] = (link, frame.id)
-        self.post(link, frame)
-
-    def post(self, link: Link, frame: Unsent) -> None:
-        """Writes the frame at once, or once the host has read what lies before it."""
+            self.fail_queued_tasks()
+            return self.end_task(task, i.Outcome.NO_CONNECTION)
+        frame = self.create_frame(task, link)
+        self.locations[task] = (link, frame.id)
+        self.enqueue_frame(link, frame)
+
+    def enqueue_frame(self, link: Link, frame: PendingFrame) -> None:
+        """Write the frame now, or once the host has read the frames before it."""
         link.backlog.append(frame)
-        if not link.waiting:
+        if not link.awaiting_writable:
             self.flush(link)
 
     def flush(self, link: Link) -> None:
-        """Writes what waits on the link as far as the connection takes it, without waiting."""
+        """Write queued frames as far as the connection accepts them, without waiting."""
         while link.backlog and not link.ended:
             frame = link.backlog[0]
-            if not frame.begun and not self.prepare(link, frame):
+            if not frame.started and not self.prepare_frame(link, frame):
                 continue
-            fresh = not frame.begun
+            unstarted = not frame.started
             try:
-                whole = link.write(frame)
+                complete = link.write(frame)
             except OSError as error:
-                return self.close(link, f"write: {error}")
-            if fresh and frame.begun and frame.task is not None:
-                self.note_begun(link, frame.id, frame.task)
-            if not whole:
-                link.waiting = True
+                return self.close_link(link, f"write: {error}")
+            if unstarted and frame.started and frame.task is not None:
+                self.record_started(link, frame.id, frame.task)
+            if not complete:
+                link.awaiting_writable = True
                 spawn(self.log, f"{self.name} writer", lambda: self.wait_writable(link))
                 return
             link.backlog.popleft()
-            link.used = now_ms()
+            link.last_used = now_ms()
             if isinstance(frame.task, AttemptTask):
-                self.figures.class_metrics(self.classes[frame.task.call.class_index].name).tries += 1
+                self.metrics.class_metrics(self.classes[frame.task.call.class_index].name).tries += 1
 
-    def prepare(self, link: Link, frame: Unsent) -> bool:
-        """Directly before the first byte of a frame: what is not wanted any more is left out."""
+    def prepare_frame(self, link: Link, frame: PendingFrame) -> bool:
+        """Drop a frame that is no longer wanted, or encode it; called directly before its first byte."""
         task = frame.task
         if task is None:
-            if frame.code != frames.UNLOAD or self.may_unload():
+            if frame.code != frames.UNLOAD or self.may_drop_copies():
                 return True
             link.backlog.popleft()
             return False
-        if not self.may_begin(task):
+        if not self.may_start(task):
             link.backlog.popleft()
-            del self.places[task]
-            self.end(task, i.Outcome.NOT_SENT)
+            del self.locations[task]
+            self.end_task(task, i.Outcome.NOT_SENT)
             return False
-        frame.data = self.encode(frame, task)
+        frame.unwritten = self.encode_task(frame, task)
         return True
 
-    def note_begun(self, link: Link, id: int, task: Task) -> None:
+    def record_started(self, link: Link, id: int, task: Task) -> None:
         link.open[id] = task
-        if link.asked is None and soon(task):
-            link.asked = now_ms()
+        if link.waiting_since is None and answers_promptly(task):
+            link.waiting_since = now_ms()
 
     def wait_writable(self, link: Link) -> None:
-        """The writer's greenlet, there only while something is unsent."""
+        """Run the writer's greenlet, which exists only while something is unsent."""
         error = ""
         try:
             link.sock.wait_writable(self.limits.write_ms)
         except OSError as failed:
             error = f"write: {failed}"
-        self.blocking_send(Writable(link, error))
+        self.blocking_send(LinkWritable(link, error))
 
-    def frame_for(self, task: Task, link: Link) -> Unsent:
+    def create_frame(self, task: Task, link: Link) -> PendingFrame:
         if isinstance(task, AttemptTask):
-            return Unsent(frames.REQUEST, int(task.call.request_id, 16), task)
-        self.serial += 1
-        while self.serial in link.open:
-            self.serial += 1
-        return Unsent(frames.HOLD if isinstance(task, OrderTask) else frames.PROBE_LOAD, self.serial, task)
+            return PendingFrame(frames.REQUEST, int(task.call.request_id, 16), task)
+        self.last_internal_id += 1
+        while self.last_internal_id in link.open:
+            self.last_internal_id += 1
+        return PendingFrame(
+            frames.HOLD if isinstance(task, OrderTask) else frames.PROBE_LOAD, self.last_internal_id, task
+        )
 
-    def encode(self, frame: Unsent, task: Task) -> bytes:
+    def encode_task(self, frame: PendingFrame, task: Task) -> bytes:
         if isinstance(task, AttemptTask):
             call = task.call
             fields = {
@@ -288,82 +309,95 @@
                 fields["op"] = call.key
             return frames.encode(frame.code, frame.id, fields, call.body)
         if isinstance(task, OrderTask):
-            held = {"asset": task.function, "pods": str(task.copies)}
-            return frames.encode(frame.code, frame.id, held)
+            fields = {"asset": task.function, "pods": str(task.copies)}
+            return frames.encode(frame.code, frame.id, fields)
         return frames.encode(frame.code, frame.id)
 
-    def give_up(self, task: Task) -> None:
-        """A request is given up with a word, an order just is not waited for any more, and what has not begun
-        is left out."""
-        if (place := self.places.pop(task, None)) is None:
+    def handle_cancel(self, task: Task) -> None:
+        """Cancel a task: a request with a frame to the host, an order by ignoring its answer.
+
+        A task that has not started is removed from the queue.
+        """
+        if (location := self.locations.pop(task, None)) is None:
             return
-        link, id = place
+        link, id = location
         if link.open.get(id) is not task:
             link.backlog.remove(next(frame for frame in link.backlog if frame.task is task))
             return
         del link.open[id]
-        if not link.open and not self.silent(link):
-            link.asked = None  # what was given up early tells nothing of the host
+        if not link.open and not self.is_silent(link):
+            link.waiting_since = None  # an answer that was cancelled early says nothing about the host
         if isinstance(task, AttemptTask):
-            self.post(link, Unsent(frames.GIVE_UP, id, data=frames.encode(frames.GIVE_UP, id)))
+            self.enqueue_frame(
+                link, PendingFrame(frames.GIVE_UP, id, unwritten=frames.encode(frames.GIVE_UP, id))
+            )
 
-    def unload(self, function: str) -> None:
+    def send_drop_copies(self, function: str) -> None:
         try:
-            link = self.link_for(None) if self.may_unload() else None
-        except NoRoomForLinkError:
+            link = self.select_link(None) if self.may_drop_copies() else None
+        except LinkUnavailableError:
             return
         if link is not None:
             id = int(function, 16)
-            self.post(link, Unsent(frames.UNLOAD, id, data=frames.encode(frames.UNLOAD, id)))
+            self.enqueue_frame(
+                link, PendingFrame(frames.UNLOAD, id, unwritten=frames.encode(frames.UNLOAD, id))
+            )
 
     # --- links ---
 
-    def link_for(self, task: Task | None) -> Link | None:
-        """The newest link with room, rather one that takes bytes; a further one only when all are full, or
-        silent. An ask whether the host lives goes by none that owes an answer for longer than a dial would
-        take. None where the host can't be reached. Raises NoRoomForLinkError."""
-        ask = isinstance(task, OrderTask) and task.copies == 0
+    def select_link(self, task: Task | None) -> Link | None:
+        """Return the newest usable link, preferably one that is not blocked, or open one.
+
+        A probe avoids a link that has owed an answer for longer than a dial may take. Returns None if the
+        host can't be reached. Raises LinkUnavailableError.
+        """
+        is_probe = isinstance(task, OrderTask) and task.copies == 0
         id = int(task.call.request_id, 16) if isinstance(task, AttemptTask) else None
         blocked: Link | None = None
         for link in reversed(self.links):
-            quiet = now_ms() - link.asked if ask and link.asked is not None else 0.0
-            free = not link.ended and link.load < self.limits.streams_per_link and not link.holds(id)
-            if free and quiet <= self.limits.dial_ms and not self.silent(link):
-                if not link.waiting:
+            waited_ms = now_ms() - link.waiting_since if is_probe and link.waiting_since is not None else 0.0
+            has_space = not link.ended and link.load < self.limits.streams_per_link and not link.has_frame(id)
+            if has_space and waited_ms <= self.limits.dial_ms and not self.is_silent(link):
+                if not link.awaiting_writable:
                     return link
                 blocked = blocked or link
-        return blocked or self.another_link(ask)
+        return blocked or self.open_link(is_probe)
 
-    def another_link(self, ask: bool) -> Link | None:
+    def open_link(self, is_probe: bool) -> Link | None:
         if len(self.links) >= self.limits.links_per_host:
-            for link in list(filter(self.silent, self.links)):
-                self.close(link, "silent")
+            for link in list(filter(self.is_silent, self.links)):
+                self.close_link(link, "silent")
         if len(self.links) >= self.limits.links_per_host:
-            if ask:
+            if is_probe:
                 return None
-            # a host that is just busy must not be taken for dead, its copies lost
-            raise NoRoomForLinkError("all links to the host are full")
+            # a busy host must not be taken as dead, and its copies as lost
+            raise LinkUnavailableError("all links to the host are full")
         return self.dial()
 
-    def silent(self, link: Link, times: int = 1) -> bool:
-        """Guards against a connection that stays open and brings nothing more, while a new one would."""
-        return link.asked is not None and now_ms() - link.asked > times * self.silence
+    def is_silent(self, link: Link, factor: int = 1) -> bool:
+        """Return whether an answer has been due for too long.
+
+        Detects a connection that stays open but delivers nothing, while a new one would work.
+        """
+        return (
+            link.waiting_since is not None and now_ms() - link.waiting_since > factor * self.silence_limit_ms
+        )
 
     def connect(self) -> HostSocket:
-        """Raises OSError; of one that may have passed already, the second."""
+        """Dial, and retry once after an error that may be transient. Raises OSError."""
         try:
             return self.connect_once()
         except OSError as error:
-            # a dead host refuses, it does not reset: one that is alive must not be taken for dead
-            if not isinstance(error, ConnectionResetError) and error.errno not in MAY_PASS:
+            # a dead host refuses and does not reset: a live one must not be taken as dead
+            if not isinstance(error, ConnectionResetError) and error.errno not in RETRYABLE_CONNECT_ERRORS:
                 raise
             return self.connect_once()
 
     def connect_once(self) -> HostSocket:
-        sock = host_socket(socket.create_connection(self.standing.address, self.limits.dial_ms / 1000))
+        sock = host_socket(socket.create_connection(self.status.address, self.limits.dial_ms / 1000))
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            # guards against a host that vanished: what it does not acknowledge in this time ends the link
+            # detects a host that vanished: data that it does not acknowledge within this time ends the link
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(self.limits.vanished_ms))
         except OSError:
             sock.close()
@@ -377,23 +411,23 @@
         except OSError as error:
             self.log("dial-failed", f"{self.name}: {error}")
             if is_local(error):
-                raise NoRoomForLinkError(str(error)) from error
+                raise LinkUnavailableError(str(error)) from error
             return None
-        link = Link(sock, frames.Decoder(self.limits.answer_bytes), used=now_ms())
+        link = Link(sock, frames.Decoder(self.limits.answer_bytes), last_used=now_ms())
         self.links.append(link)
-        spawn(self.log, f"{self.name} reader", lambda: self.read(link))
+        spawn(self.log, f"{self.name} reader", lambda: self.read_link(link))
         return link
 
-    def fail_queued(self) -> None:
-        """What waited behind a failed dial fails with it: nobody waits for one dial after the other."""
-        queued = [m for m in self.mailbox if isinstance(m, Begin)]
+    def fail_queued_tasks(self) -> None:
+        """End all queued tasks after a failed dial, so that they do not wait for one dial after another."""
+        queued = [m for m in self.mailbox if isinstance(m, StartTask)]
         for message in queued:
             self.mailbox.remove(message)
-            fits = self.may_begin(message.task)
-            self.end(message.task, i.Outcome.NO_CONNECTION if fits else i.Outcome.NOT_SENT)
+            startable = self.may_start(message.task)
+            self.end_task(message.task, i.Outcome.NO_CONNECTION if startable else i.Outcome.NOT_SENT)
 
-    def read(self, link: Link) -> None:
-        """The reader's greenlet: turns bytes into messages, and says how the link ended."""
+    def read_link(self, link: Link) -> None:
+        """Run the reader's greenlet: convert bytes to messages, and report why the link ended."""
         reason = "closed by the host"
         try:
             while True:
@@ -405,81 +439,87 @@
                     continue
                 if not data:
                     break
-                heard: list[frames.Frame] = []
+                received: list[frames.Frame] = []
                 try:
                     for frame in link.decoder.feed(data):
-                        heard.append(frame)
+                        received.append(frame)
                 finally:
-                    # good answers ahead of a bad frame count; and a frame that has only begun wakes the actor
-                    # too, so that somebody looks whether more of it comes: a long one may take its time
-                    began, partial = link.part_since, bool(link.decoder.rest)
-                    link.part_since = now_ms() if partial else None
-                    if heard or (began is None and partial):
-                        self.blocking_send(Heard(link, heard))
+                    # Valid answers before an invalid frame count. The start of a frame wakes the actor too,
+                    # so that it watches for the rest, which may take its time for a long frame.
+                    previous, partial = link.partial_since, bool(link.decoder.buffer)
+                    link.partial_since = now_ms() if partial else None
+                    if received or (previous is None and partial):
+                        self.blocking_send(FramesReceived(link, received))
         except frames.FrameError as error:
             reason = f"bad frame: {error}"
             self.log("bad-frame", f"{self.name}: {error}")
         except OSError as error:
             reason = f"read: {error}"
-        link.ended = True  # nothing more is to begin here, also while the message waits in the mailbox
-        self.blocking_send(Lost(link, reason))
+        link.ended = True  # no new task may start here, also while the message waits in the mailbox
+        self.blocking_send(LinkLost(link, reason))
+
+    def close_link(self, link: Link, reason: str) -> None:
+        """Close the link and end its tasks.
 
-    def close(self, link: Link, reason: str) -> None:
-        """What was out on a link that ends may have run; the host has given it up. What was never written
-        whole has not run: a host acts on whole frames alone."""
+        What was sent may have run, and the host has given it up. What was not written completely has not run:
+        a host acts only on complete frames.
+        """
         if link not in self.links:
             return
         self.links.remove(link)
         link.sock.close()
-        unwritten = [frame.task for frame in link.backlog if frame.task in self.places]
-        whole = [task for task in link.open.values() if task not in unwritten]
+        not_sent = [frame.task for frame in link.backlog if frame.task in self.locations]
+        sent = [task for task in link.open.values() if task not in not_sent]
         link.open.clear()
         link.backlog.clear()
-        if whole or unwritten:
-            self.log("link-lost", f"{self.name}: {reason}; {len(whole)} out, {len(unwritten)} not written")
+        if sent or not_sent:
+            self.log("link-lost", f"{self.name}: {reason}; {len(sent)} out, {len(not_sent)} not written")
         else:
             self.log("link-closed", f"{self.name}: {reason}")
-        for task in whole + unwritten:
-            del self.places[task]
-            self.end(task, i.Outcome.RESET if task in whole else i.Outcome.NOT_SENT)
+        for task in sent + not_sent:
+            del self.locations[task]
+            self.end_task(task, i.Outcome.RESET if task in sent else i.Outcome.NOT_SENT)
+
+    def close_dead_links(self) -> None:
+        """Close stalled, silent and idle links.
 
-    def tidy(self) -> None:
-        """Closes links that lie idle a little before the host would: no request crosses such a close."""
+        Idle ones are closed shortly before the host would, so that no request crosses its close.
+        """
         now = now_ms()
         for link in list(self.links):
-            if link.part_since is not None and now - link.part_since > self.limits.frame_ms:
-                # guards against an answer that stops short: what comes behind it would be its rest
-                self.log("bad-frame", f"{self.name}: the rest of a frame has not come")
-                self.close(link, "a frame stopped short")
-        for link in [k for k in self.links if self.silent(k) and (not k.open or self.silent(k, 3))]:
-            self.close(link, "silent")
-        late = now - 0.8 * self.limits.link_idle_ms
-        for link in [k for k in self.links if not k.load and (k.used < late or self.retiring)]:
-            self.close(link, "idle")
-
-    # --- from the host ---
-
-    def answer(self, link: Link, frame: frames.Frame) -> None:
+            if link.partial_since is not None and now - link.partial_since > self.limits.frame_ms:
+                # an answer was truncated: whatever follows would be taken as the rest of its frame
+                self.log("bad-frame", f"{self.name}: timed out waiting for the rest of a frame")
+                self.close_link(link, "incomplete frame")
+        for link in [k for k in self.links if self.is_silent(k) and (not k.open or self.is_silent(k, 3))]:
+            self.close_link(link, "silent")
+        idle_before = now - 0.8 * self.limits.link_idle_ms
+        for link in [k for k in self.links if not k.load and (k.last_used < idle_before or self.removed)]:
+            self.close_link(link, "idle")
+
+    # --- receiving ---
+
+    def handle_answer(self, link: Link, frame: frames.Frame) -> None:
         task = link.open.get(frame.id)
         if task is None:
-            return  # it was given up while the answer was on its way
-        probed = frame.code >= frames.HEALTHY
-        if frame.code not in ENDS or probed == isinstance(task, AttemptTask | OrderTask):
+            return  # the task was cancelled while its answer was in transit
+        is_probe_answer = frame.code >= frames.HEALTHY
+        if frame.code not in OUTCOMES or is_probe_answer == isinstance(task, AttemptTask | OrderTask):
             self.log("bad-frame", f"{self.name}: code {frame.code} for {type(task).__name__}")
-            return self.close(link, f"code {frame.code}")
-        del link.open[frame.id], self.places[task]
-        link.used = now_ms()
+            return self.close_link(link, f"code {frame.code}")
+        del link.open[frame.id], self.locations[task]
+        link.last_used = now_ms()
         note = frame.fields.get("n", "")
-        outcome = ENDS[frame.code]
+        outcome = OUTCOMES[frame.code]
         if isinstance(task, OrderTask):
-            return self.end(task, outcome, copies=number(frame.fields.get("pods")) or 0)
-        report, crowd = read_report(frame.fields.get("l")), number(frame.fields.get("depth"))
-        self.end(
+            return self.end_task(task, outcome, copies=parse_count(frame.fields.get("pods")) or 0)
+        report, concurrent = parse_load_report(frame.fields.get("l")), parse_count(frame.fields.get("depth"))
+        self.end_task(
             task,
             outcome,
             body=frame.body,
-            copy_lookup=FOUND.get(note),
+            copy_lookup=COPY_LOOKUPS.get(note),
             load_failed=note == "f",
-            concurrent_requests=crowd,
+            concurrent_requests=concurrent,
             report=report,
         )
--- a/harrieryoke/net/hostlist_model.py
+++ b/harrieryoke/net/hostlist_model.py
@@ -1,4 +1,4 @@
-"""What the event bus says of model hosts: its messages as types, and how they are read. No I/O."""
+"""Messages of the event bus about model hosts, as types, and how they are decoded and validated. No I/O."""
 
 from __future__ import annotations
 
@@ -12,18 +12,26 @@
 
 from .. import interface as i
 
-DRAINS = {"active": i.WorkerStatus.UP, "leaving": i.WorkerStatus.DRAINING, "left": i.WorkerStatus.GONE}
-TAKEN_AS = ("leaving", "active", "left")  # the order of an event's entries, see `in_order`
-MOST_NUMBER = 2**53  # all JSON readers agree on whole numbers up to here
-ID_MOST = 256  # characters
-HOST_MOST = 253  # characters of a name in DNS
-SHOWN_MOST = 80  # characters of a spoilt value in an error
+STATUS_BY_STATE = {
+    "active": i.WorkerStatus.UP,
+    "leaving": i.WorkerStatus.DRAINING,
+    "left": i.WorkerStatus.GONE,
+}
+APPLY_ORDER = (
+    "leaving",
+    "active",
+    "left",
+)  # the order in which an event's entries are applied, see `in_apply_order`
+MAX_SAFE_INTEGER = 2**53  # the largest integer that all JSON readers represent exactly
+MAX_ID_LENGTH = 256  # characters
+MAX_HOST_NAME_LENGTH = 253  # characters of a name in DNS
+MAX_SHOWN_LENGTH = 80  # characters of an invalid value in an error message
 
-Offset = Annotated[int, msgspec.Meta(ge=0, le=MOST_NUMBER)]
+Offset = Annotated[int, msgspec.Meta(ge=0, le=MAX_SAFE_INTEGER)]
 
 
 class Server(msgspec.Struct):
-    """One model host of an event."""
+    """One model host in an event."""
 
     id: str
     addr: str
@@ -36,7 +44,7 @@
 
 
 class Topology(msgspec.Struct):
-    """The whole list, or what changed in it."""
+    """The complete list, or the changes to it."""
 
     servers: list[Server]
     version: int = 0
@@ -44,21 +52,21 @@
 
 
 class BusEvent(msgspec.Struct):
-    """One numbered event."""
+    """An event with its number."""
 
     offset: Offset
     topology: Topology | None = None
 
 
-class Known(msgspec.Struct):
-    """The events up to the start."""
+class KnownEvents(msgspec.Struct):
+    """The events that were already known at start-up."""
 
     offset: Offset = 0
     batch: list[BusEvent] = []
 
 
 class WireTopology(msgspec.Struct):
-    """A topology whose entries are read one by one, so that a spoilt one does not spoil the others."""
+    """A topology whose entries are decoded one by one: an invalid entry does not affect others."""
 
     servers: list[msgspec.Raw]
     version: int = 0
@@ -66,208 +74,225 @@
 
 
 class WireEvent(msgspec.Struct):
-    """A numbered event as it comes over the wire."""
+    """A numbered event as received over the network."""
 
     offset: Offset
     topology: WireTopology | None = None
 
 
-class Named(msgspec.Struct):
-    """As much of a spoilt entry as says whom it means."""
+class EntryId(msgspec.Struct):
+    """The part of an invalid entry that identifies the host."""
 
     id: str
 
 
-WIRE_LINE: msgspec.json.Decoder[WireEvent | int] = msgspec.json.Decoder(WireEvent | Offset)
-WIRE_SERVER: msgspec.json.Decoder[Server] = msgspec.json.Decoder(Server)
-WIRE_NAMED: msgspec.json.Decoder[Named] = msgspec.json.Decoder(Named)
+LINE_DECODER: msgspec.json.Decoder[WireEvent | int] = msgspec.json.Decoder(WireEvent | Offset)
+SERVER_DECODER: msgspec.json.Decoder[Server] = msgspec.json.Decoder(Server)
+ENTRY_ID_DECODER: msgspec.json.Decoder[EntryId] = msgspec.json.Decoder(EntryId)
 
 
 @dataclass(frozen=True, slots=True)
 class BadServerError(ValueError):
-    """An entry of an event that can't be used. `host` is empty where the entry does not say whom it means."""
+    """An entry of an event is invalid. `host` is empty if the entry does not identify one."""
 
     host: str
     field: str
     reason: str
 
     def __str__(self) -> str:
-        host, reason = self.host[:SHOWN_MOST], self.reason[:SHOWN_MOST]
+        host, reason = self.host[:MAX_SHOWN_LENGTH], self.reason[:MAX_SHOWN_LENGTH]
         return f"model host {host!r}: {self.field}: {reason}"
 
 
 @dataclass(frozen=True, slots=True)
-class BusSaid:
-    """An event for the list's actor, and the entries of it that have the wrong types."""
+class EventReceived:
+    """An event for the list's actor, and its entries that could not be decoded."""
 
     event: BusEvent
-    bad: tuple[BadServerError, ...] = ()
+    errors: tuple[BadServerError, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
-    """What an event comes to: one entry for each host, all of them checked. Hosts of `bad` entries keep
-    their former state."""
+    """The effect of an event on the list: one validated entry for each host.
+
+    Hosts with an invalid entry keep their previous state.
+    """
 
     offset: int
-    whole: bool
+    is_full: bool
     servers: dict[str, Server]
-    bad: tuple[BadServerError, ...] = ()
+    errors: tuple[BadServerError, ...] = ()
 
-    def kept(self) -> set[str]:
-        """Hosts that are named by spoilt entries alone."""
-        return {error.host for error in self.bad} - self.servers.keys()
+    def invalid_hosts(self) -> set[str]:
+        """Return the hosts that are named only by invalid entries."""
+        return {error.host for error in self.errors} - self.servers.keys()
 
 
 @dataclass(frozen=True, slots=True)
 class ListReplaced:
-    """The net result of all events of a bus that numbers anew."""
+    """The net effect of all events of a bus that restarted its numbering."""
 
     update: ListUpdate
 
 
 @dataclass(frozen=True, slots=True)
-class BusConfirmed:
-    """All changes before `at` have come, in milliseconds of this process's clock."""
+class ListConfirmed:
+    """All changes published before `as_of` have been received; milliseconds of this process's clock."""
 
-    at: float
+    as_of: float
 
 
-def address(text: str) -> tuple[str, int]:
-    """`host:port`. Raises ValueError, also for a host that no resolver takes."""
+def parse_address(text: str) -> tuple[str, int]:
+    """Parse `host:port`. Raises ValueError, also for a host name that no resolver accepts."""
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdecimal()) or len(port) > 5 or not 0 < int(port) < 65536:
-        raise ValueError(f"not an address: {text[:SHOWN_MOST]!r}")
-    if len(host) > HOST_MOST or not host.isprintable() or " " in host:
-        raise ValueError(f"not a host's name: {host[:SHOWN_MOST]!r}")
+        raise ValueError(f"not an address: {text[:MAX_SHOWN_LENGTH]!r}")
+    if len(host) > MAX_HOST_NAME_LENGTH or not host.isprintable() or " " in host:
+        raise ValueError(f"invalid host name: {host[:MAX_SHOWN_LENGTH]!r}")
     try:
         host.encode("idna")
     except UnicodeError as error:
-        raise ValueError(f"not a host's name: {host[:SHOWN_MOST]!r}: {error}") from None
+        raise ValueError(f"invalid host name: {host[:MAX_SHOWN_LENGTH]!r}: {error}") from None
     return host, int(port)
 
 
 def worker_number(id: str) -> int:
-    """The module's number for a host: the same at every invoker and every start."""
+    """Return the host's number in the decision module: the same at every invoker and after every start."""
     return int.from_bytes(blake2b(id.encode(), digest_size=6).digest())
 
 
 def check_server(server: Server) -> None:
-    """Raises BadServerError for the first field that can't be used."""
-    if not 0 < len(server.id) <= ID_MOST:
-        raise BadServerError("", "id", f"1 to {ID_MOST} characters are wanted, not {len(server.id)}")
-    if server.state not in DRAINS:
+    """Raise BadServerError for the first invalid field."""
+    if not 0 < len(server.id) <= MAX_ID_LENGTH:
+        raise BadServerError("", "id", f"must have 1 to {MAX_ID_LENGTH} characters, not {len(server.id)}")
+    if server.state not in STATUS_BY_STATE:
         raise BadServerError(
-            server.id, "state", f"{server.state[:SHOWN_MOST]!r} is none of {', '.join(DRAINS)}"
+            server.id,
+            "state",
+            f"{server.state[:MAX_SHOWN_LENGTH]!r} is not one of {', '.join(STATUS_BY_STATE)}",
         )
     try:
-        address(server.addr)
+        parse_address(server.addr)
     except ValueError as error:
         raise BadServerError(server.id, "addr", str(error)) from None
-    if not 0 <= server.cell <= MOST_NUMBER:
-        raise BadServerError(server.id, "cell", f"not from 0 to {MOST_NUMBER}")
+    if not 0 <= server.cell <= MAX_SAFE_INTEGER:
+        raise BadServerError(server.id, "cell", f"must be from 0 to {MAX_SAFE_INTEGER}")
     if not (math.isfinite(server.weight) and server.weight >= 0):
-        raise BadServerError(server.id, "weight", f"{server.weight} is not a finite number from 0 on")
-    if not 0 <= server.started_ms <= MOST_NUMBER:
-        raise BadServerError(server.id, "started_ms", f"{server.started_ms} is not from 0 to {MOST_NUMBER}")
+        raise BadServerError(server.id, "weight", f"{server.weight} is not a finite number of at least 0")
+    if not 0 <= server.started_ms <= MAX_SAFE_INTEGER:
+        raise BadServerError(
+            server.id, "started_ms", f"{server.started_ms} is not from 0 to {MAX_SAFE_INTEGER}"
+        )
+
 
+def find_unknown_names(server: Server, settings: i.Settings) -> list[BadServerError]:
+    """Return an error for a zone or a kind that the settings do not name.
 
-def unknown_names(server: Server, settings: i.Settings) -> list[BadServerError]:
-    """Zone and kind where the settings have no such name. The host is used all the same: the bus may list a
-    new zone before SIGHUP brings its name, and a host that drains there has to be heard."""
-    asked = (("zone", server.zone, settings.zones), ("kind", server.kind, settings.kinds))
+    The host is used nevertheless: the bus may list a new zone before SIGHUP loads its name, and a host that
+    drains there must be noticed.
+    """
+    checks = (("zone", server.zone, settings.zones), ("kind", server.kind, settings.kinds))
     return [
         BadServerError(
-            server.id, field, f"{name[:SHOWN_MOST]!r} is not in the settings; the first one is assumed"
+            server.id, field, f"{name[:MAX_SHOWN_LENGTH]!r} is not in the settings; using the first one"
         )
-        for field, name, names in asked
+        for field, name, names in checks
         if name and name not in names
     ]
 
 
-def read_server(raw: msgspec.Raw) -> Server:
-    """One entry of an event. Raises BadServerError."""
+def decode_server(raw: msgspec.Raw) -> Server:
+    """Decode one entry of an event. Raises BadServerError."""
     try:
-        return WIRE_SERVER.decode(raw)
+        return SERVER_DECODER.decode(raw)
     except (ValueError, RecursionError) as error:
         problem = str(error)
     try:
-        host = WIRE_NAMED.decode(raw).id
+        host = ENTRY_ID_DECODER.decode(raw).id
     except (ValueError, RecursionError):
         host = ""
-    raise BadServerError(host if len(host) <= ID_MOST else "", "entry", problem)
+    raise BadServerError(host if len(host) <= MAX_ID_LENGTH else "", "entry", problem)
 
 
-def decode_line(line: bytes) -> BusSaid | int:
-    """A line of the bus: an event, or the number of the last one, by itself or as the offset of an event that
-    says nothing else. Raises ValueError."""
+def decode_line(line: bytes) -> EventReceived | int:
+    """Decode a line of the bus: an event, or the number of the last one.
+
+    The number comes alone, or as the offset of an event without a topology. Raises ValueError.
+    """
     try:
-        said = WIRE_LINE.decode(line)
+        event = LINE_DECODER.decode(line)
     except RecursionError as error:
         raise ValueError(str(error)) from None
-    if isinstance(said, int):
-        return said
-    if said.topology is None:
-        return said.offset
-    servers, bad = list[Server](), list[BadServerError]()
-    for raw in said.topology.servers:
+    if isinstance(event, int):
+        return event
+    if event.topology is None:
+        return event.offset
+    servers, errors = list[Server](), list[BadServerError]()
+    for raw in event.topology.servers:
         try:
-            servers.append(read_server(raw))
+            servers.append(decode_server(raw))
         except BadServerError as error:
-            bad.append(error)
-    topology = Topology(servers, said.topology.version, said.topology.full)
-    return BusSaid(BusEvent(said.offset, topology), tuple(bad))
+            errors.append(error)
+    topology = Topology(servers, event.topology.version, event.topology.full)
+    return EventReceived(BusEvent(event.offset, topology), tuple(errors))
+
 
+def validate_event(received: EventReceived) -> ListUpdate | None:
+    """Validate an event; return None if it has no topology.
 
-def read_update(said: BusSaid) -> ListUpdate | None:
-    """An event checked, or None where it tells nothing of the list. The last word on a host counts, and of
-    two hosts at one address the last that is active (`in_order`)."""
-    topology = said.event.topology
+    The last entry for a host counts. Of two hosts at one address the last active one counts
+    (`in_apply_order`).
+    """
+    topology = received.event.topology
     if topology is None:
         return None
-    servers, bad = dict[str, Server](), list(said.bad)
+    servers, errors = dict[str, Server](), list(received.errors)
     for server in topology.servers:
         try:
             check_server(server)
         except BadServerError as error:
-            bad.append(error)
+            errors.append(error)
             continue
         servers.pop(server.id, None)
         servers[server.id] = server
-    # an entry that does not say whom it means may mean any host, and a list without a readable entry may be
-    # spoilt as a whole: none is taken for gone
-    whole = topology.full and all(error.host for error in bad) and bool(servers or not bad)
-    return ListUpdate(said.event.offset, whole, servers, tuple(bad))
+    # An entry that does not identify a host may concern any host, and a list without a valid entry may be
+    # corrupt as a whole: in both cases no host is taken as removed.
+    is_full = topology.full and all(error.host for error in errors) and bool(servers or not errors)
+    return ListUpdate(received.event.offset, is_full, servers, tuple(errors))
+
 
+def in_apply_order(servers: Iterable[Server]) -> list[Server]:
+    """Sort an event's entries into the order in which they are applied.
 
-def in_order(servers: Iterable[Server]) -> list[Server]:
-    """The order to take an event's entries in. Their order within the event says nothing of time: where two
-    hosts have one address, the one that is active has it now, and the other was replaced."""
-    return sorted(servers, key=lambda server: TAKEN_AS.index(server.state))
+    Their order within the event does not reflect time. Of two hosts with the same address the active one has
+    it now and has replaced the other.
+    """
+    return sorted(servers, key=lambda server: APPLY_ORDER.index(server.state))
 
 
 @dataclass(slots=True)
 class Snapshot:
-    """The net result of events in their order."""
+    """The net effect of a sequence of events."""
 
     servers: dict[str, Server] = field(default_factory=dict)
-    whole: bool = False  # one of the events was
-    bad: dict[str, BadServerError] = field(default_factory=dict)
-
-    def take(self, update: ListUpdate) -> None:
-        """The next event."""
-        if update.whole:
-            kept = update.kept()
-            self.servers = {id: s for id, s in self.servers.items() if id in kept}
-            self.whole, self.bad = True, {}
-        for error in update.bad:
-            self.bad[error.host] = error
-        for server in in_order(update.servers.values()):
-            self.place(server)
-
-    def place(self, server: Server) -> None:
-        """The last word on a host; whoever had its address before has gone."""
-        self.bad.pop(server.id, None)
+    is_full: bool = False  # whether one of the events was a full list
+    errors: dict[str, BadServerError] = field(default_factory=dict)
+
+    def apply(self, update: ListUpdate) -> None:
+        """Apply the next event."""
+        if update.is_full:
+            invalid_hosts = update.invalid_hosts()
+            self.servers = {id: s for id, s in self.servers.items() if id in invalid_hosts}
+            self.is_full, self.errors = True, {}
+        for error in update.errors:
+            self.errors[error.host] = error
+        for server in in_apply_order(update.servers.values()):
+            self.put(server)
+
+    def put(self, server: Server) -> None:
+        """Record the latest entry of a host, and remove any other host at its address."""
+        self.errors.pop(server.id, None)
         self.servers.pop(server.id, None)
         if server.state == "left":
             return
@@ -275,6 +300,6 @@
             del self.servers[id]
         self.servers[server.id] = server
 
-    def update(self, offset: int) -> ListUpdate:
-        """All of it as one event."""
-        return ListUpdate(offset, self.whole, self.servers, tuple(self.bad.values()))
+    def to_update(self, offset: int) -> ListUpdate:
+        """Return the net effect as one event."""
+        return ListUpdate(offset, self.is_full, self.servers, tuple(self.errors.values()))
--- a/harrieryoke/net/jsonrpc.py
+++ b/harrieryoke/net/jsonrpc.py
@@ -1,14 +1,17 @@
-"""JSON-RPC 2.0 as clients speak it: messages, their parameters and the codes of errors."""
+"""JSON-RPC 2.0 as clients use it: messages, their parameters and error codes."""
 
 from __future__ import annotations
 
 import msgspec
 
+# error codes: of this service, and of JSON-RPC
 REFUSED, FAILED = -32050, -32000
 PARSE, INVALID, NO_METHOD, BAD_PARAMS = -32700, -32600, -32601, -32602
 
 
 class Message(msgspec.Struct):
+    """One line of a client."""
+
     method: str
     id: int | None = None
     jsonrpc: str = ""
@@ -16,6 +19,8 @@
 
 
 class CallParams(msgspec.Struct):
+    """Parameters of a call."""
+
     rid: str
     budget: float
     obj: str
@@ -26,29 +31,31 @@
 
 
 class GiveUpParams(msgspec.Struct):
+    """Parameters of `giveUp`, which names a call by its id or its rid."""
+
     id: int | None = None
     rid: str | None = None
 
 
 class BadRequestError(ValueError):
-    """What a client sent is no request; `code` is JSON-RPC's."""
+    """An invalid request of a client; `code` is JSON-RPC's."""
 
     def __init__(self, code: int, text: str) -> None:
         super().__init__(text)
         self.code = code
 
 
-def read_props(text: str) -> dict[str, float]:
-    """`name:number;name:number`; names it does not know are left alone by its caller."""
-    read = {}
+def parse_props(text: str) -> dict[str, float]:
+    """Parse `name:number;name:number`; the caller ignores unknown names."""
+    props = {}
     for pair in text.split(";") if text else []:
         name, _, value = pair.partition(":")
-        read[name] = float(value)
-    return read
+        props[name] = float(value)
+    return props
 
 
-def decode(data: bytes) -> Message:
-    """One line as a message. Raises BadRequestError."""
+def decode_message(data: bytes) -> Message:
+    """Decode one line. Raises BadRequestError."""
     try:
         message: Message = msgspec.json.decode(data, type=Message)
     except msgspec.ValidationError as error:
--- a/tests/test_budgets_faults.py
+++ b/tests/test_budgets_faults.py
@@ -199,7 +199,7 @@
 
 def test_settlement_races_expiry_in_all_interleavings() -> None:
     counts = interleave.explore(lambda: SettleAgainstExpiry(Implementations()))
-    assert counts.whole and counts.states > 300
+    assert counts.complete and counts.states > 300
 
 
 @pytest.mark.parametrize(
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,7 +13,7 @@
 
 from harrieryoke.limits import Limits
 from harrieryoke.log import Log
-from harrieryoke.net.platform import Resume, Yield
+from harrieryoke.net.platform import ResumeAccepting, TransferClients
 from harrieryoke.upgrade.link import Upgrade
 from harrieryoke.upgrade.messages import Link, LinkLost, PeerMessageReceived, Serving
 
@@ -99,9 +99,9 @@
         while True:
             yield Wait(lambda: self.old_alive and self.front, "message", idle=True)
             match self.front.pop(0):
-                case Yield():
+                case TransferClients():
                     self.old_accepts = False
-                case Resume():
+                case ResumeAccepting():
                     self.old_accepts = not self.old_stopping
 
     def run_accept(self, able: Callable[[], bool]) -> Iterator[Wait]:
@@ -156,7 +156,7 @@
 
     def receive(self, message: Any) -> None:
         if isinstance(message, Accepting):
-            self.front.blocking_send(Yield(lambda sock, name: None))
+            self.front.blocking_send(TransferClients(lambda sock, name: None))
         super().receive(message)
 
 
@@ -174,7 +174,7 @@
 
 def test_no_order_of_a_handover_leaves_a_client_waiting(tmp_path: Path) -> None:
     counts = explore(lambda: Handover(tmp_path))
-    assert counts.whole and counts.states > 200, counts
+    assert counts.complete and counts.states > 200, counts
 
 
 @pytest.mark.parametrize(
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -13,7 +13,7 @@
 from harrieryoke.lab.audit import orders_over_budget
 from harrieryoke.lab.world import FLOOR, SHARE, WINDOW
 
-from .test_upgrade import Relays, end, played, relays, sent_to
+from .test_upgrade import Relays, count_late_sends, relays, start_load, terminate
 
 __all__ = ["relays"]
 
@@ -101,7 +101,7 @@
     def __init__(self, relays: Relays) -> None:
         gevent.sleep(WARM_UP_S)
         self.relays, self.killed_at, self.started_at = relays, list[float](), now_ms()
-        assert relays.ask(f"disable-server {relays.hosts[0].name}").startswith("done")
+        assert relays.send_operation(f"disable-server {relays.hosts[0].name}").startswith("done")
         self.banned_at = now_ms()
 
     def wait_for(self, process: subprocess.Popen[bytes], where: str) -> None:
@@ -109,7 +109,7 @@
         until = now_ms() + 6000
         while process.poll() is None and now_ms() < until:
             gevent.sleep(0.005)
-        assert process.poll() == -signal.SIGKILL, f"{where}: {process.poll()}\n{self.relays.text()}"
+        assert process.poll() == -signal.SIGKILL, f"{where}: {process.poll()}\n{self.relays.log_text()}"
         self.killed_at.append(now_ms())
 
     def check(self, most: int) -> None:
@@ -118,8 +118,8 @@
         No call may be answered twice. A connection may be refused only while no process has the listener.
         """
         relays, calls = self.relays, self.relays.load.calls
-        assert sent_to(relays, relays.hosts[0].name, self.banned_at) == 0, "the ban was forgotten"
-        assert "invoker_pool_ejected 1" in relays.ask("show-stat")
+        assert count_late_sends(relays, relays.hosts[0].name, self.banned_at) == 0, "the ban was forgotten"
+        assert "invoker_pool_ejected 1" in relays.send_operation("show-stat")
         ended, unreachable = relays.audit(), relays.load.unreachable
         lost = [c.sent for c in calls if not c.answers]
         summary = f"{ended} {unreachable} of {len(calls)}, kills {self.killed_at}, lost {lost}"
@@ -138,7 +138,7 @@
 def test_new_process_killed_at_each_point_of_the_handover_loses_only_calls_it_had_accepted(
     relays: Relays,
 ) -> None:
-    load, serving = played(relays, 60.0), relays.process
+    load, serving = start_load(relays, 60.0), relays.process
     kills = Kills(relays)
     address = relays.manage
     for where, point in NEW_PROCESS_POINTS.items():
@@ -158,15 +158,15 @@
 def test_old_process_killed_at_each_point_of_the_handover_leaves_the_new_one_serving(
     relays: Relays,
 ) -> None:
-    load = played(relays, 60.0)
+    load = start_load(relays, 60.0)
     kills = Kills(relays)
     where = None
     for name, point in [*OLD_PROCESS_POINTS.items(), (None, None)]:
         relays.command = NORMAL_COMMAND if point is None else killing_command(point)
         with idle_client(relays):
-            old = relays.next()
+            old = relays.start_next()
             if where is None:
-                end(old)
+                terminate(old)
             else:
                 if where == STOP_POINT:
                     old.send_signal(signal.SIGTERM)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -13,7 +13,7 @@
 from harrieryoke.limits import Limits
 from harrieryoke.log import Log
 from harrieryoke.net.frames import Decoder
-from harrieryoke.net.host import HostActor, Standing
+from harrieryoke.net.host import HostActor, HostStatus
 from harrieryoke.net.link import Link
 
 from .scenario import Scene, run
@@ -323,7 +323,7 @@
 
     monkeypatch.setattr(socket, "create_connection", dial)
     actor = HostActor(
-        "h", Standing(("127.0.0.1", 9)), SETTINGS, Limits(), Log(), lambda ended: None, Metrics()
+        "h", HostStatus(("127.0.0.1", 9)), SETTINGS, Limits(), Log(), lambda ended: None, Metrics()
     )
     with actor.connect() as sock:
         assert sock and not results
@@ -339,12 +339,12 @@
         def close(self) -> None: ...
 
     ends: list[TaskEnded] = []
-    actor = HostActor("h", Standing(("127.0.0.1", 9)), SETTINGS, Limits(), Log(), ends.append, Metrics())
+    actor = HostActor("h", HostStatus(("127.0.0.1", 9)), SETTINGS, Limits(), Log(), ends.append, Metrics())
     old, new = (AttemptTask(1, 1e18, 0.0, call=Call(f"{n:016x}", 0, "f", 1e18)) for n in (1, 2))
     link = Link(Broken(), Decoder(0), {1: old})
     actor.links.append(link)
-    actor.places[old] = (link, 1)
-    actor.send(new)
+    actor.locations[old] = (link, 1)
+    actor.send_task(new)
     assert {e.task: e.outcome for e in ends} == {old: i.Outcome.RESET, new: i.Outcome.NOT_SENT}
 
 
--- a/tests/test_shutdown_crossings.py
+++ b/tests/test_shutdown_crossings.py
@@ -10,9 +10,9 @@
 from gevent.event import Event
 
 from harrieryoke.net.client import CloseIfIdle
-from harrieryoke.net.platform import Accepted, Resume, StopListening, Yield
+from harrieryoke.net.platform import ConnectionAccepted, ResumeAccepting, StopListening, TransferClients
 
-from .clients import BODY, PATIENCE, Connection, Front, line, read, until
+from .clients import BODY, TIMEOUT_S, Connection, Front, line, read, until
 from .scenario import Scene, ending
 
 CALL = json.loads(line(1))
@@ -24,7 +24,7 @@
 def until_refused(scene: Scene) -> None:
     """Wait until the invoker has closed its listening socket: all its clients have been told to leave."""
     host, port = scene.address.split(":")
-    deadline = time.monotonic() + 4 * PATIENCE
+    deadline = time.monotonic() + 4 * TIMEOUT_S
     while time.monotonic() < deadline:
         try:
             socket.create_connection((host, int(port)), 1).close()
@@ -87,11 +87,11 @@
     c = Connection()
     c.send(line(1, "probe")[:30])
     until(lambda: c.actor.partial, "half a line")
-    stalled_since = c.actor.used
+    stalled_since = c.actor.last_active
     c.send(line(1, "probe")[30:] + line(2, "probe")[:30])
     assert c.read(1) == [(1, 0)]
-    c.actor.try_send(CloseIfIdle(stalled=stalled_since))
-    until(lambda: c.actor.stopping, "told to close")
+    c.actor.try_send(CloseIfIdle(stalled_line_at=stalled_since))
+    until(lambda: c.actor.close_requested, "told to close")
     c.send(line(2, "probe")[30:])
     assert c.read(1) == [(2, 0)]
     c.close()
@@ -102,7 +102,7 @@
     sock = f.connect(line(1)[:30])
     until(lambda: any(c.partial for c in f.front.clients), "half a line")
     f.front.try_send(StopListening())
-    assert sock.recv(1) == b"" and f.front.empty.wait(PATIENCE)
+    assert sock.recv(1) == b"" and f.front.all_closed.wait(TIMEOUT_S)
 
 
 def test_listener_outlives_a_connection_that_was_reset_at_once() -> None:
@@ -124,9 +124,9 @@
 
 def test_front_ends_with_its_listener_unless_that_was_closed_on_purpose() -> None:
     f, broken = Front(), Event()
-    f.front.blocking_send(Yield(lambda sock, name: None))
-    until(lambda: f.front.yielded and not f.front.listeners, "the listener's end")
-    f.front.blocking_send(Resume())
+    f.front.blocking_send(TransferClients(lambda sock, name: None))
+    until(lambda: f.front.transfer_request and not f.front.running_acceptors, "the listener's end")
+    f.front.blocking_send(ResumeAccepting())
     assert read(f.connect(line(1, "probe")), 1) == [(1, 0)]
 
     def fail(entry: socket.socket) -> None:
@@ -137,7 +137,7 @@
     greenlet = f.front.greenlet
     assert greenlet is not None
     broken.set()
-    greenlet.join(PATIENCE)
+    greenlet.join(TIMEOUT_S)
     assert greenlet.ready() and f.log.totals == {"greenlet-died": 1}
 
 
@@ -152,33 +152,33 @@
     socks = [f.connect(line(n)) for n in (1, 2, 3)]
     assert not f.front.clients
     f.front.try_send(StopListening())
-    until(lambda: len(f.core.offered) == 3, "offered")
+    until(lambda: len(f.core.calls) == 3, "offered")
     for client in list(f.front.clients):
         for call in list(client.ids):
             client.served(call, b"y")
     for n, sock in enumerate(socks, 1):
         assert read(sock, 1) == [(n, 1)] and sock.recv(1) == b""
     asleep.set()
-    assert f.front.empty.wait(PATIENCE)
+    assert f.front.all_closed.wait(TIMEOUT_S)
 
 
 def check_stop_after_answer(f: Front, sock: socket.socket) -> None:
     """Check that the stop waits for the call from the socket, and ends with its answer."""
-    until(lambda: f.core.offered, "offered")
-    assert not f.front.empty.is_set()
+    until(lambda: f.core.calls, "offered")
+    assert not f.front.all_closed.is_set()
     (client,) = f.front.clients
-    client.served(f.core.offered[1], b"")
-    assert read(sock, 1) == [(1, 0)] and f.front.empty.wait(PATIENCE)
+    client.served(f.core.calls[1], b"")
+    assert read(sock, 1) == [(1, 0)] and f.front.all_closed.wait(TIMEOUT_S)
 
 
 def test_stop_waits_for_a_connection_in_the_mailbox() -> None:
     f = Front()
-    f.front.blocking_send(Yield(lambda sock, name: None))
-    until(lambda: f.front.yielded and not f.front.listeners, "the listener's end")
+    f.front.blocking_send(TransferClients(lambda sock, name: None))
+    until(lambda: f.front.transfer_request and not f.front.running_acceptors, "the listener's end")
     sock = f.connect(line(1))
     served, _ = f.listening.accept()
     f.front.try_send(StopListening())
-    f.front.try_send(Accepted(served, "c:1", asked=True))
+    f.front.try_send(ConnectionAccepted(served, "c:1", served_before=True))
     check_stop_after_answer(f, sock)
 
 
@@ -196,8 +196,8 @@
     sock = f.connect(line(1))
     until(lambda: held, "accepted")
     f.front.try_send(StopListening())
-    until(lambda: f.front.entry.fileno() < 0, "the entry closed")
-    assert not f.front.empty.is_set()
+    until(lambda: f.front.acceptor.fileno() < 0, "the entry closed")
+    assert not f.front.all_closed.is_set()
     release.set()
     check_stop_after_answer(f, sock)
 
@@ -205,12 +205,12 @@
 def test_partly_written_answer_is_completed_at_a_stop() -> None:
     f = Front()
     sock = f.connect(line(1))
-    until(lambda: f.core.offered, "offered")
+    until(lambda: f.core.calls, "offered")
     (client,) = f.front.clients
-    client.served(f.core.offered[1], BODY)
+    client.served(f.core.calls[1], BODY)
     until(lambda: not client.mailbox and client.outgoing.unsent, "a half written answer")
     f.front.try_send(StopListening())
-    until(lambda: client.stopping, "told to close")
-    assert not f.front.empty.is_set()
+    until(lambda: client.close_requested, "told to close")
+    assert not f.front.all_closed.is_set()
     assert read(sock, 1) == [(1, len(BODY))] and sock.recv(1) == b""
-    assert f.front.empty.wait(PATIENCE)
+    assert f.front.all_closed.wait(TIMEOUT_S)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Processes that replace each other under load, and what is handed on between them."""
+"""Processes that replace each other under load, and the state handed over between them."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 class Relays(World):
-    """The platform's invoker, started again and again on the same addresses."""
+    """The platform's invoker, started repeatedly on the same addresses."""
 
     command: tuple[str, ...] = (sys.executable, "-B", "-m", "harrieryoke")
 
     def shim(self) -> dict[str, str]:
-        """Variables of the process beside the platform's."""
+        """Environment variables of the process in addition to the platform's."""
         return {}
 
     def launch(self) -> subprocess.Popen[bytes]:
@@ -57,41 +57,41 @@
             },
         )
 
-    def ask(self, line: str, where: tuple[str, int] | None = None) -> str:
-        """One call of an operator, and its whole answer."""
+    def send_operation(self, line: str, where: tuple[str, int] | None = None) -> str:
+        """Send one operation and return its whole answer."""
         with socket.create_connection(where or self.manage, 2) as sock:
             sock.sendall(line.encode() + b"\n")
             return b"".join(iter(lambda: sock.recv(65536), b"")).decode()
 
-    def next(self, within_ms: float = 6000.0) -> subprocess.Popen[bytes]:
-        """Starts the next process beside the one there is, until it says yes; the old one."""
+    def start_next(self, within_ms: float = 6000.0) -> subprocess.Popen[bytes]:
+        """Start the next process beside the current one, wait until it is ready, and return the old one."""
         old, self.process = self.process, self.launch()
         self.until_ready(within_ms)
         return old
 
     def until_ready(self, within_ms: float) -> None:
-        until = now_ms() + within_ms
-        while now_ms() < until:
+        deadline = now_ms() + within_ms
+        while now_ms() < deadline:
             try:
-                if self.ask("ready").startswith("done"):
+                if self.send_operation("ready").startswith("done"):
                     return
             except OSError:
                 pass
             gevent.sleep(0.02)
         raise AssertionError((self.folder / "log").read_text())
 
-    def text(self) -> str:
+    def log_text(self) -> str:
         return (self.folder / "log").read_text()
 
     def audit(self) -> Counter[str]:
-        """What became of the calls: lost ones, and those answered twice, are named as such."""
+        """Count the outcomes of the calls, with lost calls and those answered twice."""
         return Counter(
             "twice" if c.answers > 1 else c.how or ("lost" if c.lost else "silent") for c in self.load.calls
         )
 
 
-def end(process: subprocess.Popen[bytes]) -> tuple[int, float]:
-    """SIGTERM; the exit code, and after how many ms."""
+def terminate(process: subprocess.Popen[bytes]) -> tuple[int, float]:
+    """Send SIGTERM; return the exit code, and after how many ms the process ended."""
     process.send_signal(signal.SIGTERM)
     began = now_ms()
     while process.poll() is None and now_ms() - began < 4500:
@@ -103,14 +103,14 @@
 
 @pytest.fixture
 def relays(tmp_path: Path) -> Iterator[Relays]:
-    made = Relays(tmp_path, 3, 150.0)
-    yield made
-    made.process.send_signal(signal.SIGCONT)
-    made.close()
+    started = Relays(tmp_path, 3, 150.0)
+    yield started
+    started.process.send_signal(signal.SIGCONT)
+    started.close()
 
 
 class SteppedRelays(Relays):
-    """All processes read one wall clock, which a test steps."""
+    """All processes read one wall clock, which the test steps."""
 
     wall: FaultShim | None = None
 
@@ -119,41 +119,41 @@
         return self.wall.environment()
 
 
-def played(relays: Relays, seconds: float) -> gevent.Greenlet:
-    """The load, beside which the test goes on."""
+def start_load(relays: Relays, seconds: float) -> gevent.Greenlet:
+    """Run the load beside the test."""
     return gevent.spawn(relays.load.run, seconds)
 
 
 def test_two_upgrades_under_load_lose_no_call_and_the_old_processes_end_early(relays: Relays) -> None:
-    load = played(relays, 7.0)
+    load = start_load(relays, 7.0)
     for _ in range(2):
         gevent.sleep(1.5)
-        old = relays.next()
+        old = relays.start_next()
         gevent.sleep(0.5)
-        code, took = end(old)
+        code, took = terminate(old)
         assert code == 0 and took < 3500
     load.join()
     ended = relays.audit()
-    assert relays.load.unreachable == 0 and set(ended) <= {"served", "refused"}, (ended, relays.text())
+    assert relays.load.unreachable == 0 and set(ended) <= {"served", "refused"}, (ended, relays.log_text())
     assert ended["served"] > 0.95 * ended.total()
-    assert relays.text().count("taken-over") == 2 and "takeover-forgot" not in relays.text()
+    assert relays.log_text().count("taken-over") == 2 and "takeover-forgot" not in relays.log_text()
 
 
 @pytest.mark.parametrize("step_ms", [-3_600_000.0, 3_600_000.0])
-def test_an_upgrade_hands_over_across_a_step_of_the_wall_clock(step_ms: float, tmp_path: Path) -> None:
+def test_an_upgrade_succeeds_across_a_step_of_the_wall_clock(step_ms: float, tmp_path: Path) -> None:
     relays = SteppedRelays(tmp_path, 3, 150.0)
     assert relays.wall is not None
     try:
-        load = played(relays, 4.5)
+        load = start_load(relays, 4.5)
         gevent.sleep(2.0)
         relays.wall.step_clock(step_ms)
         gevent.sleep(0.5)
-        old = relays.next()
-        assert end(old)[0] == 0
+        old = relays.start_next()
+        assert terminate(old)[0] == 0
         load.join()
         ended = relays.audit()
         assert set(ended) <= {"served", "refused"} and ended["served"] > 0.8 * ended.total(), ended
-        assert "takeover-forgot" not in relays.text() and "module-fault" not in relays.text()
+        assert "takeover-forgot" not in relays.log_text() and "module-fault" not in relays.log_text()
     finally:
         relays.close()
 
@@ -162,59 +162,61 @@
 def test_a_new_process_killed_at_any_point_of_the_handover_leaves_the_old_one_serving(
     relays: Relays, after: float
 ) -> None:
-    load = played(relays, 3.0 + after)
+    load = start_load(relays, 3.0 + after)
     gevent.sleep(0.7)
     old = relays.process
-    fresh = relays.launch()
+    successor = relays.launch()
     gevent.sleep(after)
-    fresh.kill()
-    fresh.wait()
+    successor.kill()
+    successor.wait()
     gevent.sleep(0.5)
     relays.process = old
     load.join()
     ended = relays.audit()
-    # what the killed one had taken is lost with it, and no call is answered twice
+    # calls accepted by the killed process are lost with it; no call is answered twice
     assert ended["twice"] == 0 and relays.load.unreachable == 0
-    assert ended["lost"] + ended["silent"] <= (40 if "taken-over" in relays.text() else 0), relays.text()
+    assert ended["lost"] + ended["silent"] <= (
+        40 if "taken-over" in relays.log_text() else 0
+    ), relays.log_text()
     late = [c for c in relays.load.calls if c.sent > relays.load.calls[-1].sent - 500]
     assert late and all(c.answers == 1 for c in late)
 
 
-def test_an_old_process_killed_before_it_hands_over_leaves_the_new_one_to_bind_for_itself(
+def test_a_new_process_binds_itself_if_the_old_one_does_not_hand_over(
     relays: Relays,
 ) -> None:
     relays.process.send_signal(signal.SIGSTOP)
-    old = relays.next()
-    assert "takeover-failed" in relays.text()
+    old = relays.start_next()
+    assert "takeover-failed" in relays.log_text()
     old.kill()
     old.wait()
-    load = played(relays, 1.0)
+    load = start_load(relays, 1.0)
     load.join()
     assert set(relays.audit()) <= {"served", "refused"}
 
 
-def test_strangers_on_the_socket_are_bounded_and_do_not_keep_a_new_process_from_serving(
+def test_unknown_connections_to_the_upgrade_socket_are_bounded_and_do_not_block_an_upgrade(
     relays: Relays,
 ) -> None:
     (path,) = (relays.folder / "tmp").glob("*.sock")
-    strangers = []
+    connections = []
     for n in range(12):
-        strangers.append(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM))
+        connections.append(socket.socket(socket.AF_UNIX, socket.SOCK_STREAM))
         with short_socket_path(path) as name:
-            strangers[-1].connect(name)
-        with suppress(BrokenPipeError):  # it may be turned away before it says anything
-            strangers[-1].sendall(b"what is here?\n" if n % 2 else b"")
+            connections[-1].connect(name)
+        with suppress(BrokenPipeError):  # it may be rejected before it sends anything
+            connections[-1].sendall(b"what is here?\n" if n % 2 else b"")
     gevent.sleep(0.3)
-    holding = [s for s in strangers if not readable(s)]
+    holding = [s for s in connections if not is_closed(s)]
     assert len(holding) <= 4
-    old = relays.next()
-    assert "takeover" in relays.text() and end(old)[0] == 0
-    for each in strangers:
+    old = relays.start_next()
+    assert "takeover" in relays.log_text() and terminate(old)[0] == 0
+    for each in connections:
         each.close()
 
 
-def readable(sock: socket.socket) -> bool:
-    """Whether its other end has closed it."""
+def is_closed(sock: socket.socket) -> bool:
+    """Return whether the peer has closed the socket."""
     sock.settimeout(0.05)
     try:
         return not sock.recv(1)
@@ -222,58 +224,60 @@
         return not isinstance(error, TimeoutError)
 
 
-def sent_to(relays: Relays, host: str, since: float) -> int:
-    """Attempts that reached the host later than the grace of one second after `since`."""
+def count_late_sends(relays: Relays, host: str, since: float) -> int:
+    """Count the attempts that reached the host after `since` and the grace period of one second."""
     return sum(a.host == host and a.code == REQUEST and a.at > since + 1050 for a in relays.arrived)
 
 
 @pytest.mark.parametrize("killed", [False, True])
-def test_a_ban_holds_over_an_upgrade_and_the_churn_of_the_bus_until_it_is_taken_back(
+def test_a_ban_survives_an_upgrade_and_changes_of_the_list_until_it_is_lifted(
     relays: Relays, killed: bool
 ) -> None:
-    load, host = played(relays, 7.0 if killed else 9.0), relays.hosts[0]
+    load, host = start_load(relays, 7.0 if killed else 9.0), relays.hosts[0]
     gevent.sleep(1.0)
-    assert relays.ask(f"disable-server {host.name}").startswith("done")
-    assert relays.ask("disable-server mh-nobody").startswith("error")
+    assert relays.send_operation(f"disable-server {host.name}").startswith("done")
+    assert relays.send_operation("disable-server mh-nobody").startswith("error")
     banned_at = now_ms()
     old = relays.process
     if killed:
         old.kill()
         old.wait()
-        relays.next()
+        relays.start_next()
     else:
         old_address = relays.manage
-        relays.next()
-        # said to either process while both are there, it binds in both
+        relays.start_next()
+        # a change sent to either process while both run applies in both
         other = relays.hosts[1]
-        assert relays.ask(f"disable-server {other.name}", old_address).startswith("done")
+        assert relays.send_operation(f"disable-server {other.name}", old_address).startswith("done")
         gevent.sleep(0.2)
-        assert "invoker_pool_ejected 2" in relays.ask("show-stat")
-        assert relays.ask(f"enable-server {other.name}").startswith("done")
-        end(old)
-    relays.restart(host)  # listed anew, as a fresh start, while it is out
+        assert "invoker_pool_ejected 2" in relays.send_operation("show-stat")
+        assert relays.send_operation(f"enable-server {other.name}").startswith("done")
+        terminate(old)
+    relays.restart(host)  # listed again, as a fresh start, while it is banned
     gevent.sleep(2.0)
-    assert sent_to(relays, host.name, banned_at) == 0
-    assert "invoker_pool_ejected 1" in relays.ask("show-stat")
-    assert relays.ask(f"enable-server {host.name}").startswith("done")
+    assert count_late_sends(relays, host.name, banned_at) == 0
+    assert "invoker_pool_ejected 1" in relays.send_operation("show-stat")
+    assert relays.send_operation(f"enable-server {host.name}").startswith("done")
     gevent.sleep(0.6)
-    assert "invoker_pool_ejected 0" in relays.ask("show-stat")
+    assert "invoker_pool_ejected 0" in relays.send_operation("show-stat")
     load.join()
     assert relays.audit()["lost"] == 0 or killed
 
 
-def test_a_stale_socket_of_a_dead_process_is_no_hindrance(relays: Relays) -> None:
+def test_a_stale_socket_of_a_dead_process_does_not_block_a_start(relays: Relays) -> None:
     relays.process.kill()
     relays.process.wait()
-    relays.next()
-    assert "takeover-failed" not in relays.text() and len(list((relays.folder / "tmp").glob("*.sock"))) == 1
+    relays.start_next()
+    assert (
+        "takeover-failed" not in relays.log_text() and len(list((relays.folder / "tmp").glob("*.sock"))) == 1
+    )
 
 
 NOW, WALL = 5000.0, 1.8e12  # milliseconds on the two clocks of a machine
 
 
-def learned() -> Rig:
-    """A router with a copy at one worker and one worker in doubt."""
+def router_with_copies() -> Rig:
+    """Return a router that knows a copy at one worker and has doubts about another worker."""
     rig = Rig(SETTINGS)
     rig.give(i.WorkersListed(i.ListScope.REMEMBERED, workers(3)))
     for n in range(6):
@@ -290,34 +294,36 @@
     return rig
 
 
-def test_a_router_that_was_told_what_another_learned_sends_to_the_copy_at_once() -> None:
-    rig = learned()
-    held = list(rig.router.functions["f"].copies)
-    assert held
-    fresh = Rig(SETTINGS)
-    fresh.now = rig.now
-    fresh.give(i.WorkersListed(i.ListScope.REMEMBERED, workers(3)))
-    restore(fresh.router, unpack(pack(rig.router, rig.now), rig.now, WALL))
-    said = fresh.give(i.RequestArrived(99, 0, "f", fresh.now + 2000, slots=4))
-    assert next(a.worker for a in said if isinstance(a, i.StartAttempt)) in held
-    assert not [a for a in said if isinstance(a, i.OrderCopies)]
-    assert list(fresh.router.order_times) == list(rig.router.order_times)
+def test_a_router_with_restored_state_sends_to_the_known_copy_at_once() -> None:
+    rig = router_with_copies()
+    copies = list(rig.router.functions["f"].copies)
+    assert copies
+    successor = Rig(SETTINGS)
+    successor.now = rig.now
+    successor.give(i.WorkersListed(i.ListScope.REMEMBERED, workers(3)))
+    restore(successor.router, unpack(pack(rig.router, rig.now), rig.now, WALL))
+    actions = successor.give(i.RequestArrived(99, 0, "f", successor.now + 2000, slots=4))
+    assert next(a.worker for a in actions if isinstance(a, i.StartAttempt)) in copies
+    assert not [a for a in actions if isinstance(a, i.OrderCopies)]
+    assert list(successor.router.order_times) == list(rig.router.order_times)
 
 
 def test_a_host_that_started_since_is_as_cold_as_the_list_says() -> None:
-    rig = learned()
-    fresh = Router(SETTINGS, 1)
-    held = list(rig.router.functions["f"].copies)
-    restarted = tuple(i.WorkerEntry(w.worker, started=rig.now + 5) for w in workers(3) if w.worker in held)
-    fresh.handle(rig.now + 10, [i.WorkersListed(i.ListScope.REMEMBERED, restarted)])
-    restore(fresh, unpack(pack(rig.router, rig.now), rig.now, WALL))
-    assert not fresh.functions["f"].copies and all(fresh.warm_share(w) < 0.5 for w in fresh.workers.values())
+    rig = router_with_copies()
+    successor = Router(SETTINGS, 1)
+    copies = list(rig.router.functions["f"].copies)
+    restarted = tuple(i.WorkerEntry(w.worker, started=rig.now + 5) for w in workers(3) if w.worker in copies)
+    successor.handle(rig.now + 10, [i.WorkersListed(i.ListScope.REMEMBERED, restarted)])
+    restore(successor, unpack(pack(rig.router, rig.now), rig.now, WALL))
+    assert not successor.functions["f"].copies and all(
+        successor.warm_share(w) < 0.5 for w in successor.workers.values()
+    )
 
 
 @pytest.mark.parametrize("version", [1, 2])
-def test_times_on_another_clock_are_moved_to_the_receivers(version: int) -> None:
-    """Version 1 has the times of the wall clock; of version 2 the sender's machine may have started anew."""
-    rig = learned()
+def test_times_are_converted_to_the_receivers_clock(version: int) -> None:
+    """Version 1 has times of the wall clock; with version 2 the sender's machine may have rebooted."""
+    rig = router_with_copies()
     here = unpack(pack(rig.router, rig.now), rig.now, WALL)
     if version == 1:
         body = msgspec.json.encode(shift_times(here, WALL - rig.now))
@@ -330,26 +336,26 @@
         assert (there.last_heard, there.cold_budget_updated_at) == pytest.approx(
             (worker.last_heard, worker.cold_budget_updated_at), abs=0.01
         )
-    fresh = Rig(SETTINGS)
-    fresh.now = rig.now
-    restore(fresh.router, moved)
-    assert fresh.router.functions["f"].copies.keys() == rig.router.functions["f"].copies.keys()
+    successor = Rig(SETTINGS)
+    successor.now = rig.now
+    restore(successor.router, moved)
+    assert successor.router.functions["f"].copies.keys() == rig.router.functions["f"].copies.keys()
 
 
-def test_a_host_of_the_same_start_keeps_what_was_learned_of_it_however_late_the_list_puts_it() -> None:
-    rig, fresh = learned(), Router(SETTINGS, 1)
+def test_learned_state_of_a_host_with_an_unchanged_start_is_kept() -> None:
+    rig, successor = router_with_copies(), Router(SETTINGS, 1)
     stamped = tuple(replace(w, started=rig.now - 400, start_stamp=WALL) for w in workers(3))
     rig.give(i.WorkersListed(i.ListScope.CHANGES, stamped))
     rig.router.record_copy(rig.router.functions["f"], 1)
     later = tuple(replace(w, started=rig.now) for w in stamped)
-    fresh.handle(rig.now, [i.WorkersListed(i.ListScope.REMEMBERED, later)])
-    restore(fresh, unpack(pack(rig.router, rig.now), rig.now, WALL))
-    assert fresh.functions["f"].copies.keys() == {1}
-    assert {w.started for w in fresh.workers.values()} == {rig.now - 400}
+    successor.handle(rig.now, [i.WorkersListed(i.ListScope.REMEMBERED, later)])
+    restore(successor, unpack(pack(rig.router, rig.now), rig.now, WALL))
+    assert successor.functions["f"].copies.keys() == {1}
+    assert {w.started for w in successor.workers.values()} == {rig.now - 400}
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "damage",
     [
         lambda d: b"",
         lambda d: d[:-1],
@@ -361,15 +367,13 @@
         lambda d: d[d.index(b"\n") :],
     ],
 )
-def test_what_was_handed_on_and_is_damaged_is_refused_whole(spoil: object) -> None:
-    data = pack(learned().router, NOW)
+def test_damaged_state_is_rejected_as_a_whole(damage: object) -> None:
+    data = pack(router_with_copies().router, NOW)
     with pytest.raises(StateTransferError):
-        unpack(spoil(data), NOW, WALL)  # type: ignore[operator]
+        unpack(damage(data), NOW, WALL)  # type: ignore[operator]
 
 
-def test_the_file_of_bans_is_written_whole_or_not_at_all(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_the_file_of_bans_is_replaced_atomically(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     file = BanFile(tmp_path / "bans")
     assert file.read() == []
     file.write(["b", "a"])
