--- a/harrieryoke/council/disk.py
+++ b/harrieryoke/council/disk.py
@@ -32,7 +32,7 @@
 from ..core.actor import spawn
 from ..core.clock import now_ms, wall_ms
 from ..log import Log
-from ..store.actor import HEAD, StoreKeeper
+from ..store.actor import RECORD_OVERHEAD_BYTES, StoreWriter
 from ..store.decide.segment import Record
 from ..store.files import Directory, DiskDirectory
 from ..store.settings import StoreError, StoreSettings
@@ -187,19 +187,19 @@
         return self.gap
 
 
-def discard_keeper(keeper: StoreKeeper) -> None:
+def discard_keeper(keeper: StoreWriter) -> None:
     """Closes a keeper that has not been started."""
     keeper.store.directory.unlock()
-    keeper.pool.kill()
+    keeper.thread_pool.kill()
 
 
 def open_store(
     settings: StoreSettings, name: str, log: Log, files: CouncilFolder
-) -> tuple[StoreKeeper, RecoveredFolder]:
+) -> tuple[StoreWriter, RecoveredFolder]:
     """Raises StoreError for a folder that does not belong to this member; the folder is left unchanged."""
     while True:
         found = RecoveredFolder()
-        keeper = StoreKeeper(settings, log, found.visit, found.restore, files)
+        keeper = StoreWriter(settings, log, found.visit, found.restore, files)
         reason, torn_write = "", found.torn_write(keeper.store)
         if found.unreadable:
             reason = f"holds data that is not a council's: {found.unreadable}"
@@ -272,7 +272,7 @@
         self.snapshot_due, self.flushed, self.stopped, self.stopping = Event(), Event(), Event(), False
         self.on_written: Callable[[int], object] = lambda sequence: None
         self.on_failed: Callable[[str], object] = lambda reason: None
-        self.keeper.watch, self.keeper.ails = self.on_durable, self.report_failure
+        self.keeper.on_durable, self.keeper.on_failure_change = self.on_durable, self.report_failure
 
     @staticmethod
     def bootstrap(settings: StoreSettings, name: str, base_index: int) -> ReplicaId:
@@ -309,7 +309,7 @@
     def flush(self) -> None:
         """Hands as many records to the store as its queue has room for."""
         while self.queued and not self.barrier_sequence:
-            write, durable_through = self.queued[0], self.keeper.durable
+            write, durable_through = self.queued[0], self.keeper.durable_seq
             record, must_wait = write.record, False
             if isinstance(record, Snapshot):
                 log = self.stored_state.log
@@ -320,7 +320,7 @@
                     HARD_STATE_KIND if isinstance(record, HardState) else ENTRY_KIND,
                     ENCODE((durable_through, record)),
                 )
-            if not self.keeper.room(HEAD + len(payload)):
+            if not self.keeper.has_room(RECORD_OVERHEAD_BYTES + len(payload)):
                 break
             seq = self.keeper.append(wall_ms(), kind, b"", payload)
             assert seq is not None
@@ -343,7 +343,7 @@
             sequence = self.unconfirmed.popleft()[1]
         if sequence:
             self.on_written(sequence)
-            self.report_failure(self.keeper.failing)  # a partial write must not clear the failure
+            self.report_failure(self.keeper.failure)  # a partial write must not clear the failure
         self.flush()
         if self.pending_snapshot is not None:
             self.snapshot_due.set()
@@ -358,11 +358,11 @@
         while not self.stopping:
             self.snapshot_due.clear()
             request = self.pending_snapshot
-            if request is None or request.seq > self.keeper.durable:
+            if request is None or request.seq > self.keeper.durable_seq:
                 self.snapshot_due.wait()
                 continue
             try:
-                self.keeper.ask(partial(self.write_snapshot, request))
+                self.keeper.run_in_thread(partial(self.write_snapshot, request))
             except OSError as error:
                 self.snapshot_failed(str(error))
                 retry_s = min(MAX_RETRY_S, max(RETRY_S, 2 * retry_s))
--- a/harrieryoke/council/handshake.py
+++ b/harrieryoke/council/handshake.py
@@ -64,7 +64,7 @@
     decoder = Decoder(pb.Frame, MAX_HELLO_BYTES)
     while data := sock.recv(MAX_HELLO_BYTES):
         for frame in decoder.feed(data):
-            if decoder.rest:
+            if decoder.buffer:
                 raise WireError("unexpected data after the first frame")
             return frame
     raise OSError("connection closed without an answer")
--- a/harrieryoke/council/listen.py
+++ b/harrieryoke/council/listen.py
@@ -182,13 +182,13 @@
     def read_messages(self, connection: IncomingConnection, replica: ReplicaId) -> None:
         decoder = Decoder(pb.Frame, MAX_FRAME_BYTES)
         while True:
-            wait_ms = self.settings.write_ms if decoder.rest else self.settings.idle_ms
+            wait_ms = self.settings.write_ms if decoder.buffer else self.settings.idle_ms
             connection.sock.settimeout(2 * wait_ms / 1000)
             try:
                 data = connection.sock.recv(RECEIVE_BYTES)
             except TimeoutError:
-                if decoder.rest:
-                    raise WireError(f"timed out after {len(decoder.rest)} bytes of a frame") from None
+                if decoder.buffer:
+                    raise WireError(f"timed out after {len(decoder.buffer)} bytes of a frame") from None
                 raise
             if not data:
                 return
--- a/harrieryoke/net/bus_follower.py
+++ b/harrieryoke/net/bus_follower.py
@@ -1,4 +1,4 @@
-"""The watch on the event bus: one connection at a time, followed from the last event that was taken."""
+"""Follows the event bus: one connection at a time, from the last event that was received."""
 
 from __future__ import annotations
 
@@ -15,251 +15,269 @@
 from ..log import Log
 from .heartbeats import Heartbeats
 from .hostlist_model import (
-    BusConfirmed,
-    BusSaid,
+    EventReceived,
+    ListConfirmed,
     ListReplaced,
     ListUpdate,
     Snapshot,
     decode_line,
-    read_update,
+    validate_event,
 )
 
 RECV_BYTES = 65536
-LONGEST_LINE = 64  # times `Limits.line_bytes`
+MAX_LINE_FACTOR = 64  # times `Limits.line_bytes`
 
 
 @dataclass(frozen=True, slots=True)
-class Moved:
-    """The bus has another address now."""
+class AddressChanged:
+    """The bus has a new address."""
 
-    where: tuple[str, int]
+    address: tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """A line of the bus, on the connection of that number."""
+class LineReceived:
+    """A line was read on the connection with that number."""
 
     connection: int
     line: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
-    """The connection of that number is over."""
+class ConnectionEnded:
+    """The connection with that number has ended."""
 
     connection: int
     reason: str
 
 
 class LineBuffer:
-    """Splits a stream into lines and says until when the next bytes have to come. Time-outs of single reads
-    are not enough: a peer that sends a byte now and then would never be taken as lost."""
+    """Splits a stream into lines and computes when the next line is due.
+
+    Time-outs of single reads are not enough: a peer that sends one byte at a time would never be detected as
+    lost.
+    """
 
     def __init__(self, limits: Limits, now: float) -> None:
         self.limits, self.partial = limits, b""
-        self.heard = now  # when the last whole line came
-        self.begun = now  # when the first byte of the line that has begun came
+        self.last_line_at = now  # when the last complete line was received
+        self.line_started_at = now  # when the first byte of the current line was received
 
     def feed(self, data: bytes, now: float) -> list[bytes]:
-        """The lines that are whole now, without blank ones. Raises ValueError for a line without end."""
-        *whole, partial = (self.partial + data).split(b"\n")
-        if whole or not self.partial:
-            self.begun = now
+        """Return the lines that are now complete, without blank ones.
+
+        Raises ValueError for an overlong or late line.
+        """
+        *complete, partial = (self.partial + data).split(b"\n")
+        if complete or not self.partial:
+            self.line_started_at = now
         self.partial = partial
-        lines = [line for line in whole if line.strip()]
+        lines = [line for line in complete if line.strip()]
         if lines:
-            self.heard = now
+            self.last_line_at = now
         elif now > self.deadline():
             raise ValueError("no whole line in time")
-        if len(partial) > LONGEST_LINE * self.limits.line_bytes:
-            raise ValueError("a line without end")
+        if len(partial) > MAX_LINE_FACTOR * self.limits.line_bytes:
+            raise ValueError("line too long")
         return lines
 
     def deadline(self) -> float:
-        """When the next whole line has to be there."""
+        """Return when the next complete line is due."""
         if self.partial:
-            return self.begun + self.limits.bus_line_ms
-        return self.heard + self.limits.bus_quiet_ms
+            return self.line_started_at + self.limits.bus_line_ms
+        return self.last_line_at + self.limits.bus_quiet_ms
 
-    def resume(self, now: float) -> None:
-        """Waiting for room in the follower's mailbox is not the bus's silence."""
-        self.heard = self.begun = now
+    def restart_deadline(self, now: float) -> None:
+        """Restart the deadline: waiting for space in the follower's mailbox is not silence of the bus."""
+        self.last_line_at = self.line_started_at = now
 
-    def patience_ms(self, now: float) -> float:
-        """How long the next read may take."""
+    def read_timeout_ms(self, now: float) -> float:
+        """Return the time-out of the next read."""
         return max(1.0, min(self.deadline() - now, self.limits.bus_quiet_ms))
 
 
 class BusFollower(Actor):
-    """Follows the event bus from the last event it has, over and over, with growing pauses. Each connection
-    has a reader of its own, so that a move to another address waits for no dial and no silence.
+    """Follows the event bus from the last received event and reconnects with exponential back-off.
 
-    A bus whose number stays below the last event has numbered its events anew. They are then fetched from
-    the first one on into `snapshot`, and the list takes their net result at once."""
+    Each connection has its own reader, so that a change of address need not wait for a dial or a time-out.
+
+    A bus that keeps naming a number below the last received event has restarted its numbering. All its events
+    are then fetched from the first one into `snapshot`, and the list applies their net effect at once.
+    """
 
     def __init__(
         self,
-        where: tuple[str, int],
-        last: int,
+        address: tuple[str, int],
+        last_offset: int,
         limits: Limits,
         log: Log,
-        tell: Callable[[BusSaid | ListReplaced | BusConfirmed], Any],
+        send_to_list: Callable[[EventReceived | ListReplaced | ListConfirmed], Any],
     ) -> None:
         super().__init__("event bus", limits.list_mailbox, log, reserve=limits.list_mailbox // 4)
-        self.where, self.last, self.limits, self.tell_list = where, last, limits, tell
+        self.address, self.last_offset = address, last_offset
+        self.limits, self.send_to_list = limits, send_to_list
         self.connection = 0
         self.heartbeats = Heartbeats(now_ms())
-        self.incomplete = False  # a line that could not be read was left out, and no whole list came since
+        self.incomplete = False  # an unreadable line was skipped, and no full list has been received since
         self.reader: gevent.Greenlet | None = None
-        self.pause = limits.bus_backoff_ms
-        self.steady_at = (
-            0.0  # from then on a connection has stood long enough to begin with short pauses again
-        )
-        self.behind_since: float | None = None  # when the bus first named a number below `last`
-        self.snapshot: Snapshot | None = None  # what has been fetched of a bus that numbers anew
-        self.unreadable = self.skipped = -1  # the event after which a line could not be read, or was left out
-
-    def move(self, where: tuple[str, int]) -> bool:
-        """Follows the bus at another address, once the actor comes to it."""
-        return self.blocking_send(Moved(where))
+        self.backoff_ms = limits.bus_backoff_ms
+        # once a connection has lasted until then, the back-off starts again from its minimum
+        self.stable_at = 0.0
+        self.behind_since: float | None = None  # when the bus first named a number below `last_offset`
+        self.snapshot: Snapshot | None = None  # events fetched so far from a bus that restarted its numbering
+        # the event after which a line could not be read, and the one after which a line was skipped
+        self.unreadable_after = self.skipped_after = -1
+
+    def change_address(self, address: tuple[str, int]) -> bool:
+        """Follow the bus at another address, once the actor handles the message."""
+        return self.blocking_send(AddressChanged(address))
 
     def run(self) -> None:
-        """The actor's greenlet."""
+        """Run the actor's greenlet."""
         self.connect(0.0)
         super().run()
 
-    def connect(self, pause: float) -> None:
-        """Ends the connection there is, if any, and opens another after a pause."""
+    def connect(self, delay_ms: float) -> None:
+        """Close the current connection, if any, and open another one after a delay."""
         if self.reader is not None:
             self.reader.kill(block=False)
         self.connection += 1
-        self.heartbeats = Heartbeats(now_ms() + pause)
-        self.steady_at = now_ms() + pause + self.limits.bus_quiet_ms
+        self.heartbeats = Heartbeats(now_ms() + delay_ms)
+        self.stable_at = now_ms() + delay_ms + self.limits.bus_quiet_ms
         self.behind_since = None
         if self.snapshot is not None:
-            self.snapshot, self.last = Snapshot(), 0
-        number, where, last = self.connection, self.where, self.last
+            self.snapshot, self.last_offset = Snapshot(), 0
+        connection, address, last_offset = self.connection, self.address, self.last_offset
         self.reader = spawn(
             self.log,
             "event bus reader",
-            lambda: self.read(number, where, last, pause),
-            lambda: self.blocking_send(Ended(number, "its reader ended")),
+            lambda: self.run_connection(connection, address, last_offset, delay_ms),
+            lambda: self.blocking_send(ConnectionEnded(connection, "its reader ended")),
         )
 
-    def read(self, number: int, where: tuple[str, int], last: int, pause: float) -> None:
-        """One connection's life."""
+    def run_connection(
+        self, connection: int, address: tuple[str, int], last_offset: int, delay_ms: float
+    ) -> None:
+        """Run one connection from dial to end."""
         try:
-            gevent.sleep(pause / 1000)
-            with socket.create_connection(where, self.limits.bus_dial_ms / 1000) as sock:
+            gevent.sleep(delay_ms / 1000)
+            with socket.create_connection(address, self.limits.bus_dial_ms / 1000) as sock:
                 sock.settimeout(self.limits.bus_quiet_ms / 1000)
-                sock.sendall(b"from %d\n" % last)
-                self.read_lines(number, sock)
+                sock.sendall(b"from %d\n" % last_offset)
+                self.read_lines(connection, sock)
             reason = "closed by the bus"
         except (OSError, ValueError) as error:
             reason = str(error)
-        self.blocking_send(Ended(number, reason))
+        self.blocking_send(ConnectionEnded(connection, reason))
 
-    def read_lines(self, number: int, sock: socket.socket) -> None:
-        """Until the bus closes. Raises TimeoutError when it keeps quiet for longer than its second, and
-        ValueError when a line does not end."""
+    def read_lines(self, connection: int, sock: socket.socket) -> None:
+        """Read lines until the bus closes.
+
+        Raises TimeoutError if no line arrives in time, and ValueError for an overlong or late line.
+        """
         buffer = LineBuffer(self.limits, now_ms())
         while True:
-            sock.settimeout(buffer.patience_ms(now_ms()) / 1000)
+            sock.settimeout(buffer.read_timeout_ms(now_ms()) / 1000)
             data = sock.recv(RECV_BYTES)
             if not data:
                 return
             lines = buffer.feed(data, now_ms())
             for line in lines:
-                self.blocking_send(Told(number, line))
+                self.blocking_send(LineReceived(connection, line))
             if lines:
-                buffer.resume(now_ms())
+                buffer.restart_deadline(now_ms())
 
     def receive(self, message: Any) -> None:
-        """One message of the mailbox; those of an earlier connection are dropped."""
+        """Handle one message of the mailbox; messages of an earlier connection are dropped."""
         match message:
-            case Moved(where) if where != self.where:
-                self.log("bus-moved", f"to {where[0]}:{where[1]}, from event {self.last} on")
-                self.where, self.pause = where, self.limits.bus_backoff_ms
+            case AddressChanged(address) if address != self.address:
+                self.log("bus-moved", f"to {address[0]}:{address[1]}, from event {self.last_offset} on")
+                self.address, self.backoff_ms = address, self.limits.bus_backoff_ms
                 self.connect(0.0)
-            case Told(number, line) if number == self.connection:
+            case LineReceived(connection, line) if connection == self.connection:
                 try:
-                    self.line(line)
+                    self.handle_line(line)
                 except ValueError as error:
-                    self.lost(str(error))
-            case Ended(number, reason) if number == self.connection:
-                self.lost(reason)
-
-    def lost(self, reason: str) -> None:
-        """The connection is given up and made anew, after a pause that grows up to its bound."""
-        self.log("bus-lost", f"after event {self.last}: {reason}")
-        pause = self.pause
-        self.pause = min(2 * pause, self.limits.bus_backoff_most_ms)
-        self.connect(pause)
-
-    def line(self, line: bytes) -> None:
-        """A line of this connection. Raises ValueError where the connection can't be trusted further."""
+                    self.reconnect(str(error))
+            case ConnectionEnded(connection, reason) if connection == self.connection:
+                self.reconnect(reason)
+
+    def reconnect(self, reason: str) -> None:
+        """Close the connection and reconnect after the back-off."""
+        self.log("bus-lost", f"after event {self.last_offset}: {reason}")
+        delay_ms = self.backoff_ms
+        self.backoff_ms = min(2 * delay_ms, self.limits.bus_backoff_most_ms)
+        self.connect(delay_ms)
+
+    def handle_line(self, line: bytes) -> None:
+        """Handle a line of this connection. Raises ValueError if the connection must be closed."""
         try:
-            said = decode_line(line)
+            event = decode_line(line)
         except ValueError as error:
-            if self.unreadable != self.last:
-                self.unreadable = self.last  # it may have been spoilt on its way: asked for once more
+            if self.unreadable_after != self.last_offset:
+                # it may have been corrupted in transit: the line is requested once more
+                self.unreadable_after = self.last_offset
                 raise
-            # asked for again and again, it would keep all events behind it from being heard
-            self.skipped, self.incomplete = self.last, True
-            return self.log("bad-event", f"after event {self.last}, and again: {error}: {line[:200]!r}")
-        if isinstance(said, int):
-            self.number(said)
+            # requested again and again, the line would block all events after it
+            self.skipped_after, self.incomplete = self.last_offset, True
+            return self.log(
+                "bad-event", f"after event {self.last_offset}, received twice: {error}: {line[:200]!r}"
+            )
+        if isinstance(event, int):
+            self.handle_heartbeat(event)
         else:
-            self.event(said)
-        if now_ms() >= self.steady_at:
-            self.pause = self.limits.bus_backoff_ms
-
-    def event(self, said: BusSaid) -> None:
-        """One event; an old or repeated one changes nothing."""
-        offset = said.event.offset
-        if offset <= self.last:
+            self.handle_event(event)
+        if now_ms() >= self.stable_at:
+            self.backoff_ms = self.limits.bus_backoff_ms
+
+    def handle_event(self, received: EventReceived) -> None:
+        """Handle one event; an old or repeated one has no effect."""
+        offset = received.event.offset
+        if offset <= self.last_offset:
             return
-        self.last, self.behind_since = offset, None
+        self.last_offset, self.behind_since = offset, None
         if self.snapshot is not None:
-            update = read_update(said)
-            return self.snapshot.take(update) if update is not None else None
-        self.pause = self.limits.bus_backoff_ms
-        if said.event.topology is not None and said.event.topology.full:
+            update = validate_event(received)
+            return self.snapshot.apply(update) if update is not None else None
+        self.backoff_ms = self.limits.bus_backoff_ms
+        if received.event.topology is not None and received.event.topology.full:
             self.incomplete = False
-        self.tell_list(said)
-
-    def number(self, number: int) -> None:
-        """The heartbeat: the number of the bus's last event."""
-        as_of = self.heartbeats.take(now_ms())
-        if number > self.last:
-            if self.skipped != self.last:
-                raise ValueError(f"the bus is at {number}, and its events have not come")
-            self.last = number
-        if self.snapshot is not None and number > 0:
-            self.last = number  # also where an event came under a higher offset: the bus's own number counts
-            self.finish_snapshot(self.snapshot.update(number))
-            return self.confirm(as_of)
-        if number >= self.last:
+        self.send_to_list(received)
+
+    def handle_heartbeat(self, offset: int) -> None:
+        """Handle a heartbeat, which carries the number of the bus's last event."""
+        as_of = self.heartbeats.record(now_ms())
+        if offset > self.last_offset:
+            if self.skipped_after != self.last_offset:
+                raise ValueError(f"the bus is at event {offset}, but its events were not received")
+            self.last_offset = offset
+        if self.snapshot is not None and offset > 0:
+            # also if an event had a higher offset: the number that the bus names counts
+            self.last_offset = offset
+            self.finish_snapshot(self.snapshot.to_update(offset))
+            return self.confirm_list(as_of)
+        if offset >= self.last_offset:
             self.behind_since = None
-            self.confirm(as_of)
+            self.confirm_list(as_of)
         elif self.behind_since is None:
             self.behind_since = now_ms()
         elif now_ms() - self.behind_since > self.limits.bus_anew_ms:
             self.log(
-                "bus-anew", f"the bus is at {number}, below event {self.last}: its events are fetched anew"
+                "bus-anew",
+                f"the bus is at event {offset}, below event {self.last_offset}: fetching all events again",
             )
             self.snapshot = Snapshot()
             self.connect(0.0)
 
-    def confirm(self, as_of: float) -> None:
-        """All changes before that time have come."""
+    def confirm_list(self, as_of: float) -> None:
+        """Confirm that all changes before that time have been received."""
         if not self.incomplete:
-            self.tell_list(BusConfirmed(as_of))
+            self.send_to_list(ListConfirmed(as_of))
         if self.heartbeats.lags(now_ms(), self.limits.bus_lag_ms):
             self.connect(0.0)
 
     def finish_snapshot(self, update: ListUpdate) -> None:
-        """All events of a bus that numbers anew are there."""
+        """Pass on the net effect of all events of a bus that restarted its numbering."""
         self.snapshot, self.incomplete = None, False
         self.log("bus-anew", f"{len(update.servers)} model hosts as of event {update.offset}")
-        self.tell_list(ListReplaced(update))
+        self.send_to_list(ListReplaced(update))
--- a/harrieryoke/net/client.py
+++ b/harrieryoke/net/client.py
@@ -30,66 +30,77 @@
     CallParams,
     GiveUpParams,
     Message,
-    decode,
-    read_props,
+    decode_message,
+    parse_props,
 )
-from .outgoing import Outgoing
+from .outgoing import OutgoingQueue
 
-HANG_UP_CHECK_MS = 20.0  # while the mailbox is full, the reader looks this often whether the client has gone
-UNSENT_MESSAGES = 256
-ANSWER_HEAD_BYTES = 256  # of an answer, beside its body
-LONG_ANSWERS = 4  # that may wait at once for a client that reads slowly
+HANG_UP_POLL_MS = 20.0  # between checks for a closed connection while the mailbox is full
+MAX_UNSENT_MESSAGES = 256
+ANSWER_OVERHEAD_BYTES = 256  # of an answer, in addition to its body
+MAX_LONG_ANSWERS = 4  # that may be queued at once for a client that reads slowly
 
 
-def original_poll() -> Any:
-    """Where the standard library is patched for gevent, its stand-in for poll does not know POLLRDHUP.
-    gevent's patches are not imported for this: they would add 2 MB to a process that does without them."""
+def unpatched_poll() -> Any:
+    """Return `select.poll` of the standard library.
+
+    gevent's replacement does not support POLLRDHUP. Its monkey patches are not imported here: they would add
+    2 MB to a process that does without them.
+    """
     patches = sys.modules.get("gevent.monkey")
     return select.poll if patches is None else patches.get_original("select", "poll")
 
 
 def has_hung_up(sock: socket.socket) -> bool:
-    """Whether the peer has closed, half-closed or reset the connection, also behind bytes not yet read."""
-    poller = original_poll()()
+    """Return whether the peer closed, half-closed or reset the connection, even behind unread bytes."""
+    poller = unpatched_poll()()
     poller.register(sock.fileno(), select.POLLRDHUP)
     return bool(poller.poll(0))
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class LineReceived:
+    """The reader has read a line."""
+
     data: bytes
-    at: float
+    received_at: float
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class AnswerReady:
+    """The core has answered the call."""
+
     call: Call
     reply: dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
-class AllSent:
-    """What could not be written at once has been written."""
+class OutputDrained:
+    """Everything that could not be written at once has been written."""
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIfIdle:
-    """Nothing more is expected here: the connection closes once no request is open on it and no line is half
-    read. The line that was begun at `stalled`, and no other, has come to a stop and is not waited for."""
+    """Close the connection once no request is open on it and no line is partly read.
 
-    stalled: float | None = None
+    A partial line that was started at `stalled_line_at` has stalled and is not waited for; any other line is.
+    """
+
+    stalled_line_at: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class PassOn:
-    """The connection goes to another process once no request is open on it: `to` gets the socket, and with it
-    all that nobody has read yet, and the client's name."""
+class TransferWhenIdle:
+    """Transfer the connection to another process once no request is open on it.
+
+    `transfer` gets the socket, with all bytes that are still unread, and the client's name.
+    """
 
-    to: Callable[[socket.socket, str], object]
+    transfer: Callable[[socket.socket, str], object]
 
 
 class ClientActor(Actor):
-    """One client connection: reads its lines in order, keeps what is open on it, writes its answers."""
+    """One client connection: reads its lines in order, tracks its open calls, writes its answers."""
 
     def __init__(
         self,
@@ -99,67 +110,76 @@
         core: ModuleActor,
         limits: Limits,
         log: Log,
-        gone: Callable[[ClientActor], object],
+        on_closed: Callable[[ClientActor], object],
         pauses: PauseWatch,
     ) -> None:
-        # the reserve is kept for answers: they must find room however fast a client writes
+        # the reserve is for answers: they must find space however fast a client sends
         super().__init__(f"client {name}", limits.client_mailbox, log, reserve=limits.client_mailbox * 3 // 4)
         # a client that reads nothing for this long loses its connection
         sock.settimeout(limits.write_ms / 1000)
-        self.sock, self.maker, self.core, self.limits, self.gone = sock, maker, core, limits, gone
+        self.sock, self.maker, self.core, self.limits, self.on_closed = sock, maker, core, limits, on_closed
         self.pauses = pauses
         self.client, self.peer = name, name.rpartition(":")[0]
         self.open: dict[int, Call] = {}
         self.ids: dict[Call, int] = {}
-        self.stopping = False
-        self.stalled: float | None = None  # when a line was begun that is not waited for
-        self.going: PassOn | None = None
-        self.partial = b""  # of a line that is not yet whole
-        self.unposted: list[bytes] = []  # whole lines that are not in the mailbox yet, the newest first
-        self.came = 0.0  # when they came, at the earliest
-        self.used = now_ms()  # the last sign of life, or the first byte of a line that is not yet whole
-        self.asked = False  # a whole line has come
-        # usual answers to all requests that may be open at once, and some long ones among them
-        usual_bytes = limits.open_per_connection * (limits.body_bytes * 4 // 3 + ANSWER_HEAD_BYTES)
-        most_bytes = usual_bytes + LONG_ANSWERS * limits.answer_bytes * 4 // 3
-        self.outgoing = Outgoing(
-            sock, self.name, UNSENT_MESSAGES, most_bytes, log, lambda: self.try_send(AllSent()), self.lost
+        self.close_requested = False
+        self.stalled_line_at: float | None = None  # when a line was started that is not waited for
+        self.transfer_request: TransferWhenIdle | None = None
+        self.partial = b""  # of a line that is not yet complete
+        self.unposted: list[bytes] = []  # complete lines that are not in the mailbox yet, the newest first
+        self.received_at = 0.0  # when they were received, at the earliest
+        # when the client was last active, or the first byte of a partial line was received
+        self.last_active = now_ms()
+        self.has_sent_line = False  # a complete line was received
+        # answers of ordinary size to all requests that may be open at once, and some long ones
+        typical_bytes = limits.open_per_connection * (limits.body_bytes * 4 // 3 + ANSWER_OVERHEAD_BYTES)
+        max_bytes = typical_bytes + MAX_LONG_ANSWERS * limits.answer_bytes * 4 // 3
+        self.outgoing = OutgoingQueue(
+            sock,
+            self.name,
+            MAX_UNSENT_MESSAGES,
+            max_bytes,
+            log,
+            lambda: self.try_send(OutputDrained()),
+            self.write_failed,
         )
 
-    # --- the core's side ---
+    # --- callbacks of the core ---
 
     def served(self, call: Call, body: bytes) -> None:
-        self.try_send(Answer(call, {"result": {"blob": body}}))
+        self.try_send(AnswerReady(call, {"result": {"blob": body}}))
 
     def refused(self, call: Call, retry_after: float | None) -> None:
         error: dict[str, Any] = {"code": REFUSED, "message": "refused: trying again is harmless"}
         if retry_after:
             error["data"] = {"backoff": round(retry_after)}
-        self.try_send(Answer(call, {"error": error}))
+        self.try_send(AnswerReady(call, {"error": error}))
 
     def failed(self, call: Call, reason: str) -> None:
-        self.try_send(Answer(call, {"error": {"code": FAILED, "message": f"failed: {reason}"}}))
+        self.try_send(AnswerReady(call, {"error": {"code": FAILED, "message": f"failed: {reason}"}}))
 
-    # --- the connection ---
+    # --- connection ---
 
-    def quiet(self, now: float) -> float | None:
-        """For how long nothing has come that is whole; None while something is open. The front reads this."""
-        return None if self.open or self.mailbox or self.unposted or self.outgoing.unsent else now - self.used
+    def idle_ms(self, now: float) -> float | None:
+        """Return the time since the last complete line or answer; None while something is open."""
+        is_busy = self.open or self.mailbox or self.unposted or self.outgoing.unsent
+        return None if is_busy else now - self.last_active
 
-    def stale(self, now: float, resumed: float) -> bool:
-        """Whether the client never asks, has stopped within a line, or never closes: its descriptor is wanted
-        for others. A pause of this process, the last of which ended at `resumed`, was no silence of the
-        client."""
-        idle = self.asked and not self.partial
-        quiet = min(self.quiet(now) or 0.0, now - resumed)
-        return quiet > (self.limits.client_idle_ms if idle else self.limits.client_ask_ms)
+    def is_stale(self, now: float, resumed: float) -> bool:
+        """Return whether the connection's descriptor is wanted for others: the client is idle or has stalled.
 
-    def close_stale(self) -> bool:
-        """Has the connection closed, unless the client goes on before its actor comes to it."""
-        return self.try_send(CloseIfIdle(self.used if self.partial else None))
+        A pause of this process, the last of which ended at `resumed`, does not count as idle time.
+        """
+        between_requests = self.has_sent_line and not self.partial
+        idle_ms = min(self.idle_ms(now) or 0.0, now - resumed)
+        return idle_ms > (self.limits.client_idle_ms if between_requests else self.limits.client_ask_ms)
 
-    def unread(self) -> bool:
-        """Whether something has come that the reader has not taken yet."""
+    def close_if_idle(self) -> bool:
+        """Request a close, unless the client sends more before the actor handles the message."""
+        return self.try_send(CloseIfIdle(self.last_active if self.partial else None))
+
+    def has_unread_bytes(self) -> bool:
+        """Return whether bytes have been received that the reader has not read yet."""
         self.sock.settimeout(0)
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK))
@@ -173,54 +193,60 @@
         self.start_reading()
 
     def start_reading(self) -> None:
-        self.reader = spawn(self.log, f"{self.name} reader", self.read)
+        self.reader = spawn(self.log, f"{self.name} reader", self.read_stream)
 
-    def read(self) -> None:
-        """The reader's greenlet: cuts the stream into lines."""
+    def read_stream(self) -> None:
+        """Run the reader's greenlet: split the stream into lines."""
         try:
-            while self.post():
+            while self.post_lines():
                 try:
                     data = self.sock.recv(self.limits.line_bytes // 4)
                 except TimeoutError as error:
                     if is_kernel_timeout(error):
                         break
                     continue
-                if not data or not self.cut(self.partial + data):
+                if not data or not self.split_lines(self.partial + data):
                     break
         except OSError:
-            pass  # a reset: as the end of the stream
-        self.end()
+            pass  # a reset counts as the end of the stream
+        self.end_connection()
 
-    def cut(self, data: bytes) -> bool:
-        """Keeps the whole lines to be posted and the part behind them; False where a line is too long."""
-        *lines, partial = data.split(b"\n")
-        if max(map(len, [*lines, partial])) > self.limits.line_bytes:
+    def split_lines(self, data: bytes) -> bool:
+        """Store the complete lines and the partial one after them; return False if a line is too long."""
+        *complete, partial = data.split(b"\n")
+        if max(map(len, [*complete, partial])) > self.limits.line_bytes:
             self.log("bad-client", f"{self.name}: a line of more than {self.limits.line_bytes} bytes")
             return False
         now = now_ms()
-        self.came = self.pauses.earliest_arrival(now)
-        if lines or not self.partial:
-            self.used = now
-        self.asked, self.partial, self.unposted = self.asked or bool(lines), partial, lines[::-1]
+        self.received_at = self.pauses.earliest_arrival(now)
+        if complete or not self.partial:
+            self.last_active = now
+        self.has_sent_line = self.has_sent_line or bool(complete)
+        self.partial, self.unposted = partial, complete[::-1]
         return True
 
-    def post(self) -> bool:
-        """Posts the whole lines; False where the connection has ended. Backpressure on the client: waits
-        while the mailbox is full up to its reserve, unless the client goes. The end of the stream lies
-        behind what was not read, so `recv` would show it too late."""
+    def post_lines(self) -> bool:
+        """Post the complete lines; return False once the connection has ended.
+
+        Applies backpressure: waits while the mailbox is full up to its reserve, unless the client closes the
+        connection. `recv` would report that too late, as the end of the stream lies behind unread bytes.
+        """
         while self.unposted and not self.finished:
             if len(self.mailbox) < self.capacity - self.reserve:
-                self.try_send(Line(self.unposted.pop(), self.came))
+                self.try_send(LineReceived(self.unposted.pop(), self.received_at))
             elif has_hung_up(self.sock):
                 return False
             else:
                 self.space_available.clear()
-                self.space_available.wait(HANG_UP_CHECK_MS / 1000)
+                self.space_available.wait(HANG_UP_POLL_MS / 1000)
         return not self.finished
 
-    def end(self) -> None:
-        """The connection is over, at once and ahead of what is in the mailbox: lines not yet handled are
-        dropped, nothing is written, and no attempt may begin for what is open."""
+    def end_connection(self) -> None:
+        """End the connection at once, ahead of the messages in the mailbox.
+
+        Lines that are not yet handled are dropped, nothing more is written, and no attempt may start for an
+        open call.
+        """
         self.finished = True
         self.outgoing.close()
         for call in self.ids:
@@ -228,118 +254,128 @@
         self.message_arrived.set()
         self.space_available.set()
 
-    def lost(self, reason: str) -> None:
-        """Nothing more can be written to the client."""
+    def write_failed(self, reason: str) -> None:
+        """Handle a failure of the outgoing queue."""
         self.log("client-lost", f"{self.name}: {reason}")
-        self.end()
+        self.end_connection()
 
     def receive(self, message: Any) -> None:
         match message:
-            case Line(data, at):
+            case LineReceived(data, received_at):
                 if data.strip():
-                    self.line(data, at)
-            case Answer(call, reply):
-                self.answer(call, reply)
-            case CloseIfIdle(stalled):
-                self.stopping, self.stalled = True, stalled
-            case PassOn():
-                self.going = message
-            case AllSent():
-                pass  # whoever waits for this goes on below
+                    self.handle_line(data, received_at)
+            case AnswerReady(call, reply):
+                self.write_answer(call, reply)
+            case CloseIfIdle(stalled_line_at):
+                self.close_requested, self.stalled_line_at = True, stalled_line_at
+            case TransferWhenIdle():
+                self.transfer_request = message
+            case OutputDrained():
+                pass  # only wakes the actor for the check below
         if not (self.finished or self.open or self.mailbox or self.unposted or self.outgoing.unsent):
-            self.leave_if_asked()
+            self.close_or_transfer()
 
-    def leave_if_asked(self) -> None:
-        """Nothing is open, unsent or on its way through the mailbox."""
-        if self.partial and self.stalled != self.used:
+    def close_or_transfer(self) -> None:
+        """Close or transfer the connection if requested; nothing is open, unsent or in the mailbox."""
+        if self.partial and self.stalled_line_at != self.last_active:
             return
-        if self.going is not None and not self.partial:
-            self.hand_over(self.going)
-        elif self.stopping and not self.unread():
+        if self.transfer_request is not None and not self.partial:
+            self.transfer(self.transfer_request)
+        elif self.close_requested and not self.has_unread_bytes():
             self.finished = True
 
-    def hand_over(self, going: PassOn) -> None:
-        """The socket is another's from here: nothing is read or written on it. What the reader took off it
-        as it was ended keeps the connection here for now."""
+    def transfer(self, request: TransferWhenIdle) -> None:
+        """Give the socket away; nothing is read from it or written to it here any more.
+
+        If the reader had taken bytes off the socket before it was stopped, the connection stays here for now.
+        """
         self.reader.kill()
         if self.finished:
             return
         if self.mailbox or self.unposted or self.partial:
             return self.start_reading()
-        self.finished, handed = True, self.sock
+        self.finished, sock = True, self.sock
         self.sock = socket.socket()
-        going.to(handed, self.client)
+        request.transfer(sock, self.client)
 
-    def line(self, data: bytes, at: float) -> None:
+    def handle_line(self, data: bytes, received_at: float) -> None:
         id, method = None, ""
         try:
-            m = decode(data)
-            method = m.method
-            if m.jsonrpc != "2.0":
+            message = decode_message(data)
+            method = message.method
+            if message.jsonrpc != "2.0":
                 raise BadRequestError(INVALID, "jsonrpc: '2.0' is wanted")
             if method == "giveUp":
-                return self.give_up(m)
-            if m.id is None or m.id in self.open:
-                # a second answer could come under an id that is still open
+                return self.handle_give_up(message)
+            if message.id is None or message.id in self.open:
+                # a second answer could be sent under an id that is still open
                 raise BadRequestError(INVALID, "id: a new number is wanted")
-            id = m.id
+            id = message.id
             if method == "probe":
                 return self.write({"id": id, "result": {"healthy": True}})
             if len(self.open) >= self.limits.open_per_connection:
                 raise BadRequestError(REFUSED, "too many open requests on this connection")
-            call = self.call(method, bytes(m.params), at)
+            call = self.create_call(method, bytes(message.params), received_at)
         except BadRequestError as error:
-            return self.reject(id, method, error)
+            return self.reject_line(id, method, error)
         self.open[id], self.ids[call] = call, id
         self.core.offer(call, self)
 
-    def reject(self, id: int | None, method: str, error: BadRequestError) -> None:
+    def reject_line(self, id: int | None, method: str, error: BadRequestError) -> None:
         self.log("bad-request", f"{self.name}: {error}")
         if method in self.maker.classes:
             self.core.metrics.count_final_answer(method, "refused" if error.code == REFUSED else "failed")
         self.write({"id": id, "error": {"code": error.code, "message": str(error)}})
 
-    def call(self, method: str, params: bytes, at: float) -> Call:
+    def create_call(self, method: str, params: bytes, received_at: float) -> Call:
         if method not in self.maker.classes:
             raise BadRequestError(NO_METHOD, f"no class {method[:64]!r}")
         try:
-            p: CallParams = msgspec.json.decode(params, type=CallParams)
-            made = self.maker.make(
-                method, p.rid, p.obj, p.budget, at, p.blob, p.token, p.acct, read_props(p.props)
+            call_params: CallParams = msgspec.json.decode(params, type=CallParams)
+            call = self.maker.make(
+                method,
+                call_params.rid,
+                call_params.obj,
+                call_params.budget,
+                received_at,
+                call_params.blob,
+                call_params.token,
+                call_params.acct,
+                parse_props(call_params.props),
             )
-            made.client = self.peer
-            return made
+            call.client = self.peer
+            return call
         except (msgspec.MsgspecError, InvalidCallError, ValueError) as error:
             raise BadRequestError(BAD_PARAMS, str(error)) from None
 
-    def give_up(self, m: Message) -> None:
-        """Named by its id or its rid; after this nothing is written for it."""
+    def handle_give_up(self, message: Message) -> None:
+        """Withdraw a call, named by its id or its rid; nothing is written for it afterwards."""
         try:
-            p: GiveUpParams = msgspec.json.decode(bytes(m.params), type=GiveUpParams)
+            params: GiveUpParams = msgspec.json.decode(bytes(message.params), type=GiveUpParams)
         except msgspec.MsgspecError as error:
             raise BadRequestError(BAD_PARAMS, str(error)) from None
-        id = p.id if p.id is not None else m.id
-        if p.rid is not None:
-            id = next((n for n, call in self.open.items() if call.request_id == p.rid), None)
+        id = params.id if params.id is not None else message.id
+        if params.rid is not None:
+            id = next((open_id for open_id, call in self.open.items() if call.request_id == params.rid), None)
         if id is not None and (call := self.open.pop(id, None)) is not None:
             del self.ids[call]
             call.abandoned = True
             self.core.withdraw(call)
 
-    def answer(self, call: Call, reply: dict[str, Any]) -> None:
+    def write_answer(self, call: Call, reply: dict[str, Any]) -> None:
         if (id := self.ids.pop(call, None)) is not None:
             del self.open[id]
-            self.used = now_ms()
+            self.last_active = now_ms()
             self.write({"id": id} | reply)
 
     def write(self, reply: dict[str, Any]) -> None:
         self.outgoing.put(msgspec.json.encode({"jsonrpc": "2.0"} | reply) + b"\n")
 
     def finish(self) -> None:
-        """The connection is over: what was open on it is withdrawn."""
+        """Withdraw all open calls."""
         super().finish()
-        self.end()
+        self.end_connection()
         self.sock.close()
         for call in self.ids:
             self.core.withdraw(call)
-        self.gone(self)
+        self.on_closed(self)
--- a/harrieryoke/net/frames.py
+++ b/harrieryoke/net/frames.py
@@ -1,4 +1,4 @@
-"""The binary frames between an invoker and a model host."""
+"""Binary frames between an invoker and a model host."""
 
 from __future__ import annotations
 
@@ -7,19 +7,26 @@
 from dataclasses import dataclass
 from zlib import crc32
 
-HEAD = struct.Struct(">BBHIQ")
-CHECK = struct.Struct(">I")
+# magic number, code, length of the fields, length of the body, id
+HEADER = struct.Struct(">BBHIQ")
+# CRC-32 of the fields and the body
+CHECKSUM = struct.Struct(">I")
+# magic numbers of the two directions
 TO_HOST, FROM_HOST = 76, 108
+# codes of frames to a host
 REQUEST, GIVE_UP, PROBE_LOAD, HOLD, UNLOAD = 65, 66, 68, 69, 71
+# codes of frames from a host
 OK, MISS, FULL, ERROR, OVER, HEALTHY, SICK = 97, 99, 100, 101, 102, 103, 104
 
 
 class FrameError(ValueError):
-    """The bytes are no frame of this protocol."""
+    """The bytes are not a valid frame."""
 
 
 @dataclass(slots=True)
 class Frame:
+    """A decoded frame."""
+
     code: int
     id: int
     fields: dict[str, str]
@@ -27,48 +34,48 @@
 
 
 def encode(
-    code: int, id: int, fields: dict[str, str] | None = None, body: bytes = b"", mark: int = TO_HOST
+    code: int, id: int, fields: dict[str, str] | None = None, body: bytes = b"", magic: int = TO_HOST
 ) -> bytes:
-    """One whole frame."""
-    told = ",".join(f"{k}={v}" for k, v in (fields or {}).items()).encode()
-    head = HEAD.pack(mark, code, len(told), len(body), id)
-    return b"".join((head, told, body, CHECK.pack(crc32(body, crc32(told)))))
+    """Encode one frame."""
+    encoded_fields = ",".join(f"{k}={v}" for k, v in (fields or {}).items()).encode()
+    header = HEADER.pack(magic, code, len(encoded_fields), len(body), id)
+    return b"".join((header, encoded_fields, body, CHECKSUM.pack(crc32(body, crc32(encoded_fields)))))
 
 
-def read_fields(told: bytes) -> dict[str, str]:
+def decode_fields(encoded: bytes) -> dict[str, str]:
     fields = {}
-    for pair in told.decode("utf-8").split(",") if told else []:
+    for pair in encoded.decode("utf-8").split(",") if encoded else []:
         name, equals, value = pair.partition("=")
         if not equals:
-            raise FrameError(f"a field without a value: {pair[:40]!r}")
+            raise FrameError(f"field without a value: {pair[:40]!r}")
         fields[name] = value
     return fields
 
 
 class Decoder:
-    """Cuts a byte stream into frames; a length beyond `most` is a fault, not a wait for memory."""
+    """Decodes frames from a byte stream; a body longer than `max_body_bytes` is an error."""
 
-    def __init__(self, most: int, mark: int = FROM_HOST) -> None:
-        self.most, self.mark, self.rest = most, mark, bytearray()
+    def __init__(self, max_body_bytes: int, magic: int = FROM_HOST) -> None:
+        self.max_body_bytes, self.magic, self.buffer = max_body_bytes, magic, bytearray()
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        self.rest += data
-        while len(self.rest) >= HEAD.size:
-            mark, code, fields, body, id = HEAD.unpack_from(self.rest)
-            if mark != self.mark:
-                raise FrameError(f"mark {mark}")
-            if body > self.most:
-                raise FrameError(f"a body of {body} bytes")
-            size = HEAD.size + fields + body
-            if len(self.rest) < size + CHECK.size:
+        self.buffer += data
+        while len(self.buffer) >= HEADER.size:
+            magic, code, fields_size, body_size, id = HEADER.unpack_from(self.buffer)
+            if magic != self.magic:
+                raise FrameError(f"unexpected magic number {magic}")
+            if body_size > self.max_body_bytes:
+                raise FrameError(f"body of {body_size} bytes is too long")
+            size = HEADER.size + fields_size + body_size
+            if len(self.buffer) < size + CHECKSUM.size:
                 return
-            told = bytes(self.rest[HEAD.size : HEAD.size + fields])
-            content = bytes(self.rest[HEAD.size + fields : size])
-            (check,) = CHECK.unpack_from(self.rest, size)
-            del self.rest[: size + CHECK.size]
-            if check != crc32(content, crc32(told)):
-                raise FrameError("check sum")
+            encoded_fields = bytes(self.buffer[HEADER.size : HEADER.size + fields_size])
+            body = bytes(self.buffer[HEADER.size + fields_size : size])
+            (checksum,) = CHECKSUM.unpack_from(self.buffer, size)
+            del self.buffer[: size + CHECKSUM.size]
+            if checksum != crc32(body, crc32(encoded_fields)):
+                raise FrameError("wrong checksum")
             try:
-                yield Frame(code, id, read_fields(told), content)
+                yield Frame(code, id, decode_fields(encoded_fields), body)
             except UnicodeDecodeError:
-                raise FrameError("fields are not text") from None
+                raise FrameError("fields are not UTF-8 text") from None
--- a/harrieryoke/net/hostlist.py
+++ b/harrieryoke/net/hostlist.py
@@ -1,4 +1,4 @@
-"""The worker list's actor: it keeps the list and owns the actors of the model hosts."""
+"""The actor of the worker list: it maintains the list and owns the actors of the model hosts."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
 from ..limits import Limits
 from ..log import Log
 from .bus_follower import BusFollower
-from .heartbeats import NEWS_DELAY_MS
-from .host import HostActor, Retire, Standing
+from .heartbeats import PROPAGATION_DELAY_MS
+from .host import HostActor, HostRemoved, HostStatus
 from .host_starts import HostStarts
 from .hostlist_model import (
-    DRAINS,
+    STATUS_BY_STATE,
     BadServerError,
-    BusConfirmed,
     BusEvent,
-    BusSaid,
-    Known,
+    EventReceived,
+    KnownEvents,
+    ListConfirmed,
     ListReplaced,
     ListUpdate,
     Server,
     Snapshot,
     Topology,
-    address,
-    in_order,
-    read_update,
-    unknown_names,
+    find_unknown_names,
+    in_apply_order,
+    parse_address,
+    validate_event,
     worker_number,
 )
 
-# the discovery's public names in one place
+# the public names of discovery in one place
 __all__ = [
-    "DRAINS",
+    "STATUS_BY_STATE",
     "Ban",
     "BusEvent",
     "BusFollower",
-    "BusSaid",
+    "EventReceived",
     "HostListActor",
-    "Known",
+    "KnownEvents",
     "Server",
     "Topology",
     "worker_number",
@@ -53,33 +53,35 @@
 
 @dataclass(slots=True)
 class Ban:
-    """An operator leaves a model host out, or puts it back. `told` gets True once that binds, or False for an
-    id that was never listed."""
+    """An operator bans a model host, or lifts the ban.
+
+    `reply` gets True once the change is in force, or False for an id that was never listed.
+    """
 
     id: str
-    on: bool
-    told: AsyncResult
-    known: bool = False  # another process has listed it
+    banned: bool
+    reply: AsyncResult
+    from_peer: bool = False  # the other process of an upgrade sent it, and has listed the host
 
 
 @dataclass(slots=True)
-class News:
-    """What the module is to hear of one event: the last word on each host, by the module's number."""
+class WorkerChanges:
+    """Changes of the list to be sent to the module: the latest state of each host, by the module's number."""
 
     entries: dict[int, i.WorkerEntry] = field(default_factory=dict)
     ports: dict[int, HostPort] = field(default_factory=dict)
     names: dict[int, HostName] = field(default_factory=dict)
 
-    def say(self, entry: i.WorkerEntry, server: Server, actor: HostActor | None) -> None:
-        """A host as listed; no actor where it has gone."""
-        self.gone(entry.worker)
+    def add(self, entry: i.WorkerEntry, server: Server, actor: HostActor | None) -> None:
+        """Add a host as listed, without an actor if it is gone."""
+        self.mark_gone(entry.worker)
         self.entries[entry.worker] = entry
         self.names[entry.worker] = HostName(server.id, server.zone, server.kind, server.state)
         if actor is not None:
             self.ports[entry.worker] = actor
 
-    def gone(self, worker: int) -> None:
-        """A host has been replaced; the bus may say so later, or never."""
+    def mark_gone(self, worker: int) -> None:
+        """Record that a host was replaced; the bus may report that later, or never."""
         self.ports.pop(worker, None)
         self.names.pop(worker, None)
         self.entries.pop(worker, None)
@@ -87,212 +89,226 @@
 
 
 class HostListActor(Actor):
-    """Keeps the list, opens an actor for each host, and tells the module what changed. A host that an
-    operator left out drains, whatever the list says of it and however often, until it is put back."""
+    """Maintains the list, runs an actor for each host, and reports changes to the module.
+
+    A host that an operator banned drains, whatever the list says about it, until the ban is lifted.
+    """
 
     def __init__(
         self,
         settings: i.Settings,
         limits: Limits,
         log: Log,
-        tell_module: Callable[[WorkersChanged | WorkerListConfirmed], object],
+        send_to_module: Callable[[WorkersChanged | WorkerListConfirmed], object],
         report: Callable[[TaskEnded], object],
-        figures: Metrics,
+        metrics: Metrics,
     ) -> None:
         super().__init__("worker list", limits.list_mailbox, log)
         self.settings, self.limits = settings, limits
-        self.tell_module, self.report = tell_module, report
-        self.figures = figures
-        self.hosts: dict[str, tuple[Standing, HostActor]] = {}
-        self.servers: dict[str, Server] = {}  # the list's last word on each, the latest last
-        self.doubtful: set[str] = set()  # listed hosts whose last entry could not be read
-        self.unnamed = False  # an entry could not be read that may have meant any host
-        self.starts = HostStarts()
+        self.send_to_module, self.report = send_to_module, report
+        self.metrics = metrics
+        self.hosts: dict[str, tuple[HostStatus, HostActor]] = {}
+        self.servers: dict[str, Server] = {}  # the latest entry of each host, in the order of arrival
+        self.doubtful: set[str] = set()  # listed hosts whose latest entry could not be read
+        self.has_unattributed_error = False  # an unreadable entry may concern any host
+        self.host_starts = HostStarts()
         self.banned: set[str] = set()
-        self.keep: Callable[[str, bool], object] = lambda id, on: None  # so that it outlives the process
+        # stores a change of bans beyond this process: the host's id, and whether it is banned
+        self.on_ban_changed: Callable[[str, bool], object] = lambda id, banned: None
 
-    def begin(self, known: Known, banned: Iterable[str] = (), as_of: float | None = None) -> None:
-        """The list as it was at the start, at `as_of` in milliseconds of the process's clock where that is
-        known, and who is left out, listed yet or not; before the actor runs."""
+    def load_initial(
+        self, known_events: KnownEvents, banned: Iterable[str] = (), as_of: float | None = None
+    ) -> None:
+        """Load the list as of start-up and the banned hosts, listed or not, before the actor runs.
+
+        `as_of` is the time of the list in milliseconds of the process's clock, if known.
+        """
         self.banned = set(banned)
         snapshot = Snapshot()
-        for event in known.batch:
-            if (update := read_update(BusSaid(event))) is not None:
-                self.report_bad(update)
-                self.note_doubtful(update, snapshot.servers.keys())
+        for event in known_events.batch:
+            if (update := validate_event(EventReceived(event))) is not None:
+                self.log_errors(update)
+                self.update_doubtful(update, snapshot.servers.keys())
                 for server in update.servers.values():
-                    self.remember(server)
-                snapshot.take(update)
-        self.starts.learn_earlier(snapshot.servers.values())
-        self.apply(list(snapshot.servers.values()), i.ListScope.REMEMBERED)
+                    self.remember_server(server)
+                snapshot.apply(update)
+        self.host_starts.learn_initial(snapshot.servers.values())
+        self.apply_entries(list(snapshot.servers.values()), i.ListScope.REMEMBERED)
         if as_of is not None:
-            self.confirm(as_of - NEWS_DELAY_MS)
+            self.confirm_list(as_of - PROPAGATION_DELAY_MS)
 
     def bans(self) -> list[str]:
-        """The ids that operators left out."""
+        """Return the ids of the banned hosts."""
         return sorted(self.banned)
 
-    def receive(self, message: BusSaid | ListReplaced | BusConfirmed | Ban) -> None:
-        """One message of the mailbox."""
+    def receive(self, message: EventReceived | ListReplaced | ListConfirmed | Ban) -> None:
+        """Handle one message of the mailbox."""
         match message:
-            case BusSaid():
-                if (update := read_update(message)) is not None:
-                    self.take(update)
+            case EventReceived():
+                if (update := validate_event(message)) is not None:
+                    self.apply_update(update)
             case ListReplaced(update):
-                self.take(update)
-            case BusConfirmed(at):
-                self.confirm(at)
-            case Ban(id, on, told, known):
-                told.set(self.ban(id, on, known))
-
-    def take(self, update: ListUpdate) -> None:
-        """An event. Hosts of spoilt entries keep their former state."""
-        self.report_bad(update)
-        self.note_doubtful(update, self.hosts.keys())
+                self.apply_update(update)
+            case ListConfirmed(as_of):
+                self.confirm_list(as_of)
+            case Ban(id, banned, reply, from_peer):
+                reply.set(self.set_banned(id, banned, from_peer))
+
+    def apply_update(self, update: ListUpdate) -> None:
+        """Apply an event. Hosts with an invalid entry keep their previous state."""
+        self.log_errors(update)
+        self.update_doubtful(update, self.hosts.keys())
         servers = list(update.servers.values())
-        if update.whole and not self.hosts:
-            self.starts.learn_earlier(servers)
-        if not update.whole:
-            return self.apply(servers, i.ListScope.CHANGES)
-        kept = [self.servers[id] for id in update.kept() if id in self.hosts]
-        self.apply(kept + servers, i.ListScope.WHOLE)
-
-    def note_doubtful(self, update: ListUpdate, listed: Collection[str]) -> None:
-        """What discovery tells counts as told, readable or not: a host whose entry could not be read may have
-        been told to drain."""
-        if update.whole:
-            self.doubtful, self.unnamed = set(), False
+        if update.is_full and not self.hosts:
+            self.host_starts.learn_initial(servers)
+        if not update.is_full:
+            return self.apply_entries(servers, i.ListScope.CHANGES)
+        unchanged = [self.servers[id] for id in update.invalid_hosts() if id in self.hosts]
+        self.apply_entries(unchanged + servers, i.ListScope.WHOLE)
+
+    def update_doubtful(self, update: ListUpdate, listed: Collection[str]) -> None:
+        """Track the hosts whose latest entry could not be read: discovery may have asked them to drain."""
+        if update.is_full:
+            self.doubtful, self.has_unattributed_error = set(), False
         self.doubtful -= update.servers.keys()
-        self.doubtful |= update.kept() & set(listed)
-        self.unnamed = self.unnamed or not all(error.host for error in update.bad)
+        self.doubtful |= update.invalid_hosts() & set(listed)
+        self.has_unattributed_error = self.has_unattributed_error or not all(
+            error.host for error in update.errors
+        )
 
-    def confirm(self, at: float) -> None:
-        """The module hears how old the list is, and where its word is not discovery's last."""
+    def confirm_list(self, as_of: float) -> None:
+        """Report to the module how recent the list is, and for which hosts it may be outdated."""
         doubtful = frozenset(worker_number(id) for id in self.doubtful & self.hosts.keys())
-        if not self.unnamed:
-            self.tell_module(WorkerListConfirmed(i.ListConfirmed(at, doubtful)))
-
-    def report_bad(self, update: ListUpdate) -> None:
-        """One line of the log for all that is spoilt in an event."""
-        if update.bad:
-            self.log_bad(update.offset, list(update.bad), "former state kept; correct it at the bus")
-        unknown = [e for s in update.servers.values() for e in unknown_names(s, self.settings)]
+        if not self.has_unattributed_error:
+            self.send_to_module(WorkerListConfirmed(i.ListConfirmed(as_of, doubtful)))
+
+    def log_errors(self, update: ListUpdate) -> None:
+        """Log the invalid entries and the unknown names of an event in one line each."""
+        if update.errors:
+            self.log_bad_event(
+                update.offset, list(update.errors), "previous state kept; correct it at the bus"
+            )
+        unknown = [e for s in update.servers.values() for e in find_unknown_names(s, self.settings)]
         if unknown:
-            self.log_bad(
+            self.log_bad_event(
                 update.offset, unknown, "name it in the settings and send SIGHUP, or correct the bus"
             )
 
-    def log_bad(self, offset: int, errors: list[BadServerError], advice: str) -> None:
-        """The first of the errors, and how many more there are."""
+    def log_bad_event(self, offset: int, errors: list[BadServerError], advice: str) -> None:
+        """Log the first of the errors and the number of the others."""
         more = f" (and {len(errors) - 1} more)" if len(errors) > 1 else ""
         self.log("bad-event", f"event {offset}: {errors[0]}{more}; {advice}")
 
-    def ban(self, id: str, on: bool, known: bool) -> bool:
-        """The host's actor and the module have heard when this returns. False for an id never listed."""
-        if not known and id not in self.servers and id not in self.banned:
+    def set_banned(self, id: str, banned: bool, from_peer: bool) -> bool:
+        """Ban a host or lift its ban; return False for an id that was never listed.
+
+        When this returns, the host's actor and the module have received the change.
+        """
+        if not from_peer and id not in self.servers and id not in self.banned:
             return False
-        if on != (id in self.banned):
-            self.log("banned" if on else "unbanned", id)
+        if banned != (id in self.banned):
+            self.log("banned" if banned else "unbanned", id)
             self.banned ^= {id}
             if id in self.hosts:
-                self.apply([self.servers[id]], i.ListScope.CHANGES)
-            self.keep(id, on)
+                self.apply_entries([self.servers[id]], i.ListScope.CHANGES)
+            self.on_ban_changed(id, banned)
         return True
 
-    def remember(self, server: Server) -> None:
-        """The list's last word on a host."""
+    def remember_server(self, server: Server) -> None:
+        """Store the latest entry of a host."""
         self.servers.pop(server.id, None)
         self.servers[server.id] = server
         if len(self.servers) > self.limits.ids_remembered:
-            # hosts may come under ever new ids, and memory is bounded; bans are an operator's, and few
-            needed = self.hosts.keys() | self.banned | {server.id}
-            if (spare := next((id for id in self.servers if id not in needed), None)) is not None:
-                del self.servers[spare]
-
-    def retune(self, settings: i.Settings) -> None:
-        """The service alone calls it, before any call of a new class is made. Not by a message: a mailbox
-        may be full or behind, and a host would get a call of a class that it can't name."""
+            # hosts may come under ever new ids and memory is bounded; bans are few, as operators set them
+            in_use = self.hosts.keys() | self.banned | {server.id}
+            if (oldest := next((id for id in self.servers if id not in in_use), None)) is not None:
+                del self.servers[oldest]
+
+    def apply_settings(self, settings: i.Settings) -> None:
+        """Apply new settings; the service calls it before any call of a new class is created.
+
+        This is no message: a mailbox may be full or delayed, and a host would receive a call of a class that
+        it does not know.
+        """
         self.settings = settings
         for _, actor in self.hosts.values():
-            actor.retune(settings)
+            actor.apply_settings(settings)
 
-    def apply(self, servers: list[Server], scope: i.ListScope) -> None:
-        """Checked entries, one for each host: the hosts' actors and then the module hear of them."""
-        how = "changed" if scope is i.ListScope.CHANGES else "in all"
-        self.log("list", f"{len(servers)} model hosts {how}")
+    def apply_entries(self, servers: list[Server], scope: i.ListScope) -> None:
+        """Apply validated entries, one for each host: first to the hosts' actors, then to the module."""
+        extent = "changed" if scope is i.ListScope.CHANGES else "in all"
+        self.log("list", f"{len(servers)} model hosts {extent}")
         if scope is i.ListScope.WHOLE:
-            named = {s.id for s in servers}
-            for id in [id for id in self.hosts if id not in named]:
-                self.starts.forget(id)
-                self.strike(id)
-        news = News()
-        for server in in_order(servers):
-            self.remember(server)
-            entry = self.entry(server)
+            listed = {s.id for s in servers}
+            for id in [id for id in self.hosts if id not in listed]:
+                self.host_starts.forget(id)
+                self.remove_host(id)
+        changes = WorkerChanges()
+        for server in in_apply_order(servers):
+            self.remember_server(server)
+            entry = self.worker_entry(server)
             if entry.status is i.WorkerStatus.GONE:
-                self.starts.forget(server.id)
-                self.strike(server.id)
+                self.host_starts.forget(server.id)
+                self.remove_host(server.id)
                 actor = None
             else:
-                self.replace(server, news)
-                actor = self.host(server, entry.status)
-            news.say(entry, server, actor)
-        self.figures.pool_size = len(self.hosts)
-        self.figures.banned = len(self.banned & self.hosts.keys())
-        event = i.WorkersListed(scope, tuple(news.entries.values()))
-        self.tell_module(WorkersChanged(event, news.ports, news.names))
-
-    def entry(self, server: Server) -> i.WorkerEntry:
-        """One host as the module sees it."""
-        drain = DRAINS[server.state]
-        if server.id in self.banned and drain is i.WorkerStatus.UP:
-            drain = i.WorkerStatus.DRAINING
+                self.remove_previous_host(server, changes)
+                actor = self.ensure_host(server, entry.status)
+            changes.add(entry, server, actor)
+        self.metrics.pool_size = len(self.hosts)
+        self.metrics.banned = len(self.banned & self.hosts.keys())
+        event = i.WorkersListed(scope, tuple(changes.entries.values()))
+        self.send_to_module(WorkersChanged(event, changes.ports, changes.names))
+
+    def worker_entry(self, server: Server) -> i.WorkerEntry:
+        """Return the module's entry of a host."""
+        status = STATUS_BY_STATE[server.state]
+        if server.id in self.banned and status is i.WorkerStatus.UP:
+            status = i.WorkerStatus.DRAINING
         zones, kinds = self.settings.zones, self.settings.kinds
         zone = zones.index(server.zone) if server.zone in zones else 0
         kind = kinds.index(server.kind) if server.kind in kinds else 0
-        start = self.starts.read(server)
+        start = self.host_starts.observe(server)
         return i.WorkerEntry(
             worker_number(server.id),
             zone,
             kind,
             server.cell,
-            drain,
+            status,
             server.weight,
-            None if start is None else start.at,
-            None if start is None else start.stamp,
+            None if start is None else start.started_at,
+            None if start is None else start.listed_start,
         )
 
-    def replace(self, server: Server, news: News) -> None:
-        """Whoever had the server's address so far has gone: the address speaks for another host now."""
-        where = address(server.addr)
-        for id, (standing, _) in list(self.hosts.items()):
-            if standing.address == where and id != server.id:
-                standing.replaced = True
-                self.starts.forget(id)
-                self.strike(id, now=True)
-                news.gone(worker_number(id))
-
-    def host(self, server: Server, drain: i.WorkerStatus) -> HostActor:
-        """The actor of a listed host; a new one where it has another address."""
-        where = address(server.addr)
+    def remove_previous_host(self, server: Server, changes: WorkerChanges) -> None:
+        """Remove any other host at the server's address: the address belongs to this server now."""
+        address = parse_address(server.addr)
+        for id, (status, _) in list(self.hosts.items()):
+            if status.address == address and id != server.id:
+                status.replaced = True
+                self.host_starts.forget(id)
+                self.remove_host(id, immediately=True)
+                changes.mark_gone(worker_number(id))
+
+    def ensure_host(self, server: Server, listed_status: i.WorkerStatus) -> HostActor:
+        """Return the actor of a listed host; start a new one if its address has changed."""
+        address = parse_address(server.addr)
         if server.id in self.hosts:
-            standing, actor = self.hosts[server.id]
-            if standing.address == where and not actor.finished:
-                standing.drain = drain
+            status, actor = self.hosts[server.id]
+            if status.address == address and not actor.finished:
+                status.state = listed_status
                 return actor
-            self.strike(server.id)
-        standing = Standing(where, drain)
-        actor = HostActor(
-            server.id, standing, self.settings, self.limits, self.log, self.report, self.figures
-        )
+            self.remove_host(server.id)
+        status = HostStatus(address, listed_status)
+        actor = HostActor(server.id, status, self.settings, self.limits, self.log, self.report, self.metrics)
         actor.start()
-        self.hosts[server.id] = (standing, actor)
+        self.hosts[server.id] = (status, actor)
         return actor
 
-    def strike(self, id: str, now: bool = False) -> None:
+    def remove_host(self, id: str, immediately: bool = False) -> None:
         if id in self.hosts:
-            standing, actor = self.hosts.pop(id)
-            standing.drain = i.WorkerStatus.GONE
-            if not actor.try_send(Retire(now)):
-                # no waiting here for a host whose mailbox is full: the others need their news
-                spawn(self.log, f"retire {id}", lambda: actor.blocking_send(Retire(now)))
+            status, actor = self.hosts.pop(id)
+            status.state = i.WorkerStatus.GONE
+            if not actor.try_send(HostRemoved(immediately)):
+                # a host with a full mailbox must not delay the news of the others
+                spawn(self.log, f"retire {id}", lambda: actor.blocking_send(HostRemoved(immediately)))
--- a/harrieryoke/net/platform.py
+++ b/harrieryoke/net/platform.py
@@ -1,4 +1,4 @@
-"""The platform's front: listens for clients and keeps their connections, an actor for each."""
+"""The JSON-RPC front: accepts client connections and runs an actor for each."""
 
 from __future__ import annotations
 
@@ -17,134 +17,150 @@
 from ..core.pauses import PauseWatch
 from ..limits import Limits
 from ..log import Log
-from .client import ClientActor, CloseIfIdle, PassOn
+from .client import ClientActor, CloseIfIdle, TransferWhenIdle
 from .listening import wait_for_listener
 
-BACKLOG = 512  # connections that the machine accepts ahead of the listener
+BACKLOG = 512  # connections that the kernel accepts ahead of the acceptor
 
 
 @dataclass(slots=True)
-class Accepted:
-    """A connection; `asked` where another process has served it before."""
+class ConnectionAccepted:
+    """An accepted connection; `served_before` if it was transferred from another process."""
 
     sock: socket.socket
     name: str
-    asked: bool = False
+    served_before: bool = False
 
 
 @dataclass(slots=True)
-class Gone:
+class ClientClosed:
+    """A client's actor has ended."""
+
     client: ClientActor
 
 
 @dataclass(frozen=True, slots=True)
-class ListenerEnded:
-    """The listener's greenlet for this descriptor accepts no more."""
+class AcceptorEnded:
+    """The acceptor's greenlet for this descriptor has ended."""
 
-    entry: socket.socket
+    acceptor: socket.socket
 
 
 class StopListening:
-    """No new connections from here; those there are go once nothing is open on them."""
+    """Accept no new connections; close the others once nothing is open on them."""
 
 
 @dataclass(slots=True)
-class Yield:
-    """Another process accepts now; clients that are here go there through `to`, as they become idle."""
+class TransferClients:
+    """Another process accepts now; transfer the clients to it through `transfer` as they become idle."""
 
-    to: Callable[[socket.socket, str], object]
+    transfer: Callable[[socket.socket, str], object]
 
 
-class MakeRoom:
-    """Newcomers wait for a client to leave."""
+class CloseIdleClient:
+    """New connections wait for a client to leave."""
 
 
-class Resume:
-    """The other process has ended: clients are accepted here again."""
+class ResumeAccepting:
+    """The other process has ended; accept clients here again."""
 
 
-def set_up(sock: socket.socket, peer: tuple[str, int], log: Log) -> Accepted | None:
-    """A connection ready for its actor; None where it was reset before it was looked at."""
+def prepare_connection(sock: socket.socket, peer: tuple[str, int], log: Log) -> ConnectionAccepted | None:
+    """Return a connection ready for its actor, or None if it was reset already."""
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     except OSError as error:
         log("accept-failed", str(error))
         sock.close()
         return None
-    return Accepted(sock, f"{peer[0]}:{peer[1]}")
+    return ConnectionAccepted(sock, f"{peer[0]}:{peer[1]}")
 
 
 class PlatformFront(Actor):
-    """Listens on the one address it was told, keeps the client connections, and stops in order."""
+    """Listens on the configured address, owns the client connections, and shuts down in order."""
 
     def __init__(
-        self, where: tuple[str, int], maker: CallMaker, core: ModuleActor, limits: Limits, log: Log
+        self, address: tuple[str, int], maker: CallMaker, core: ModuleActor, limits: Limits, log: Log
     ) -> None:
         super().__init__("platform front", limits.client_mailbox, log)
-        self.where, self.maker, self.core, self.limits = where, maker, core, limits
-        self.clients: dict[ClientActor, bool] = {}  # whether it was told to leave
-        self.few, self.most = limits.sockets // 2, limits.sockets * 2 // 3  # usual clients hold a third
-        self.stopping, self.empty = False, Event()
-        self.room = Event()  # a client has gone
-        self.listeners = 0  # greenlets that accept, or have accepted and still hold a connection
-        self.yielded: PassOn | None = None
+        self.address, self.maker, self.core, self.limits = address, maker, core, limits
+        self.clients: dict[ClientActor, bool] = {}  # value: whether it was asked to leave
+        # ordinarily client connections use a third of the sockets
+        self.soft_limit, self.hard_limit = limits.sockets // 2, limits.sockets * 2 // 3
+        self.stopping, self.all_closed = False, Event()
+        self.client_closed = Event()  # set when a client connection has closed
+        self.running_acceptors = 0  # greenlets that accept, or hold a connection they have accepted
+        self.transfer_request: TransferWhenIdle | None = None
         self.listening: socket.socket | None = None
         self.pauses = PauseWatch(now_ms(), limits.sweep_ms, log)
 
     def start(self, listening: socket.socket | None = None, shared: bool = False) -> None:
-        """Accepts on the listening socket that another process handed over, or on one of its own, which
-        others may be `shared` with where that handing over can fail. Raises OSError."""
+        """Accept on the given listening socket, or on a new one. Raises OSError.
+
+        A new one is `shared` with other processes if the handover of the socket can fail.
+        """
         if listening is None:
-            listening = wait_for_listener(self.where, BACKLOG, self.limits, self.log, shared)
+            listening = wait_for_listener(self.address, BACKLOG, self.limits, self.log, shared)
         self.listening = listening
         self.pauses.restart(now_ms())
         super().start()
-        self.open()
-
-    def open(self) -> None:
-        """A descriptor of its own to accept on: while others accept, the listening socket is kept. Raises
-        OSError."""
-        assert self.listening is not None, "open comes after start"
-        self.entry = entry = retry_local("listen", self.listening.dup, self.limits.start_ms, self.log)
-        self.listeners += 1
+        self.start_accepting()
+
+    def start_accepting(self) -> None:
+        """Start an acceptor with a descriptor of its own. Raises OSError.
+
+        The listening socket itself is kept while another process accepts.
+        """
+        assert self.listening is not None, "start_accepting is called after start"
+        self.acceptor = acceptor = retry_local("listen", self.listening.dup, self.limits.start_ms, self.log)
+        self.running_acceptors += 1
         spawn(
-            self.log, "listener", lambda: self.accept(entry), lambda: self.blocking_send(ListenerEnded(entry))
+            self.log,
+            "listener",
+            lambda: self.run_acceptor(acceptor),
+            lambda: self.blocking_send(AcceptorEnded(acceptor)),
         )
 
-    def accept(self, entry: socket.socket) -> None:
-        """The listener's greenlet, until its descriptor is closed."""
+    def run_acceptor(self, acceptor: socket.socket) -> None:
+        """Run the acceptor's greenlet until its descriptor is closed."""
         pauses = RetryDelays()
         while not self.finished:
-            self.wait_for_room(entry)
+            self.wait_for_room(acceptor)
             try:
-                sock, peer = entry.accept()
+                sock, peer = acceptor.accept()
             except OSError as error:
-                if entry.fileno() < 0:
+                if acceptor.fileno() < 0:
                     return
-                # where descriptors have run out, the listener waits and goes on
+                # if descriptors have run out, wait and retry
                 self.log("accept-failed", str(error))
                 pauses.sleep()
                 continue
             pauses.reset()
-            if (accepted := set_up(sock, peer, self.log)) is not None:
+            if (accepted := prepare_connection(sock, peer, self.log)) is not None:
                 self.blocking_send(accepted)
 
-    def wait_for_room(self, entry: socket.socket) -> None:
-        """Newcomers wait in the backlog while clients hold all that they may and some of them are about to
-        leave. Where all are busy nobody waits: a newcomer is turned away at once, as it may try elsewhere."""
-        while entry.fileno() >= 0 and self.is_full() and self.may_leave():
-            self.room.clear()
-            self.try_send(MakeRoom())
-            self.room.wait(self.limits.client_fresh_ms / 1000)
+    def wait_for_room(self, acceptor: socket.socket) -> None:
+        """Leave new connections in the backlog while clients hold all permitted ones and an idle one can be
+        closed.
+
+        If all are busy, a new connection is rejected at once, as it may try elsewhere.
+        """
+        while acceptor.fileno() >= 0 and self.is_full() and self.has_idle_client():
+            self.client_closed.clear()
+            self.try_send(CloseIdleClient())
+            self.client_closed.wait(self.limits.client_fresh_ms / 1000)
 
     def is_full(self) -> bool:
-        """With those on their way through the mailbox."""
-        return len(self.clients) + sum(isinstance(m, Accepted) for m in self.mailbox) >= self.most
+        """Return whether clients hold all permitted connections, including those in the mailbox."""
+        return (
+            len(self.clients) + sum(isinstance(m, ConnectionAccepted) for m in self.mailbox)
+            >= self.hard_limit
+        )
 
-    def may_leave(self) -> bool:
-        """Whether some client has nothing open and is not within a line."""
+    def has_idle_client(self) -> bool:
+        """Return whether some client has no open call and no partial line."""
         now = now_ms()
-        return any(c.quiet(now) is not None and not c.partial for c in self.clients)
+        return any(c.idle_ms(now) is not None and not c.partial for c in self.clients)
 
     def run(self) -> None:
         swept = now_ms()
@@ -155,63 +171,63 @@
             self.pauses.record_wake(now)
             if now - swept >= self.limits.sweep_ms:
                 swept = now
-                # after a pause of this process, all idle clients look stale at once, and would be closed with
-                # a request of theirs on its way
-                for client in [c for c in self.clients if c.stale(now, self.pauses.resumed_at)]:
-                    self.log("client-closed", f"{client.client}: it was silent for too long")
-                    self.clients[client] = client.close_stale()
-                self.send_away()
-
-    def send_away(self) -> None:
-        """To the process that has taken over, if one has: whoever is here and was not told so yet."""
-        if self.yielded is not None:
-            for client in [c for c, leaves in self.clients.items() if not leaves]:
-                self.clients[client] = client.try_send(self.yielded)
-
-    def dismiss(self, client: ClientActor, reason: str) -> None:
-        """Have the connection closed once nothing is open on it."""
+                # after a pause of this process all idle clients look stale at once, and would be closed with
+                # requests in transit
+                for client in [c for c in self.clients if c.is_stale(now, self.pauses.resumed_at)]:
+                    self.log("client-closed", f"{client.client}: idle for too long")
+                    self.clients[client] = client.close_if_idle()
+                self.transfer_clients()
+
+    def transfer_clients(self) -> None:
+        """Transfer the clients to the process that took over, if any; each is asked once."""
+        if self.transfer_request is not None:
+            for client in [client for client, told in self.clients.items() if not told]:
+                self.clients[client] = client.try_send(self.transfer_request)
+
+    def close_when_idle(self, client: ClientActor, reason: str) -> None:
+        """Close the connection once nothing is open on it."""
         self.log("client-closed", f"{client.client}: {reason}")
         self.clients[client] = client.try_send(CloseIfIdle())
 
     def receive(self, message: Any) -> None:
         match message:
-            case Accepted(sock, name, asked):
-                self.accepted(sock, name, asked)
-            case Gone(client):
+            case ConnectionAccepted(sock, name, served_before):
+                self.add_client(sock, name, served_before)
+            case ClientClosed(client):
                 self.clients.pop(client, None)
-                self.room.set()
-            case MakeRoom():
-                self.make_room()
-            case Yield(to) if not self.stopping:
-                self.yielded = PassOn(to)
-                self.entry.close()
-                self.send_away()
-            case Resume() if self.yielded is not None and not self.stopping:
-                self.yielded = None
-                self.open()
-            case ListenerEnded(entry):
-                self.listeners -= 1
-                # a front that accepts nobody, and was not told so, ends: the service sees that
-                self.finished = entry.fileno() >= 0
+                self.client_closed.set()
+            case CloseIdleClient():
+                self.close_idle_client()
+            case TransferClients(transfer) if not self.stopping:
+                self.transfer_request = TransferWhenIdle(transfer)
+                self.acceptor.close()
+                self.transfer_clients()
+            case ResumeAccepting() if self.transfer_request is not None and not self.stopping:
+                self.transfer_request = None
+                self.start_accepting()
+            case AcceptorEnded(acceptor):
+                self.running_acceptors -= 1
+                # a front that no longer accepts, without having been asked to stop, ends; the service notices
+                self.finished = acceptor.fileno() >= 0
             case StopListening():
                 self.stop_listening()
-        if self.stopping and not (self.clients or self.mailbox or self.listeners):
-            self.empty.set()
+        if self.stopping and not (self.clients or self.mailbox or self.running_acceptors):
+            self.all_closed.set()
 
     def stop_listening(self) -> None:
         self.stopping = True
-        if self.yielded is None:
-            self.take_backlog()
-        self.entry.close()
+        if self.transfer_request is None:
+            self.accept_backlog()
+        self.acceptor.close()
         if self.listening is not None:
             self.listening.close()
-        self.send_away()
-        for client in [c for c, leaves in self.clients.items() if not leaves]:
-            self.dismiss(client, "the process stops")
+        self.transfer_clients()
+        for client in [c for c, told in self.clients.items() if not told]:
+            self.close_when_idle(client, "the process stops")
 
-    def take_backlog(self) -> None:
-        """Connections that the machine has accepted and nobody has taken: the close would reset them. Where
-        none can be taken at the moment they are waited for."""
+    def accept_backlog(self) -> None:
+        """Accept the connections in the kernel's backlog, which a close would reset; retry while none can be
+        accepted."""
         if self.listening is None:
             return
         self.listening.settimeout(0)
@@ -228,13 +244,13 @@
                 pauses.sleep()
                 continue
             pauses.reset()
-            if (accepted := set_up(sock, peer, self.log)) is not None:
-                self.accepted(accepted.sock, accepted.name, accepted.asked)
+            if (accepted := prepare_connection(sock, peer, self.log)) is not None:
+                self.add_client(accepted.sock, accepted.name, accepted.served_before)
 
-    def accepted(self, sock: socket.socket, name: str, asked: bool) -> None:
-        if len(self.clients) - sum(self.clients.values()) >= self.few:
-            self.make_room()
-        if len(self.clients) >= self.most:
+    def add_client(self, sock: socket.socket, name: str, served_before: bool) -> None:
+        if len(self.clients) - sum(self.clients.values()) >= self.soft_limit:
+            self.close_idle_client()
+        if len(self.clients) >= self.hard_limit:
             self.log("too-many-clients", f"{len(self.clients)} connections are open")
             sock.close()
             return
@@ -245,20 +261,22 @@
             self.core,
             self.limits,
             self.log,
-            lambda c: self.blocking_send(Gone(c)),
+            lambda c: self.blocking_send(ClientClosed(c)),
             self.pauses,
         )
-        self.clients[client], client.asked = False, asked
+        self.clients[client], client.has_sent_line = False, served_before
         client.start()
         if self.stopping:
-            self.dismiss(client, "the process stops")
+            self.close_when_idle(client, "the process stops")
+
+    def close_idle_client(self) -> None:
+        """Close the client that has been idle longest, unless it has a partial line.
 
-    def make_room(self) -> None:
-        """The client that has been quiet longest leaves, unless it is within a line: a newcomer most likely
-        is there to ask. So the usual clients find room beside others that ask once, or never, and keep their
-        connections."""
+        A new connection most likely brings a request. So ordinary clients find space beside others that send
+        once, or never, and keep their connections.
+        """
         now = now_ms()
-        staying = [c for c, leaves in self.clients.items() if not leaves and not c.partial]
-        quiet = {c: q for c in staying if (q := c.quiet(now)) is not None}
-        if quiet and max(quiet.values()) > self.limits.client_fresh_ms:
-            self.dismiss(max(quiet, key=quiet.__getitem__), "a newcomer needs room")
+        staying = [c for c, told in self.clients.items() if not told and not c.partial]
+        idle = {c: q for c in staying if (q := c.idle_ms(now)) is not None}
+        if idle and max(idle.values()) > self.limits.client_fresh_ms:
+            self.close_when_idle(max(idle, key=idle.__getitem__), "a new connection needs its place")
--- a/harrieryoke/service.py
+++ b/harrieryoke/service.py
@@ -71,7 +71,7 @@
         self.start_management()
         self.open_council()
         listening, banned = self.take_over_listener()
-        self.hosts.begin(self.config.known, banned, self.config.file_written_at)
+        self.hosts.load_initial(self.config.known, banned, self.config.file_written_at)
         for stage in (self.gate, self.parts.door):
             if stage is not None:
                 stage.start()
@@ -196,7 +196,7 @@
             if limit not in operator_limits:
                 setattr(self.limits, limit, value)
         self.apply_settings(settings)
-        self.bus.move(new.bus)
+        self.bus.change_address(new.bus)
         if self.gate is not None:
             self.gate.ask_swap(None, self.limits.write_ms)
         if self.parts.ledger is not None:
@@ -216,7 +216,7 @@
         The hosts get them directly, the other parts through mailboxes, which keep the order. The fronts are
         last: from then on they accept the new classes.
         """
-        self.hosts.retune(settings)
+        self.hosts.apply_settings(settings)
         self.core.metrics.add_classes(settings.active_classes())
         for part in (self.core, self.gate, self.parts.door, self.parts.ledger):
             if part is not None:
@@ -248,10 +248,10 @@
             self.parts.council.request_stop()
         if self.broker is not None:
             self.broker.request_stop()
-        if self.front.yielded is None:
+        if self.front.transfer_request is None:
             gevent.sleep(self.limits.stop_accepting_ms / 1000)
         self.front.blocking_send(StopListening())
-        self.front.empty.wait((by + 100.0 - now_ms()) / 1000)
+        self.front.all_closed.wait((by + 100.0 - now_ms()) / 1000)
         if self.broker is not None:
             self.broker.gone.wait(max(0.0, by + 100.0 - now_ms()) / 1000)
         if self.parts.ledger is not None:
--- a/harrieryoke/wire/frames.py
+++ b/harrieryoke/wire/frames.py
@@ -1,4 +1,4 @@
-"""Protobuf messages with their length before them, as a varint: the frames of the ledger and the council."""
+"""Frames of the ledger and the council: Protobuf messages preceded by their length as a varint."""
 
 from __future__ import annotations
 
@@ -11,50 +11,53 @@
 
 
 class WireError(ValueError):
-    """Bytes of the other side that are no frame, or a frame with what it may not say."""
+    """The peer sent bytes that are not a frame, or a frame that is not allowed."""
 
 
 def encode(frame: Message) -> bytes:
     body = frame.SerializeToString()
-    size, head = len(body), bytearray()
+    size, header = len(body), bytearray()
     while size > 127:
-        head.append(size & 127 | 128)
+        header.append(size & 127 | 128)
         size >>= 7
-    head.append(size)
-    return bytes(head) + body
+    header.append(size)
+    return bytes(header) + body
 
 
 class Decoder(Generic[F]):
-    """Gets bytes as they come and gives whole frames: `kind` is their class, which has one oneof, `said`. A
-    frame of more than `most` bytes is refused by its length, before memory is taken for it. Raises
-    WireError; after that nothing more can be read."""
+    """Decodes frames from a byte stream.
 
-    def __init__(self, kind: type[F], most: int) -> None:
-        self.kind, self.most, self.rest = kind, most, bytearray()
+    `frame_type` is the message class of the frames; it has one oneof, `said`. A frame of more than
+    `max_bytes` bytes is rejected by its length, before memory is allocated for it. Raises WireError; after
+    that nothing more can be decoded.
+    """
+
+    def __init__(self, frame_type: type[F], max_bytes: int) -> None:
+        self.frame_type, self.max_bytes, self.buffer = frame_type, max_bytes, bytearray()
 
     def feed(self, data: bytes) -> Iterator[F]:
-        self.rest += data
-        while (found := self.length()) is not None and len(self.rest) >= found[0] + found[1]:
-            head, size = found
-            body = bytes(self.rest[head : head + size])
-            del self.rest[: head + size]
+        self.buffer += data
+        while (header := self.read_header()) is not None and len(self.buffer) >= header[0] + header[1]:
+            header_size, body_size = header
+            body = bytes(self.buffer[header_size : header_size + body_size])
+            del self.buffer[: header_size + body_size]
             try:
-                frame = self.kind.FromString(body)
+                frame = self.frame_type.FromString(body)
             except DecodeError as error:
                 raise WireError(f"no frame: {error}") from None
             if frame.WhichOneof("said") is None:
                 raise WireError("a frame that says nothing")
             yield frame
 
-    def length(self) -> tuple[int, int] | None:
-        """Bytes of the head, and the length that it tells."""
+    def read_header(self) -> tuple[int, int] | None:
+        """Return the size of the header and the length it encodes."""
         size = 0
-        for place, byte in enumerate(self.rest[:5]):
-            size |= (byte & 127) << 7 * place
-            if size > self.most:
+        for index, byte in enumerate(self.buffer[:5]):
+            size |= (byte & 127) << 7 * index
+            if size > self.max_bytes:
                 break
             if byte < 128:
-                return place + 1, size
-        if len(self.rest) >= 5 or size > self.most:
-            raise WireError(f"a frame of more than {self.most} bytes")
+                return index + 1, size
+        if len(self.buffer) >= 5 or size > self.max_bytes:
+            raise WireError(f"a frame of more than {self.max_bytes} bytes")
         return None
--- a/tests/test_council_disk.py
+++ b/tests/test_council_disk.py
@@ -100,7 +100,7 @@
     ) -> None:
         self.disk = Disk(store_settings, name, SilentLog(), folder)
         self.disk.keeper.store.commit.min_retry_ms = 0.0
-        self.pool: Any = self.disk.keeper.pool
+        self.pool: Any = self.disk.keeper.thread_pool
         self.written, self.last_sequence, self.failures = 0, 0, list[str]()
         self.disk.on_written, self.disk.on_failed = self.on_written, self.failures.append
         self.disk.start()
@@ -171,7 +171,9 @@
         room=st.booleans(),
     )
     def save(self, run: list[tuple[str, int]], room: bool) -> None:
-        self.session.disk.keeper.most = 1 << 20 if room else 5000  # of which the store reserves 4096
+        self.session.disk.keeper.max_pending_bytes = (
+            1 << 20 if room else 5000
+        )  # of which the store reserves 4096
         for what, size in run:
             now = replay_records(self.saved)
             last, base = now.log.last_index(), now.snapshot.index
@@ -243,8 +245,8 @@
 
     @invariant()
     def failure_is_reported(self) -> None:
-        if self.session.disk.keeper.failing:
-            assert self.session.failures[-1] == self.session.disk.keeper.failing
+        if self.session.disk.keeper.failure:
+            assert self.session.failures[-1] == self.session.disk.keeper.failure
 
     def teardown(self) -> None:
         if hasattr(self, "session"):
@@ -301,7 +303,7 @@
     session.save(*entries(1, 60))
     folder.full_from = folder.operations + 9
     session.settle()
-    assert 0 < session.written == session.disk.keeper.durable < 60 and session.failures
+    assert 0 < session.written == session.disk.keeper.durable_seq < 60 and session.failures
     folder.full_from = None
     assert session.written <= DiskSession(after_cut(session, folder)).disk.recovered.log.last_index() < 60
 
@@ -309,7 +311,7 @@
 def test_a_failed_snapshot_keeps_the_previous_one_and_the_records() -> None:
     folder = Folder(1)
     session = DiskSession(folder)
-    asked, tries = session.disk.keeper.ask, [True, True, True, False]
+    asked, tries = session.disk.keeper.run_in_thread, [True, True, True, False]
 
     def ask(what: Callable[[Store], None]) -> None:
         folder.failing_sync = tries.pop(0) if tries else True
@@ -319,7 +321,7 @@
             folder.failing_sync = False
             assert not [name for name in folder.names() if name.endswith(".new")]
 
-    session.disk.keeper.ask = ask  # type: ignore[method-assign, assignment]
+    session.disk.keeper.run_in_thread = ask  # type: ignore[method-assign, assignment]
     session.save(*entries(1, 9), Snapshot(5, 1, Configuration(), b"state"), *entries(10, 1))
     session.settle()
     assert session.written == 11 and not session.failures and not tries and not session.disk.pending_snapshot
@@ -336,13 +338,13 @@
 def test_records_after_a_newer_snapshot_wait_for_that_snapshot() -> None:
     folder = Folder(1)
     session = DiskSession(folder)
-    asked, gate, reported = session.disk.keeper.ask, Event(), list[tuple[int, int]]()
+    asked, gate, reported = session.disk.keeper.run_in_thread, Event(), list[tuple[int, int]]()
 
     def ask(what: Callable[[Store], None]) -> None:
         gate.wait()
         asked(what)
 
-    session.disk.keeper.ask = ask  # type: ignore[method-assign, assignment]
+    session.disk.keeper.run_in_thread = ask  # type: ignore[method-assign, assignment]
     session.save(*entries(1, 3), Snapshot(2, 1, Configuration(), b"old"))
     session.settle()
     session.save(Snapshot(9, 2, Configuration(), b"news"), *entries(10, 1))
--- a/tests/test_discovery_crossings.py
+++ b/tests/test_discovery_crossings.py
@@ -1,5 +1,8 @@
-"""Discovery where events cross: a watch that is lost in every way, a bus that numbers anew, spoilt events and
-hosts that change places within one event."""
+"""Races in discovery.
+
+A connection to the bus that is lost in various ways, a bus that restarts its numbering, invalid events, and
+hosts that exchange addresses within one event.
+"""
 
 from __future__ import annotations
 
@@ -21,19 +24,19 @@
 from harrieryoke.limits import Limits
 from harrieryoke.log import Log
 from harrieryoke.net import bus_follower
-from harrieryoke.net.bus_follower import BusFollower, LineBuffer, Moved, Told
-from harrieryoke.net.heartbeats import NEWS_DELAY_MS
-from harrieryoke.net.hostlist import BusEvent, BusSaid, HostListActor, Known, Topology
-from harrieryoke.net.hostlist_model import BusConfirmed, ListReplaced, Server, decode_line, worker_number
+from harrieryoke.net.bus_follower import AddressChanged, BusFollower, LineBuffer, LineReceived
+from harrieryoke.net.heartbeats import PROPAGATION_DELAY_MS
+from harrieryoke.net.hostlist import BusEvent, EventReceived, HostListActor, KnownEvents, Topology
+from harrieryoke.net.hostlist_model import ListConfirmed, ListReplaced, Server, decode_line, worker_number
 
 from .rig import SETTINGS
 
-PATIENCE = 20.0  # seconds until a step that should come soon is held to have failed
+TIMEOUT_S = 20.0  # for what should happen soon
 UP, DRAINING, GONE = i.WorkerStatus.UP, i.WorkerStatus.DRAINING, i.WorkerStatus.GONE
 
 
-class Lines(Log):
-    """Keeps what is logged, as `kind text`."""
+class RecordingLog(Log):
+    """Records what is logged, as `kind text`."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -42,7 +45,7 @@
     def __call__(self, kind: str, text: str = "", **fields: object) -> None:
         self.lines.append(f"{kind} {text}")
 
-    def of(self, kind: str) -> list[str]:
+    def of_kind(self, kind: str) -> list[str]:
         return [line for line in self.lines if line.split()[0] == kind]
 
 
@@ -54,65 +57,75 @@
     return json.dumps({"offset": offset, "topology": {"full": full, "servers": servers}}).encode() + b"\n"
 
 
-# --- the watch ---
+# --- the connection to the bus ---
 
 
 class Bus:
-    """The event bus as the test plays it."""
+    """The event bus, played by the test."""
 
     def __init__(self) -> None:
         self.listening = socket.socket()
         self.listening.bind(("127.0.0.1", 0))
         self.listening.listen()
-        self.listening.settimeout(PATIENCE)
+        self.listening.settimeout(TIMEOUT_S)
         self.conn: Any = None
 
-    def asked(self) -> str:
-        """Takes the next connection; what it asks for."""
+    def accept_request(self) -> str:
+        """Accept the next connection and return its request."""
         self.conn, _ = self.listening.accept()
-        self.conn.settimeout(PATIENCE)
+        self.conn.settimeout(TIMEOUT_S)
         asked: bytes = self.conn.makefile("rb").readline()
         return asked.decode().strip()
 
-    def say_until_lost(self, data: bytes, every_s: float) -> None:
-        """The same again and again, until the follower closes."""
-        with pytest.raises(OSError), gevent.Timeout(PATIENCE):
+    def send_until_closed(self, data: bytes, every_s: float) -> None:
+        """Send the same data repeatedly until the follower closes."""
+        with pytest.raises(OSError), gevent.Timeout(TIMEOUT_S):
             while True:
                 self.conn.sendall(data)
                 gevent.sleep(every_s)
 
-    def ended(self) -> bool:
+    def is_closed(self) -> bool:
         try:
             return not self.conn.recv(1)
         except ConnectionResetError:
             return True
 
 
-class Watch:
-    """A follower between a bus and a list that takes events only while `gate` is open."""
+class WatchedBus:
+    """A follower between a bus and a list that accepts events only while `accepting` is set."""
 
-    def __init__(self, last: int = 1, **limits: Any) -> None:
-        usual: dict[str, Any] = {"bus_backoff_ms": 10.0, "bus_quiet_ms": 5000.0} | limits
-        self.bus, self.told, self.log, self.gate = Bus(), list[BusSaid | ListReplaced](), Lines(), Event()
+    def __init__(self, last_offset: int = 1, **limits: Any) -> None:
+        changed: dict[str, Any] = {"bus_backoff_ms": 10.0, "bus_quiet_ms": 5000.0} | limits
+        self.bus, self.received, self.log, self.accepting = (
+            Bus(),
+            list[EventReceived | ListReplaced](),
+            RecordingLog(),
+            Event(),
+        )
         self.confirmed: list[float] = []
-        self.gate.set()
-        where = self.bus.listening.getsockname()[:2]
-        self.follower = BusFollower(where, last, replace(Limits(), **usual), self.log, self.tell)
+        self.accepting.set()
+        address = self.bus.listening.getsockname()[:2]
+        self.follower = BusFollower(
+            address, last_offset, replace(Limits(), **changed), self.log, self.receive
+        )
         self.follower.start()
 
-    def tell(self, said: BusSaid | ListReplaced | BusConfirmed) -> None:
-        if isinstance(said, BusConfirmed):
-            return self.confirmed.append(said.at)
-        self.told.append(said)
-        self.gate.wait()
+    def receive(self, message: EventReceived | ListReplaced | ListConfirmed) -> None:
+        if isinstance(message, ListConfirmed):
+            return self.confirmed.append(message.as_of)
+        self.received.append(message)
+        self.accepting.wait()
 
     def until(self, seen: Callable[[], object]) -> None:
-        with gevent.Timeout(PATIENCE):
+        with gevent.Timeout(TIMEOUT_S):
             while not seen():
                 gevent.sleep(0.002)
 
     def offsets(self) -> list[int]:
-        return [s.event.offset if isinstance(s, BusSaid) else -s.update.offset for s in self.told]
+        return [
+            message.event.offset if isinstance(message, EventReceived) else -message.update.offset
+            for message in self.received
+        ]
 
     def end(self) -> None:
         for greenlet in (self.follower.reader, self.follower.greenlet):
@@ -122,55 +135,55 @@
 
 
 @pytest.fixture
-def watch() -> Iterator[Callable[..., Watch]]:
-    made: list[Watch] = []
+def watch() -> Iterator[Callable[..., WatchedBus]]:
+    watches: list[WatchedBus] = []
 
-    def make(*args: Any, **limits: Any) -> Watch:
-        made.append(Watch(*args, **limits))
-        return made[-1]
+    def make(*args: Any, **limits: Any) -> WatchedBus:
+        watches.append(WatchedBus(*args, **limits))
+        return watches[-1]
 
     yield make
-    for each in made:
-        each.end()
+    for watched in watches:
+        watched.end()
 
 
-@pytest.mark.parametrize("drip", [b"1", b"\n", b" \n", b"{"])
-def test_a_watch_that_sends_bytes_and_no_whole_line_is_made_anew(
-    watch: Callable[..., Watch], drip: bytes
+@pytest.mark.parametrize("data", [b"1", b"\n", b" \n", b"{"])
+def test_a_bus_that_sends_bytes_but_no_complete_line_is_reconnected(
+    watch: Callable[..., WatchedBus], data: bytes
 ) -> None:
     w = watch(bus_quiet_ms=300.0, bus_line_ms=600.0)
-    assert w.bus.asked() == "from 1"
-    w.bus.say_until_lost(drip, 0.05)
-    assert w.bus.asked() == "from 1" and w.told == []
+    assert w.bus.accept_request() == "from 1"
+    w.bus.send_until_closed(data, 0.05)
+    assert w.bus.accept_request() == "from 1" and w.received == []
 
 
-def test_blank_lines_that_are_always_there_to_be_read_keep_no_watch_alive(
-    watch: Callable[..., Watch],
+def test_continuous_blank_lines_do_not_keep_a_connection_alive(
+    watch: Callable[..., WatchedBus],
 ) -> None:
     w = watch(bus_quiet_ms=300.0)
-    assert w.bus.asked() == "from 1"
-    w.bus.say_until_lost(b"\n" * 4096, 0)
-    assert w.bus.asked() == "from 1" and w.told == []
+    assert w.bus.accept_request() == "from 1"
+    w.bus.send_until_closed(b"\n" * 4096, 0)
+    assert w.bus.accept_request() == "from 1" and w.received == []
 
 
-def test_a_read_waits_no_longer_than_until_the_line_is_due() -> None:
+def test_a_read_times_out_when_the_line_is_due() -> None:
     buffer = LineBuffer(Limits(bus_quiet_ms=2000.0, bus_line_ms=4000.0), 0.0)
-    assert buffer.feed(b"1\n\n", 500.0) == [b"1"] and buffer.patience_ms(700.0) == 1800.0
-    assert buffer.feed(b"{", 2000.0) == [] and buffer.patience_ms(2500.0) == 2000.0
-    assert buffer.feed(b"}", 5900.0) == [] and buffer.patience_ms(5900.0) == 100.0
+    assert buffer.feed(b"1\n\n", 500.0) == [b"1"] and buffer.read_timeout_ms(700.0) == 1800.0
+    assert buffer.feed(b"{", 2000.0) == [] and buffer.read_timeout_ms(2500.0) == 2000.0
+    assert buffer.feed(b"}", 5900.0) == [] and buffer.read_timeout_ms(5900.0) == 100.0
     with pytest.raises(ValueError, match="no whole line in time"):
         buffer.feed(b" ", 6001.0)
 
 
-def test_a_long_line_may_take_longer_than_a_heartbeat(watch: Callable[..., Watch]) -> None:
+def test_a_long_line_may_take_longer_than_a_heartbeat(watch: Callable[..., WatchedBus]) -> None:
     w = watch(bus_quiet_ms=800.0, bus_line_ms=60_000.0)
-    assert w.bus.asked() == "from 1"
+    assert w.bus.accept_request() == "from 1"
     line = event(2, entry("h1", 1))
     for n in range(len(line)):
         w.bus.conn.sendall(line[n : n + 1])
         gevent.sleep(1.2 / len(line))
     w.until(lambda: w.offsets() == [2])
-    assert not w.log.of("bus-lost")
+    assert not w.log.of_kind("bus-lost")
 
 
 @pytest.mark.parametrize(
@@ -184,247 +197,265 @@
         (b"1\n", False),
     ],
 )
-def test_a_watch_that_is_lost_again_and_again_is_made_anew_with_growing_bounded_pauses(
-    watch: Callable[..., Watch], said: bytes, closes: bool
+def test_repeated_losses_of_the_bus_are_retried_with_bounded_exponential_backoff(
+    watch: Callable[..., WatchedBus], said: bytes, closes: bool
 ) -> None:
-    """It ends, names events that never come, or falls silent with its connection open."""
+    """The connection ends, names events that never come, or falls silent while open."""
     w = watch(bus_quiet_ms=60_000.0 if closes or b"9" in said else 200.0, bus_backoff_most_ms=60.0)
     pauses = []
     for _ in range(5):
-        assert w.bus.asked() == "from 1"
-        pauses.append(w.follower.pause)
+        assert w.bus.accept_request() == "from 1"
+        pauses.append(w.follower.backoff_ms)
         w.bus.conn.sendall(said)
         if closes:
             w.bus.conn.close()
     assert pauses == [10.0, 20.0, 40.0, 60.0, 60.0]
 
 
-def test_a_watch_that_falls_silent_late_is_followed_from_its_last_event(watch: Callable[..., Watch]) -> None:
+def test_a_bus_that_falls_silent_is_followed_from_its_last_event(
+    watch: Callable[..., WatchedBus],
+) -> None:
     w = watch(bus_quiet_ms=300.0)
-    assert w.bus.asked() == "from 1"
+    assert w.bus.accept_request() == "from 1"
     w.bus.conn.sendall(event(2, entry("h1", 1)) + b"2\n")
-    assert w.bus.ended() and w.bus.asked() == "from 2" and w.offsets() == [2]
+    assert w.bus.is_closed() and w.bus.accept_request() == "from 2" and w.offsets() == [2]
 
 
-# --- a move ---
+# --- a change of address ---
 
 
-def test_a_move_drops_the_half_line_and_asks_from_the_last_whole_event(watch: Callable[..., Watch]) -> None:
+def test_a_change_of_address_drops_a_partial_line_and_continues_from_the_last_event(
+    watch: Callable[..., WatchedBus],
+) -> None:
     w, other = watch(), Bus()
-    assert w.bus.asked() == "from 1"
+    assert w.bus.accept_request() == "from 1"
     w.bus.conn.sendall(event(2, entry("h1", 1)) + event(3, entry("old", 2))[:30])
     w.until(lambda: w.offsets() == [2])
-    w.follower.move(other.listening.getsockname()[:2])
-    assert other.asked() == "from 2" and w.bus.ended()
+    w.follower.change_address(other.listening.getsockname()[:2])
+    assert other.accept_request() == "from 2" and w.bus.is_closed()
     other.conn.sendall(event(3, entry("new", 2)))
     w.until(lambda: w.offsets() == [2, 3])
-    assert isinstance(said := w.told[1], BusSaid) and said.event.topology is not None
+    assert isinstance(said := w.received[1], EventReceived) and said.event.topology is not None
     assert [s.id for s in said.event.topology.servers] == ["new"]
 
 
-def test_a_line_queued_behind_a_move_is_dropped_and_one_before_it_counts(watch: Callable[..., Watch]) -> None:
+def test_a_line_queued_after_a_change_of_address_is_dropped_and_one_before_it_counts(
+    watch: Callable[..., WatchedBus],
+) -> None:
     w, other = watch(), Bus()
-    assert w.bus.asked() == "from 1"
-    w.gate.clear()
+    assert w.bus.accept_request() == "from 1"
+    w.accepting.clear()
     w.bus.conn.sendall(event(2) + event(3))
-    w.until(lambda: w.told and len(w.follower.mailbox) == 1)  # 2 is in hand, 3 is queued
-    w.follower.move(other.listening.getsockname()[:2])
+    w.until(
+        lambda: w.received and len(w.follower.mailbox) == 1
+    )  # event 2 is being handled, event 3 is queued
+    w.follower.change_address(other.listening.getsockname()[:2])
     w.bus.conn.sendall(event(4))
     w.until(lambda: len(w.follower.mailbox) == 3)
-    w.gate.set()
-    assert other.asked() == "from 3"
+    w.accepting.set()
+    assert other.accept_request() == "from 3"
     other.conn.sendall(event(5))
-    w.until(lambda: len(w.told) == 3)
+    w.until(lambda: len(w.received) == 3)
     assert w.offsets() == [2, 3, 5]
 
 
-# --- a bus that numbers anew ---
+# --- a bus that restarts its numbering ---
 
-ANEW = event(1, entry("h1", 1), entry("h2", 2), full=True) + event(2, entry("h2", 2, "left"), entry("h3", 3))
+RENUMBERED = event(1, entry("h1", 1), entry("h2", 2), full=True) + event(
+    2, entry("h2", 2, "left"), entry("h3", 3)
+)
 
 
-def test_a_bus_that_numbers_anew_is_fetched_from_its_first_event_and_taken_as_one_list(
-    watch: Callable[..., Watch],
+def test_a_bus_that_restarts_its_numbering_is_fetched_from_its_first_event_as_one_list(
+    watch: Callable[..., WatchedBus],
 ) -> None:
     w = watch(5, bus_anew_ms=300.0)
-    assert w.bus.asked() == "from 5"
-    w.bus.say_until_lost(event(3, entry("old", 9)) + b"2\n", 0.02)
-    assert w.bus.asked() == "from 0"
-    w.bus.conn.sendall(ANEW)
-    w.bus.conn.close()  # before it has named its number: nothing may be taken yet
-    assert w.bus.asked() == "from 0" and w.told == []
-    w.bus.conn.sendall(ANEW + b"2\n" + event(2, entry("old", 9)) + event(3, entry("h4", 4)))
+    assert w.bus.accept_request() == "from 5"
+    w.bus.send_until_closed(event(3, entry("old", 9)) + b"2\n", 0.02)
+    assert w.bus.accept_request() == "from 0"
+    w.bus.conn.sendall(RENUMBERED)
+    w.bus.conn.close()  # before the bus has named its number: no event may be applied yet
+    assert w.bus.accept_request() == "from 0" and w.received == []
+    w.bus.conn.sendall(RENUMBERED + b"2\n" + event(2, entry("old", 9)) + event(3, entry("h4", 4)))
     w.until(lambda: w.offsets() == [-2, 3])
-    assert isinstance(said := w.told[0], ListReplaced)
-    assert said.update.whole and {s.id: s.addr[-1] for s in said.update.servers.values()} == {
+    assert isinstance(said := w.received[0], ListReplaced)
+    assert said.update.is_full and {s.id: s.addr[-1] for s in said.update.servers.values()} == {
         "h1": "1",
         "h3": "3",
     }
 
 
-def events_into(told: list[Any]) -> Callable[[object], None]:
-    """Keeps what tells of the list, and not that it is confirmed."""
-    return lambda said: None if isinstance(said, BusConfirmed) else told.append(said)
+def events_into(received: list[Any]) -> Callable[[object], None]:
+    """Return a receiver that stores changes of the list and ignores confirmations."""
+    return lambda message: None if isinstance(message, ListConfirmed) else received.append(message)
 
 
 def followed(patch: pytest.MonkeyPatch, last: int) -> tuple[BusFollower, list[Any], list[float]]:
-    """A follower without a reader, under a clock of the test."""
-    clock, told = [0.0], list[Any]()
+    """Return a follower without a reader, on a clock that the test sets."""
+    clock, received = [0.0], list[Any]()
     patch.setattr(bus_follower, "now_ms", lambda: clock[0])
     patch.setattr(bus_follower, "spawn", lambda *reader: None)
-    follower = BusFollower(("", 1), last, Limits(), Lines(), events_into(told))
+    follower = BusFollower(("", 1), last, Limits(), RecordingLog(), events_into(received))
     follower.connect(0.0)
-    return follower, told, clock
+    return follower, received, clock
 
 
 @pytest.mark.parametrize("between", [b"5", event(6), event(3)])
-def test_a_number_below_the_last_event_has_to_stay_there(
+def test_only_a_lasting_number_below_the_last_event_counts_as_restarted_numbering(
     monkeypatch: pytest.MonkeyPatch, between: bytes
 ) -> None:
-    """A newer event or the right number in between begins the time anew; an old event changes nothing."""
+    """A newer event or the right number in between restarts the period; an old event has no effect."""
     follower, _, clock = followed(monkeypatch, 5)
     for at, line in ((0.0, b"2"), (4000.0, between), (5000.0, b"2"), (8000.0, b"2")):
         clock[0] = at
-        follower.receive(Told(follower.connection, line))
+        follower.receive(LineReceived(follower.connection, line))
     assert (follower.snapshot is not None) == (between == event(3))
     clock[0] = 12_500.0
-    follower.receive(Told(follower.connection, b"2"))
+    follower.receive(LineReceived(follower.connection, b"2"))
     assert follower.snapshot is not None or between == event(3)
 
 
-def test_a_new_numbering_without_events_or_without_a_whole_one_empties_no_list(
+def test_a_restarted_numbering_without_a_full_list_does_not_empty_the_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    follower, told, clock = followed(monkeypatch, 5)
+    follower, received, clock = followed(monkeypatch, 5)
     for at in (0.0, 8000.0, 9000.0):
         clock[0] = at
-        follower.receive(Told(follower.connection, b"0"))
-    assert told == [] and follower.last == 0
+        follower.receive(LineReceived(follower.connection, b"0"))
+    assert received == [] and follower.last_offset == 0
     for line in (event(1, entry("h1", 1)), b"1"):
-        follower.receive(Told(follower.connection, line))
-    assert [t.update.whole for t in told] == [False]
+        follower.receive(LineReceived(follower.connection, line))
+    assert [t.update.is_full for t in received] == [False]
 
 
-def test_an_event_under_a_spoilt_high_offset_keeps_later_ones_from_being_heard_for_a_while_only(
+def test_an_event_with_a_wrong_high_offset_hides_later_events_only_temporarily(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    follower, told, clock = followed(monkeypatch, 5)
+    follower, received, clock = followed(monkeypatch, 5)
     high = event(2**52, entry("h6", 6))
     for at, line in ((0.0, high), (1.0, b"6"), (8000.0, b"6")):
         clock[0] = at
-        follower.receive(Told(follower.connection, line))
+        follower.receive(LineReceived(follower.connection, line))
     for line in (event(1, entry("h1", 1), full=True), high, b"6", event(7, entry("h7", 7))):
-        follower.receive(Told(follower.connection, line))
-    assert [list(t.update.servers) for t in told[1:2]] == [["h1", "h6"]]
-    assert [t.event.offset for t in told[2:]] == [7]
+        follower.receive(LineReceived(follower.connection, line))
+    assert [list(t.update.servers) for t in received[1:2]] == [["h1", "h6"]]
+    assert [t.event.offset for t in received[2:]] == [7]
 
 
-def test_a_move_in_the_middle_of_fetching_begins_at_the_first_event_again(
+def test_a_change_of_address_during_a_snapshot_restarts_it_from_the_first_event(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    follower, told, clock = followed(monkeypatch, 5)
+    follower, received, clock = followed(monkeypatch, 5)
     for at in (0.0, 8000.0):
         clock[0] = at
-        follower.receive(Told(follower.connection, b"2"))
-    first, second = ANEW.splitlines()
+        follower.receive(LineReceived(follower.connection, b"2"))
+    first, second = RENUMBERED.splitlines()
     old = follower.connection
-    for message in (Told(old, first), Moved(("", 2)), Told(old, second), Told(old, b"2")):
+    for message in (
+        LineReceived(old, first),
+        AddressChanged(("", 2)),
+        LineReceived(old, second),
+        LineReceived(old, b"2"),
+    ):
         follower.receive(message)
-    assert told == [] and follower.last == 0
-    for line in (event(1, entry("h7", 7)), b"1"):  # not whole, so that nothing but the move clears the others
-        follower.receive(Told(follower.connection, line))
-    assert [list(t.update.servers) for t in told] == [["h7"]]
+    assert received == [] and follower.last_offset == 0
+    for line in (
+        event(1, entry("h7", 7)),
+        b"1",
+    ):  # not a full list, so that only the change of address discards the others
+        follower.receive(LineReceived(follower.connection, line))
+    assert [list(t.update.servers) for t in received] == [["h7"]]
 
 
-# --- how old the list is ---
+# --- confirmations of the list ---
 
-CONFIRMED: dict[str, tuple[list[tuple[float, bytes]], list[float]]] = {
-    "the first heartbeat tells no more than of the connection": ([(900.0, b"5")], [0.0]),
-    "each further one tells of a second more": ([(900.0, b"5"), (1900.0, b"5")], [0.0, 1000.0]),
-    "late ones that come together are as old as they are": ([(6000.0, b"5")] * 3, [0.0, 1000.0, 2000.0]),
+CONFIRMATIONS: dict[str, tuple[list[tuple[float, bytes]], list[float]]] = {
+    "the first heartbeat confirms the start of the connection": ([(900.0, b"5")], [0.0]),
+    "each further one confirms one more second": ([(900.0, b"5"), (1900.0, b"5")], [0.0, 1000.0]),
+    "late ones that arrive together confirm no more": ([(6000.0, b"5")] * 3, [0.0, 1000.0, 2000.0]),
     "none was written after it was read": ([(10.0, b"5"), (20.0, b"5")], [0.0, 20.0]),
-    "an event tells nothing of others": ([(10.0, event(6))], []),
-    "the number of an event that has come": ([(10.0, event(6)), (900.0, b"6")], [0.0]),
-    "the number of one that has not": ([(900.0, b"6")], []),
-    "the number as an event that says nothing else": ([(900.0, b'{"offset":5}')], [0.0]),
-    "and of one that has not come": ([(900.0, b'{"offset":6}')], []),
+    "an event confirms nothing": ([(10.0, event(6))], []),
+    "the number of an event that was received": ([(10.0, event(6)), (900.0, b"6")], [0.0]),
+    "the number of one that was not": ([(900.0, b"6")], []),
+    "the number as an event without a topology": ([(900.0, b'{"offset":5}')], [0.0]),
+    "and of one that was not received": ([(900.0, b'{"offset":6}')], []),
     "a number below the last": ([(900.0, b"4")], []),
-    "not while a line is left out": ([(1.0, b"{"), (2.0, b"{"), (900.0, b"6"), (1900.0, b"6")], []),
-    "again after a whole list": (
+    "none while a line is skipped": ([(1.0, b"{"), (2.0, b"{"), (900.0, b"6"), (1900.0, b"6")], []),
+    "again after a full list": (
         [(1.0, b"{"), (2.0, b"{"), (900.0, b"6"), (950.0, event(7, full=True)), (1900.0, b"7")],
-        [1051.0],  # the line was asked for once more, on a connection of its own: 1 ms and the pause later
+        [1051.0],  # the line was requested once more on a new connection: 1 ms and the back-off later
     ),
 }
 
 
-@pytest.mark.parametrize("case", CONFIRMED)
-def test_a_heartbeat_with_our_last_number_confirms_the_list_as_of_when_it_may_have_been_written(
+@pytest.mark.parametrize("case", CONFIRMATIONS)
+def test_a_heartbeat_with_the_last_number_confirms_the_list_as_of_its_earliest_writing(
     monkeypatch: pytest.MonkeyPatch, case: str
 ) -> None:
-    lines, expected = CONFIRMED[case]
+    lines, expected = CONFIRMATIONS[case]
     follower, _, clock = followed(monkeypatch, 5)
-    heard: list[Any] = []
-    follower.tell_list = heard.append
+    received: list[Any] = []
+    follower.send_to_list = received.append
     for at, line in lines:
         clock[0] = at
-        follower.receive(Told(follower.connection, line))
-    confirmed = [said.at + NEWS_DELAY_MS for said in heard if isinstance(said, BusConfirmed)]
+        follower.receive(LineReceived(follower.connection, line))
+    confirmed = [said.as_of + PROPAGATION_DELAY_MS for said in received if isinstance(said, ListConfirmed)]
     assert confirmed == expected
 
 
 @pytest.mark.parametrize(
-    "period, latency, remade",
+    "period, latency, reconnects",
     [(1000.0, 0.0, 0), (1010.0, 0.0, 5), (1100.0, 0.0, 46), (1300.0, 0.0, 100), (1000.0, 3000.0, 0)],
 )
-def test_a_bus_whose_heartbeats_come_rarely_is_connected_anew_before_they_seem_old(
-    monkeypatch: pytest.MonkeyPatch, period: float, latency: float, remade: int
+def test_a_bus_with_infrequent_heartbeats_is_reconnected_before_the_list_seems_old(
+    monkeypatch: pytest.MonkeyPatch, period: float, latency: float, reconnects: int
 ) -> None:
-    """Where they only come late, by a slow link, another connection would not help."""
+    """If they are merely late because of a slow link, another connection would not help."""
     follower, _, clock = followed(monkeypatch, 5)
-    heard: list[Any] = []
-    follower.tell_list = heard.append
+    received: list[Any] = []
+    follower.send_to_list = received.append
     first, most = follower.connection, max(follower.limits.bus_lag_ms, 2 * (latency + period))
     for n in range(1, 601):
         clock[0] = n * period + latency
-        follower.receive(Told(follower.connection, b"5"))
-        assert clock[0] - heard[-1].at <= most + NEWS_DELAY_MS + period
-    assert follower.connection - first == remade
+        follower.receive(LineReceived(follower.connection, b"5"))
+        assert clock[0] - received[-1].as_of <= most + PROPAGATION_DELAY_MS + period
+    assert follower.connection - first == reconnects
 
 
 # --- the list ---
 
 
-class List:
-    """The list's actor, driven by lines of the bus; `module` is what the module knows."""
+class DrivenList:
+    """The list's actor, driven by lines of the bus; `module` is the module's view of the list."""
 
     def __init__(self) -> None:
-        self.log, self.module, self.ports = Lines(), dict[int, i.WorkerEntry](), dict[int, Any]()
+        self.log, self.module, self.ports = RecordingLog(), dict[int, i.WorkerEntry](), dict[int, Any]()
         self.confirmed: list[i.ListConfirmed] = []
-        told = self.tell
-        self.actor = HostListActor(SETTINGS, Limits(), self.log, told, lambda ended: None, Metrics())
+        receive = self.receive
+        self.actor = HostListActor(SETTINGS, Limits(), self.log, receive, lambda ended: None, Metrics())
         self.offset = 0
 
-    def tell(self, listed: WorkersChanged | WorkerListConfirmed) -> None:
-        if isinstance(listed, WorkerListConfirmed):
-            return self.confirmed.append(listed.event)
-        workers = [e.worker for e in listed.event.workers]
-        assert len(workers) == len(set(workers)), "two words on one host"
-        if listed.event.scope is not i.ListScope.CHANGES:
+    def receive(self, message: WorkersChanged | WorkerListConfirmed) -> None:
+        if isinstance(message, WorkerListConfirmed):
+            return self.confirmed.append(message.event)
+        workers = [e.worker for e in message.event.workers]
+        assert len(workers) == len(set(workers)), "two entries for one host"
+        if message.event.scope is not i.ListScope.CHANGES:
             self.module, self.ports = {}, {}
-        self.ports |= listed.ports
-        self.module |= {e.worker: e for e in listed.event.workers}
+        self.ports |= message.ports
+        self.module |= {e.worker: e for e in message.event.workers}
         self.module = {w: e for w, e in self.module.items() if e.status is not GONE}
 
-    def say(self, *servers: Any, full: bool = False) -> None:
+    def send_event(self, *servers: Any, full: bool = False) -> None:
         self.offset += 1
-        said = decode_line(event(self.offset, *servers, full=full))
-        assert isinstance(said, BusSaid)
-        self.actor.receive(said)
+        message = decode_line(event(self.offset, *servers, full=full))
+        assert isinstance(message, EventReceived)
+        self.actor.receive(message)
 
     def state(self) -> dict[str, tuple[i.WorkerStatus, int]]:
-        """Drain and port of each host; the module and the hosts' actors agree on them."""
+        """Return status and port of each host; the module and the hosts' actors must agree on them."""
         hosts = self.actor.hosts
-        state = {id: (standing.drain, standing.address[1]) for id, (standing, _) in hosts.items()}
+        state = {id: (status.state, status.address[1]) for id, (status, _) in hosts.items()}
         assert {worker_number(id): drain for id, (drain, _) in state.items()} == {
             worker: e.status for worker, e in self.module.items()
         }
@@ -434,18 +465,18 @@
 
 
 @pytest.fixture
-def listed() -> Iterator[List]:
+def listed() -> Iterator[DrivenList]:
     """A list of h1 and h2."""
-    made = List()
-    made.say(entry("h1", 1), entry("h2", 2), full=True)
-    yield made
-    for id in list(made.actor.hosts):
-        made.actor.strike(id, now=True)
+    driven = DrivenList()
+    driven.send_event(entry("h1", 1), entry("h2", 2), full=True)
+    yield driven
+    for id in list(driven.actor.hosts):
+        driven.actor.remove_host(id, immediately=True)
     gevent.sleep(0)
 
 
 BOTH = {"h1": (UP, 1), "h2": (UP, 2)}
-SPOILT: dict[str, tuple[str, Any]] = {
+INVALID_FIELDS: dict[str, tuple[str, Any]] = {
     "a label too long": ("addr", "a" * 64 + ".tn:1"),
     "an empty label": ("addr", "a..tn:1"),
     "a name too long": ("addr", "a." * 200 + "tn:1"),
@@ -468,96 +499,101 @@
 
 
 @pytest.mark.parametrize("full", [False, True])
-@pytest.mark.parametrize("case", SPOILT)
-def test_a_spoilt_entry_is_named_once_and_its_host_keeps_its_former_state(
-    listed: List, case: str, full: bool
+@pytest.mark.parametrize("case", INVALID_FIELDS)
+def test_an_invalid_entry_is_logged_once_and_its_host_keeps_its_previous_state(
+    listed: DrivenList, case: str, full: bool
 ) -> None:
-    field, value = SPOILT[case]
-    spoilt = entry("h1", 1, "leaving") | {field: value}
-    if isinstance(value, float):  # what JSON can't say comes from a reader that is less strict
-        servers = [Server(**spoilt), Server(**entry("h3", 3))]
-        listed.actor.receive(BusSaid(BusEvent(2, Topology(servers, full=full))))
+    field, value = INVALID_FIELDS[case]
+    invalid = entry("h1", 1, "leaving") | {field: value}
+    if isinstance(value, float):  # values that JSON can't express, as a less strict decoder would return them
+        servers = [Server(**invalid), Server(**entry("h3", 3))]
+        listed.actor.receive(EventReceived(BusEvent(2, Topology(servers, full=full))))
     else:
-        listed.say(spoilt, entry("h3", 3), full=full)
+        listed.send_event(invalid, entry("h3", 3), full=full)
     assert listed.state() == {"h1": (UP, 1), "h3": (UP, 3)} | ({} if full else {"h2": (UP, 2)})
-    (line,) = listed.log.of("bad-event")
+    (line,) = listed.log.of_kind("bad-event")
     assert line.startswith("bad-event event 2: model host 'h1': ") and len(line) < 400
     assert f"h1': {field}: " in line or "entry: " in line
 
 
 @pytest.mark.parametrize("id", ["", "h" * 257, 7, None])
-def test_a_whole_list_with_an_entry_that_names_no_host_strikes_none(listed: List, id: Any) -> None:
-    listed.say(entry("h3", 3), entry("x", 9) | {"id": id}, full=True)
-    assert listed.state() == BOTH | {"h3": (UP, 3)} and len(listed.log.of("bad-event")) == 1
+def test_a_full_list_with_an_entry_without_a_host_removes_no_host(listed: DrivenList, id: Any) -> None:
+    listed.send_event(entry("h3", 3), entry("x", 9) | {"id": id}, full=True)
+    assert listed.state() == BOTH | {"h3": (UP, 3)} and len(listed.log.of_kind("bad-event")) == 1
 
 
-def test_an_unknown_zone_is_named_and_the_host_is_heard_all_the_same(listed: List) -> None:
-    """The settings may name it only at the next SIGHUP; a host that drains there has to get nothing new."""
-    listed.say(entry("h1", 1, "leaving", zone="nowhere", kind="odd"))
+def test_an_unknown_zone_is_logged_and_the_host_is_used_nevertheless(listed: DrivenList) -> None:
+    """The next SIGHUP may load the zone; until then a host that drains there must get nothing new."""
+    listed.send_event(entry("h1", 1, "leaving", zone="nowhere", kind="odd"))
     assert listed.state() == BOTH | {"h1": (DRAINING, 1)}
-    (line,) = listed.log.of("bad-event")
+    (line,) = listed.log.of_kind("bad-event")
     assert "event 2: model host 'h1': zone: 'nowhere'" in line
 
 
 @pytest.mark.parametrize("full", [False, True])
-def test_a_host_whose_entry_was_spoilt_is_confirmed_by_its_next_good_one_alone(
-    listed: List, full: bool
+def test_a_host_with_an_invalid_entry_is_confirmed_only_by_its_next_valid_one(
+    listed: DrivenList, full: bool
 ) -> None:
-    listed.say(entry("h1", 1, "?"), entry("h2", 2), full=full)
-    listed.actor.receive(BusConfirmed(5.0))
-    listed.say(entry("h1", 1))
-    listed.actor.receive(BusConfirmed(6.0))
+    listed.send_event(entry("h1", 1, "?"), entry("h2", 2), full=full)
+    listed.actor.receive(ListConfirmed(5.0))
+    listed.send_event(entry("h1", 1))
+    listed.actor.receive(ListConfirmed(6.0))
     assert listed.confirmed == [
         i.ListConfirmed(5.0, frozenset({worker_number("h1")})),
         i.ListConfirmed(6.0),
     ]
 
 
-def test_an_entry_that_may_have_meant_any_host_keeps_the_list_unconfirmed_until_a_whole_one(
-    listed: List,
+def test_an_entry_that_may_concern_any_host_leaves_the_list_unconfirmed_until_a_full_one(
+    listed: DrivenList,
 ) -> None:
-    listed.say(entry("", 1))
-    listed.actor.receive(BusConfirmed(5.0))
-    listed.say(entry("h1", 1))
-    listed.actor.receive(BusConfirmed(6.0))
+    listed.send_event(entry("", 1))
+    listed.actor.receive(ListConfirmed(5.0))
+    listed.send_event(entry("h1", 1))
+    listed.actor.receive(ListConfirmed(6.0))
     assert listed.confirmed == []
-    listed.say(entry("h1", 1), full=True)
-    listed.actor.receive(BusConfirmed(7.0))
+    listed.send_event(entry("h1", 1), full=True)
+    listed.actor.receive(ListConfirmed(7.0))
     assert listed.confirmed == [i.ListConfirmed(7.0)]
 
 
-def test_the_list_of_the_start_is_as_old_as_the_file_that_holds_it() -> None:
-    made = List()
-    made.actor.begin(Known(1, [BusEvent(1, Topology([Server(**entry("h1", 1))]))]), as_of=5.0)
-    assert made.confirmed == [i.ListConfirmed(5.0 - NEWS_DELAY_MS)]
-    made.actor.strike("h1", now=True)
+def test_the_initial_list_is_as_old_as_its_file() -> None:
+    driven = DrivenList()
+    driven.actor.load_initial(KnownEvents(1, [BusEvent(1, Topology([Server(**entry("h1", 1))]))]), as_of=5.0)
+    assert driven.confirmed == [i.ListConfirmed(5.0 - PROPAGATION_DELAY_MS)]
+    driven.actor.remove_host("h1", immediately=True)
     gevent.sleep(0)
 
 
-WHOLE: dict[str, tuple[list[Any], dict[str, tuple[i.WorkerStatus, int]]]] = {
+FULL_LISTS: dict[str, tuple[list[Any], dict[str, tuple[i.WorkerStatus, int]]]] = {
     "lacks a host": ([entry("h2", 2)], {"h2": (UP, 2)}),
     "is empty": ([], {}),
-    "can't be read in any entry": ([entry("h1", 1, "?"), entry("h2", 99999), 7], BOTH),
-    "can't be read in any entry, and each names its host": ([entry("h1", 1, "?")], BOTH),
+    "has only invalid entries": ([entry("h1", 1, "?"), entry("h2", 99999), 7], BOTH),
+    "has only invalid entries that name their hosts": ([entry("h1", 1, "?")], BOTH),
     "is repeated": ([entry("h1", 1), entry("h2", 2)], BOTH),
     "names a host twice": ([entry("h1", 3, "leaving"), entry("h1", 1), entry("h2", 2)], BOTH),
-    "names a host twice, spoilt at last": ([entry("h1", 1), entry("h2", 2), entry("h1", 1, "?")], BOTH),
+    "names a host twice, the second time invalid": (
+        [entry("h1", 1), entry("h2", 2), entry("h1", 1, "?")],
+        BOTH,
+    ),
 }
 
 
-@pytest.mark.parametrize("case", WHOLE)
-def test_a_whole_list_says_who_is_there_and_a_spoilt_one_changes_nothing(listed: List, case: str) -> None:
-    servers, expected = WHOLE[case]
+@pytest.mark.parametrize("case", FULL_LISTS)
+def test_a_full_list_replaces_the_list_and_an_invalid_one_changes_nothing(
+    listed: DrivenList, case: str
+) -> None:
+    servers, expected = FULL_LISTS[case]
     before = {id: actor for id, (_, actor) in listed.actor.hosts.items()}
-    listed.say(*servers, full=True)
+    listed.send_event(*servers, full=True)
     assert listed.state() == expected
     assert all(listed.actor.hosts[id][1] is before[id] for id in expected)
 
 
-def test_a_whole_list_crosses_a_change_by_its_offset_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An old or repeated one changes nothing, a newer one everything."""
-    follower, told, _ = followed(monkeypatch, 2)
-    made = List()
+def test_a_full_list_and_changes_are_ordered_by_offset_alone(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An old or repeated list has no effect; a newer one replaces everything."""
+    follower, received, _ = followed(monkeypatch, 2)
+    driven = DrivenList()
     for line in (
         event(3, entry("h1", 1)),
         event(2, entry("h2", 2), full=True),
@@ -565,69 +601,72 @@
         event(4, entry("h1", 1, "left"), entry("h4", 4), full=True),
         event(4, full=True),
     ):
-        follower.receive(Told(follower.connection, line))
-    for said in told:
-        made.actor.receive(said)
-    assert made.state() == {"h4": (UP, 4)} and follower.last == 4
-    made.actor.strike("h4", now=True)
+        follower.receive(LineReceived(follower.connection, line))
+    for said in received:
+        driven.actor.receive(said)
+    assert driven.state() == {"h4": (UP, 4)} and follower.last_offset == 4
+    driven.actor.remove_host("h4", immediately=True)
     gevent.sleep(0)
 
 
-# one event, in either order of its entries, to a list of h1 at 1 and h2 at 2
-TOGETHER: dict[str, tuple[list[Any], dict[str, tuple[i.WorkerStatus, int]]]] = {
-    "left, its address another's": ([entry("h1", 1, "left"), entry("n", 1)], {"n": (UP, 1), "h2": (UP, 2)}),
-    "drains, its address another's": (
+# one event, in either order of its entries, applied to a list of h1 at port 1 and h2 at port 2
+SIMULTANEOUS_CHANGES: dict[str, tuple[list[Any], dict[str, tuple[i.WorkerStatus, int]]]] = {
+    "left, with its address reused": ([entry("h1", 1, "left"), entry("n", 1)], {"n": (UP, 1), "h2": (UP, 2)}),
+    "drains, with its address reused": (
         [entry("h1", 1, "leaving"), entry("n", 1)],
         {"n": (UP, 1), "h2": (UP, 2)},
     ),
-    "moves to one that left": ([entry("h1", 2), entry("h2", 2, "left")], {"h1": (UP, 2)}),
-    "change places": ([entry("h1", 2), entry("h2", 1)], {"h1": (UP, 2), "h2": (UP, 1)}),
-    "moves to one that moves": ([entry("h1", 2), entry("h2", 3)], {"h1": (UP, 2), "h2": (UP, 3)}),
+    "moves to the address of one that left": ([entry("h1", 2), entry("h2", 2, "left")], {"h1": (UP, 2)}),
+    "exchange addresses": ([entry("h1", 2), entry("h2", 1)], {"h1": (UP, 2), "h2": (UP, 1)}),
+    "moves to the address of one that moves": (
+        [entry("h1", 2), entry("h2", 3)],
+        {"h1": (UP, 2), "h2": (UP, 3)},
+    ),
 }
 
 
-@pytest.mark.parametrize("turned", [False, True])
-@pytest.mark.parametrize("case", TOGETHER)
-def test_hosts_that_change_places_in_one_event_do_so_in_either_order(
-    listed: List, case: str, turned: bool
+@pytest.mark.parametrize("is_reversed", [False, True])
+@pytest.mark.parametrize("case", SIMULTANEOUS_CHANGES)
+def test_hosts_that_exchange_addresses_in_one_event_do_so_in_either_order(
+    listed: DrivenList, case: str, is_reversed: bool
 ) -> None:
-    servers, expected = TOGETHER[case]
+    servers, expected = SIMULTANEOUS_CHANGES[case]
     before = {id: listed.actor.hosts[id] for id in listed.actor.hosts}
-    listed.say(*(servers[::-1] if turned else servers))
+    listed.send_event(*(servers[::-1] if is_reversed else servers))
     assert listed.state() == expected
-    for id, (standing, _) in before.items():
-        where = {port: other for other, (_, port) in expected.items()}.get(standing.address[1], id)
-        assert standing.replaced or where == id or standing.drain is GONE
+    for id, (status, _) in before.items():
+        successors = {port: other for other, (_, port) in expected.items()}.get(status.address[1], id)
+        assert status.replaced or successors == id or status.state is GONE
     if "n" in expected:
         assert before["h1"][0].replaced
 
 
-@pytest.mark.parametrize("begins", [False, True])
-def test_a_host_gone_and_back_in_one_batch_is_there_and_one_back_and_gone_is_not(begins: bool) -> None:
-    made = List()
+@pytest.mark.parametrize("is_initial", [False, True])
+def test_the_last_entry_of_a_host_in_a_batch_decides_whether_it_is_listed(is_initial: bool) -> None:
+    driven = DrivenList()
     steps = [entry("h1", 1), entry("h1", 1, "left"), entry("h1", 1, started_ms=5)]
     steps += [entry("h2", 2, "left"), entry("h2", 2), entry("h2", 2, "left"), entry("h3", 3), entry("h4", 3)]
     servers = [Server(**step) for step in steps]
-    if begins:
-        made.actor.begin(Known(8, [BusEvent(n, Topology([s])) for n, s in enumerate(servers)]))
+    if is_initial:
+        driven.actor.load_initial(KnownEvents(8, [BusEvent(n, Topology([s])) for n, s in enumerate(servers)]))
     else:
-        made.actor.receive(BusSaid(BusEvent(1, Topology(servers))))
-    assert made.state() == {"h1": (UP, 1), "h4": (UP, 3)}
-    assert made.module[worker_number("h1")].start_stamp == 5
-    for id in list(made.actor.hosts):
-        made.actor.strike(id, now=True)
+        driven.actor.receive(EventReceived(BusEvent(1, Topology(servers))))
+    assert driven.state() == {"h1": (UP, 1), "h4": (UP, 3)}
+    assert driven.module[worker_number("h1")].start_stamp == 5
+    for id in list(driven.actor.hosts):
+        driven.actor.remove_host(id, immediately=True)
     gevent.sleep(0)
 
 
-def test_a_replaced_host_does_not_come_back_where_its_successor_leaves_in_the_same_batch() -> None:
-    made = List()
+def test_a_replaced_host_stays_removed_if_its_successor_leaves_in_the_same_batch() -> None:
+    driven = DrivenList()
     steps = [entry("h1", 1), entry("h2", 1), entry("h2", 1, "left")]
     batch = [BusEvent(n, Topology([Server(**step)])) for n, step in enumerate(steps)]
-    made.actor.begin(Known(2, batch))
-    assert made.state() == {}
+    driven.actor.load_initial(KnownEvents(2, batch))
+    assert driven.state() == {}
 
 
-# --- any JSON ---
+# --- arbitrary JSON ---
 
 JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False) | st.text(),
@@ -653,31 +692,34 @@
 
 @settings(max_examples=300, deadline=None)
 @given(said=EVENT | JSON)
-def test_no_json_ends_the_follower_or_the_list_and_what_is_spoilt_changes_nothing(said: Any) -> None:
-    made, told, log = List(), list[Any](), Lines()
-    made.say(entry("h1", 1), entry("h2", 2), full=True)
-    before = made.state()
-    follower = BusFollower(("", 1), 2, Limits(), log, events_into(told))
+def test_no_json_ends_the_follower_or_the_list_and_invalid_json_changes_nothing(said: Any) -> None:
+    driven, received, log = DrivenList(), list[Any](), RecordingLog()
+    driven.send_event(entry("h1", 1), entry("h2", 2), full=True)
+    before = driven.state()
+    follower = BusFollower(("", 1), 2, Limits(), log, events_into(received))
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(bus_follower, "spawn", lambda *reader: None)
         follower.connect(0.0)
-        for _ in range(2):  # the second time it is left out
-            follower.receive(Told(follower.connection, json.dumps(said).encode()))
-    changes = len(made.log.of("list"))
-    for each in told:
-        made.actor.receive(each)
-    assert len(made.log.of("list")) > changes or made.state() == before
-    assert made.state() is not None
-    for id in list(made.actor.hosts):
-        made.actor.strike(id, now=True)
+        for _ in range(2):  # the second time the line is skipped
+            follower.receive(LineReceived(follower.connection, json.dumps(said).encode()))
+    changes = len(driven.log.of_kind("list"))
+    for each in received:
+        driven.actor.receive(each)
+    assert len(driven.log.of_kind("list")) > changes or driven.state() == before
+    assert driven.state() is not None
+    for id in list(driven.actor.hosts):
+        driven.actor.remove_host(id, immediately=True)
     gevent.sleep(0)
 
 
-def test_lines_that_nest_deeper_than_the_reader_go_are_left_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    follower, told, _ = followed(monkeypatch, 1)
-    deep = b"[" * 100_000 + b"]" * 100_000
-    for line in (b'{"offset":2,"x":' + deep + b"}", b'{"offset":2,"topology":{"servers":[' + deep + b"]}}"):
+def test_lines_nested_too_deeply_for_the_decoder_are_skipped(monkeypatch: pytest.MonkeyPatch) -> None:
+    follower, received, _ = followed(monkeypatch, 1)
+    nested = b"[" * 100_000 + b"]" * 100_000
+    for line in (
+        b'{"offset":2,"x":' + nested + b"}",
+        b'{"offset":2,"topology":{"servers":[' + nested + b"]}}",
+    ):
         for _ in range(2):
-            follower.receive(Told(follower.connection, line))
-    follower.receive(Told(follower.connection, event(2)))
-    assert [t.event.offset for t in told] == [2]
+            follower.receive(LineReceived(follower.connection, line))
+    follower.receive(LineReceived(follower.connection, event(2)))
+    assert [t.event.offset for t in received] == [2]
--- a/tests/test_interleave.py
+++ b/tests/test_interleave.py
@@ -1,5 +1,8 @@
-"""Every order of a few messages: a host that closes against a dispatch, new settings against arrival and
-expiry; and faults planted in each, which have to be found."""
+"""Every order of a few messages: a host that closes against a dispatch, and new settings against arrival and
+expiry.
+
+Faults planted in each of them must be found.
+"""
 
 from __future__ import annotations
 
@@ -22,8 +25,8 @@
 from harrieryoke.limits import Limits
 from harrieryoke.log import Log
 from harrieryoke.net import frames, host, hostlist
-from harrieryoke.net.host import Heard, HostActor
-from harrieryoke.net.hostlist import BusEvent, BusSaid, HostListActor, Server, Topology, worker_number
+from harrieryoke.net.host import FramesReceived, HostActor
+from harrieryoke.net.hostlist import BusEvent, EventReceived, HostListActor, Server, Topology, worker_number
 from harrieryoke.reload import merge
 
 from .interleave import Counts, Failed, Thread, Wait, World, actor_thread, explore, pause, replay, shape
@@ -32,8 +35,8 @@
 NEW = i.RequestClass("swarm-alert", 300, 900, 4.0, 0.2, i.Effect.UNSAFE)
 
 
-def planted(make: Callable[[], World], failure: str) -> str:
-    """The schedule in which the fault shows; played again, it shows in the same way."""
+def find_planted_fault(make: Callable[[], World], failure: str) -> str:
+    """Return the schedule that shows the planted fault; the fault must show again when it is replayed."""
     with pytest.raises(Failed, match=failure) as found:
         explore(make)
     assert replay(make, found.value.schedule) == found.value.failure
@@ -43,53 +46,53 @@
 # --- the explorer itself ---
 
 
-class Plain(World):
-    """Two threads that add one to a number each, by reading and writing; `keyed` states are known again."""
+class Additions(World):
+    """Two threads that each add one to a number; with `keyed`, states are recognised."""
 
     def __init__(self, keyed: bool, safe: bool = False) -> None:
-        self.keyed, self.number, self.held = keyed, 0, {"a": 0, "b": 0}
-        self.threads = {name: self.adding(name, safe) for name in "ab"}
+        self.keyed, self.number, self.read_values = keyed, 0, {"a": 0, "b": 0}
+        self.threads = {name: self.adding_thread(name, safe) for name in "ab"}
 
-    def adding(self, name: str, safe: bool) -> Thread:
+    def adding_thread(self, name: str, safe: bool) -> Thread:
         def read() -> None:
-            self.held[name] = self.number
+            self.read_values[name] = self.number
 
         def write() -> None:
-            self.number = (self.number if safe else self.held[name]) + 1
+            self.number = (self.number if safe else self.read_values[name]) + 1
 
         return [("begin", lambda: None), ("read", read), ("write", write)]
 
     def key(self) -> Hashable:
-        return (self.number, *self.held.values()) if self.keyed else None
+        return (self.number, *self.read_values.values()) if self.keyed else None
 
     def final(self) -> None:
         assert self.number == 2, "an addition was lost"
 
 
-def test_all_orders_are_played_each_once() -> None:
-    assert explore(lambda: Plain(False, safe=True)) == Counts(20, 69, True)  # 6! / 3! / 3!
-    assert explore(lambda: Plain(True, safe=True)).states < 40
-    assert explore(lambda: Plain(False, safe=True), preemptions=0) == Counts(2, 13, False)
-    assert not explore(lambda: Plain(False, safe=True), most=19).whole
+def test_each_schedule_is_played_once() -> None:
+    assert explore(lambda: Additions(False, safe=True)) == Counts(20, 69, True)  # 6! / 3! / 3!
+    assert explore(lambda: Additions(True, safe=True)).states < 40
+    assert explore(lambda: Additions(False, safe=True), preemptions=0) == Counts(2, 13, False)
+    assert not explore(lambda: Additions(False, safe=True), max_schedules=19).complete
 
 
 @pytest.mark.parametrize("keyed", [False, True])
-def test_the_schedule_found_is_the_shortest_and_can_be_played_again(keyed: bool) -> None:
-    schedule = planted(lambda: Plain(keyed), "AssertionError: an addition was lost")
+def test_the_shortest_failing_schedule_is_found_and_can_be_replayed(keyed: bool) -> None:
+    schedule = find_planted_fault(lambda: Additions(keyed), "AssertionError: an addition was lost")
     lines = schedule.splitlines()
     assert len(lines) == 6 and sum(a[0] != b[0] for a, b in pairwise(lines)) == 2
     with pytest.raises(ValueError, match="only"):
-        replay(lambda: Plain(keyed), "c:read")
+        replay(lambda: Additions(keyed), "c:read")
 
 
 class Locks(World):
-    """Two threads that take two locks in the opposite order."""
+    """Two threads that take two locks in opposite order."""
 
     def __init__(self) -> None:
         self.free = {"x": True, "y": True}
-        self.threads = {"a": self.taking("x", "y"), "b": self.taking("y", "x")}
+        self.threads = {"a": self.locking_thread("x", "y"), "b": self.locking_thread("y", "x")}
 
-    def taking(self, *names: str) -> Iterator[Wait]:
+    def locking_thread(self, *names: str) -> Iterator[Wait]:
         for name in names:
             yield Wait(partial(self.free.get, name), f"take-{name}")
             self.free[name] = False
@@ -97,20 +100,20 @@
 
 
 def test_a_deadlock_is_a_failure() -> None:
-    assert planted(Locks, "deadlock of a, b") == "a:take-x\nb:take-y"
+    assert find_planted_fault(Locks, "deadlock of a, b") == "a:take-x\nb:take-y"
 
 
-# --- the real code: what stands round it ---
+# --- surroundings of the real code ---
 
 
-class Quiet(Log):
+class NullLog(Log):
     def write_line(self, *told: object) -> None: ...
 
 
-class Single:
-    """In the module's place: one attempt for each call, at one host; what ends otherwise is refused."""
+class SingleHostRouter:
+    """Replaces the router: one attempt for each call, at one host; a call without an answer is refused."""
 
-    outs, list_current = 0, True  # the actor reads them for its log
+    ejected_count, list_current = 0, True  # read by the actor for its log
 
     def __init__(self, worker: int) -> None:
         self.worker, self.heard = worker, list[i.Event]()
@@ -128,8 +131,8 @@
         return actions
 
 
-class Table(RequestTable):
-    """The real table; counts the attempts that it has made."""
+class CountingTable(RequestTable):
+    """The real table; counts the attempts it created."""
 
     made = 0
 
@@ -139,15 +142,17 @@
 
 
 class Core(World):
-    """The real module's actor and table on a clock of the world's own; as a front it writes down answers."""
+    """The real module actor and table on the world's clock; as a front, records the answers."""
 
-    def __init__(self, patch: pytest.MonkeyPatch, worker: int, kind: type[Table] = Table) -> None:
-        # to go on late is as good as a tick
+    def __init__(
+        self, patch: pytest.MonkeyPatch, worker: int, kind: type[CountingTable] = CountingTable
+    ) -> None:
+        # a late wake-up is equivalent to a tick
         patch.setattr(module, "gevent", SimpleNamespace(sleep=lambda s: None))
-        self.now, self.ends, self.answers = 1000.0, list[tuple[str, str]](), list[str]()
-        self.log = Quiet()
+        self.now, self.results, self.answers = 1000.0, list[tuple[str, str]](), list[str]()
+        self.log = NullLog()
         self.core = ModuleActor(SETTINGS, 7, Limits(), self.log, self.clock)
-        self.script = self.core.router = Single(worker)  # type: ignore[assignment]
+        self.script = self.core.router = SingleHostRouter(worker)  # type: ignore[assignment]
         self.table = self.core.table = kind(SETTINGS, Limits(), self.core.metrics, self.log)
         self.table.observers.append(self)
         self.calls = [Call(f"{n:016x}", 0, "f", 1100.0 + n) for n in (1, 2)]
@@ -177,21 +182,21 @@
         self.answers.append(call.request_id)
 
     def call_ended(self, call: Call, how: str) -> None:
-        self.ends.append((call.request_id, how))
+        self.results.append((call.request_id, how))
 
     def attempts(self) -> list[i.AttemptEnded]:
         return [e for e in self.script.heard if isinstance(e, i.AttemptEnded)]
 
     def check(self) -> None:
-        assert max(Counter(rid for rid, _ in self.ends).values(), default=1) == 1, "a call ended twice"
-        owed = [rid for rid, how in self.ends if how != "withdrawn"]
-        assert self.answers == owed, "an answer without an end"
+        assert max(Counter(rid for rid, _ in self.results).values(), default=1) == 1, "a call ended twice"
+        expected = [rid for rid, how in self.results if how != "withdrawn"]
+        assert self.answers == expected, "an answer without an end"
         told = Counter((e.request, e.attempt) for e in self.attempts())
         assert max(told.values(), default=1) == 1, "an attempt ended twice"
         assert "module-fault" not in self.log.totals
 
     def final(self) -> None:
-        assert sorted(rid for rid, _ in self.ends) == [
+        assert sorted(rid for rid, _ in self.results) == [
             c.request_id for c in self.calls
         ], "a call without its end"
         table = self.table
@@ -204,7 +209,7 @@
         heard = sorted((e.request, e.attempt, e.outcome.value) for e in self.attempts())
         return shape(
             self.now,
-            sorted(self.ends),
+            sorted(self.results),
             heard,
             self.core.mailbox,
             self.core.pending_events,
@@ -218,7 +223,7 @@
 
 
 class StubSocket:
-    """Takes whole frames, and hands the requests among them to the world."""
+    """Accepts whole frames and passes the requests among them to the world."""
 
     def __init__(self, actor: StubHost) -> None:
         self.actor = actor
@@ -233,14 +238,14 @@
     def close(self) -> None: ...
 
     def sendall(self, data: bytes) -> None:
-        _, code, _, _, id = frames.HEAD.unpack_from(data)
+        _, code, _, _, id = frames.HEADER.unpack_from(data)
         if code == frames.REQUEST:
             self.actor.world.write(self.actor, id)
             pause("written")
 
 
 class StubHost(HostActor):
-    """The real actor; its dial is a point where others go on."""
+    """The real actor; others may continue during its dial."""
 
     def __init__(self, world: Dispatch, *args: Any) -> None:
         super().__init__(*args)
@@ -259,26 +264,26 @@
 
 
 class HastyHost(StubHost):
-    """Planted: looks at the host's standing once, before the dial."""
+    """Planted fault: checks the host's status only once, before the dial."""
 
-    def send(self, task: Task) -> None:
-        standing = self.standing
-        self.standing = replace(standing)
-        super().send(task)
-        self.standing = standing
+    def send_task(self, task: Task) -> None:
+        standing = self.status
+        self.status = replace(standing)
+        super().send_task(task)
+        self.status = standing
 
 
 class WatchedList(HostListActor):
-    """The real list; counts the events that it has applied."""
+    """The real list; counts the events it applied."""
 
     applied = 0
 
-    def apply(self, servers: list[Server], scope: i.ListScope) -> None:
-        super().apply(servers, scope)
+    def apply_entries(self, servers: list[Server], scope: i.ListScope) -> None:
+        super().apply_entries(servers, scope)
         self.applied += 1
 
 
-NEWS = {
+CHANGES = {
     "drains": Topology([Server("h1", "10.0.0.1:9", "leaving")]),
     "leaves": Topology([Server("h1", "10.0.0.1:9", "left")]),
     "left out": Topology([Server("h2", "10.0.0.2:9", "active")], full=True),
@@ -288,9 +293,11 @@
 
 
 class Dispatch(Core):
-    """Two calls for one host, which closes: the real list, module and host's actor, with a link that is a
-    stub. The second call lies in the host's mailbox while the first one dials. Late, and at once, all times
-    are over."""
+    """Two calls for one host, which closes: the real list, module and host's actor, with a stub link.
+
+    The second call is in the host's mailbox while the first one dials. At any moment, at once, all times may
+    pass.
+    """
 
     def __init__(self, patch: pytest.MonkeyPatch, news: str, kind: type[StubHost] = StubHost) -> None:
         super().__init__(patch, worker_number("h1"))
@@ -298,11 +305,11 @@
         patch.setattr(host, "spawn", lambda *reader: None)
         patch.setattr(hostlist, "HostActor", partial(kind, self))
         self.threads, self.actors = {}, list[StubHost]()
-        self.written, self.asked = list[str](), list[tuple[StubHost, int]]()
+        self.written, self.requests = list[str](), list[tuple[StubHost, int]]()
         self.reports: Counter[Task] = Counter()
         self.list = WatchedList(SETTINGS, Limits(), self.log, self.core.blocking_send, self.report, Metrics())
-        self.list.apply([Server("h1", "10.0.0.1:9", "active")], i.ListScope.REMEMBERED)
-        said = BusSaid(BusEvent(1, NEWS[news]))
+        self.list.apply_entries([Server("h1", "10.0.0.1:9", "active")], i.ListScope.REMEMBERED)
+        said = EventReceived(BusEvent(1, CHANGES[news]))
         self.threads |= {
             "client": [self.offer(0), self.offer(1), self.withdraw(1)],
             "bus": [("say", lambda: self.list.blocking_send(said))],
@@ -318,58 +325,62 @@
 
     def write(self, actor: StubHost, id: int) -> None:
         closed = self.list.applied > 1 and actor is self.actors[0]
-        assert not closed, "written after the standing had changed"
+        assert not closed, "written after the status had changed"
         self.written.append(f"{id:016x}")
-        self.asked.append((actor, id))
+        self.requests.append((actor, id))
 
     def answering(self) -> Iterator[Wait]:
-        """The model host: it serves what it has read, if the link is still there."""
+        """The model host: it answers what it has read, if the link still exists."""
         while True:
-            yield Wait(lambda: self.asked, "answer", idle=True)
-            actor, id = self.asked.pop(0)
+            yield Wait(lambda: self.requests, "answer", idle=True)
+            actor, id = self.requests.pop(0)
             for link in actor.links:
-                actor.blocking_send(Heard(link, [frames.Frame(frames.OK, id, {})]))
+                actor.blocking_send(FramesReceived(link, [frames.Frame(frames.OK, id, {})]))
 
     def check(self) -> None:
         super().check()
-        assert max(self.reports.values(), default=1) == 1, "a host told of one end twice"
+        assert max(self.reports.values(), default=1) == 1, "a host reported an end twice"
         assert max(Counter(self.written).values(), default=1) == 1, "written twice"
         for e in self.attempts():
-            rid = self.calls[e.request - 1].request_id
-            assert e.outcome not in NEVER_RAN or rid not in self.written, "it has run"
+            request_id = self.calls[e.request - 1].request_id
+            assert e.outcome not in NEVER_RAN or request_id not in self.written, "it has run"
 
     def key(self) -> Hashable:
         hosts = [
             (
                 a.mailbox,
-                getattr(a.mailbox, "hand", None),
-                [(k.open, k.asked, k.used) for k in a.links],
-                list(a.places),
-                a.standing,
-                a.retiring,
+                getattr(a.mailbox, "current", None),
+                [(k.open, k.waiting_since, k.last_used) for k in a.links],
+                list(a.locations),
+                a.status,
+                a.removed,
                 a.finished,
             )
             for a in self.actors
         ]
-        return (super().key(), self.list.applied, shape(hosts, self.list.mailbox, self.written, self.asked))
+        return (
+            super().key(),
+            self.list.applied,
+            shape(hosts, self.list.mailbox, self.written, self.requests),
+        )
 
 
-@pytest.mark.parametrize("news", NEWS)
+@pytest.mark.parametrize("news", CHANGES)
 def test_no_order_of_a_close_against_a_dispatch_writes_late_or_ends_a_task_twice(
     monkeypatch: pytest.MonkeyPatch, news: str
 ) -> None:
-    """A ban is such a drain: the list's actor tells of both in the same way."""
+    """A ban is the same kind of drain: the list's actor reports both in the same way."""
     counts = explore(lambda: Dispatch(monkeypatch, news), preemptions=1 if news == "drains" else 0)
     assert counts.states > (2000 if news == "drains" else 200)
 
 
-def test_a_host_that_looks_at_its_standing_before_the_dial_alone_is_found(
+def test_a_status_check_only_before_the_dial_is_found(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def make() -> Dispatch:
         return Dispatch(monkeypatch, "drains", HastyHost)
 
-    with pytest.raises(Failed, match="written after the standing had changed") as found:
+    with pytest.raises(Failed, match="written after the status had changed") as found:
         explore(make, preemptions=1)
     assert replay(make, found.value.schedule) == found.value.failure
 
@@ -378,17 +389,19 @@
 
 
 class Reload(Core):
-    """A call of an old class, taken back or expiring, while settings come that add a class and retire the old
-    one; then a call of the new class. `hasty`: planted, the front names the new class too early."""
+    """A call of an old class, withdrawn or expiring, while settings add a class and retire the old one.
+
+    A call of the new class follows. `early` plants a fault: the front names the new class too early.
+    """
 
-    def __init__(self, patch: pytest.MonkeyPatch, hasty: bool = False) -> None:
+    def __init__(self, patch: pytest.MonkeyPatch, early: bool = False) -> None:
         super().__init__(patch, 1)
         merged = merge(SETTINGS, replace(SETTINGS, classes=(NEW, *SETTINGS.classes[1:])), 8)
         self.calls = [self.calls[0], Call(f"{2:016x}", len(SETTINGS.classes), "f", 1200.0)]
-        retune = "retune", lambda: self.core.blocking_send(SettingsChanged(merged))
+        reload = "reload", lambda: self.core.blocking_send(SettingsChanged(merged))
         self.threads = {
             "client": [self.offer(0), self.withdraw(0)],
-            "service": [self.offer(1), retune] if hasty else [retune, self.offer(1)],
+            "service": [self.offer(1), reload] if early else [reload, self.offer(1)],
             "module": actor_thread(self.core, self.clock),
             "clock": [self.until(1110.0), self.until(5000.0)],
         }
@@ -405,7 +418,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     counts = explore(lambda: Reload(monkeypatch))
-    assert counts.whole and counts.states > 50
+    assert counts.complete and counts.states > 50
     with pytest.raises(Failed) as found:
-        explore(lambda: Reload(monkeypatch, hasty=True))
-    assert replay(lambda: Reload(monkeypatch, hasty=True), found.value.schedule) == found.value.failure
+        explore(lambda: Reload(monkeypatch, early=True))
+    assert replay(lambda: Reload(monkeypatch, early=True), found.value.schedule) == found.value.failure
--- a/tests/test_interleave_council.py
+++ b/tests/test_interleave_council.py
@@ -418,7 +418,7 @@
 @pytest.mark.parametrize(("case", "states"), [("expiry", 1500), ("handover", 100), ("flapping", 2500)])
 def test_no_interleaving_lets_two_members_act_or_a_late_change_through(case: str, states: int) -> None:
     counts = explore(lambda: LeaseScenario(case, Components()))
-    assert counts.whole and counts.states > states
+    assert counts.complete and counts.states > states
 
 
 @pytest.mark.parametrize(
@@ -466,7 +466,7 @@
 
 def test_no_interleaving_acknowledges_what_is_not_durable() -> None:
     for messages in (VOTE_REQUESTS, APPEND_REQUESTS):
-        assert explore(lambda messages=messages: DiskScenario(Raft, messages)).whole  # type: ignore[misc]
+        assert explore(lambda messages=messages: DiskScenario(Raft, messages)).complete  # type: ignore[misc]
 
 
 @pytest.mark.parametrize(
@@ -491,7 +491,7 @@
 
 def test_no_interleaving_commits_what_is_not_durable() -> None:
     counts = explore(lambda: StepDownScenario(Raft))
-    assert counts.whole and counts.states > 500
+    assert counts.complete and counts.states > 500
 
 
 def test_counting_a_failed_write_is_found() -> None:
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -1,4 +1,4 @@
-"""The module's size, and what it may not use."""
+"""Limits on the size of the decision modules and on what they use."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("name", POLICY)
-def test_each_decision_module_stays_within_its_pages(name: str) -> None:
+def test_each_decision_module_stays_within_its_size_limit(name: str) -> None:
     lines = SOURCES[name].splitlines()
     assert sum(bool(line.strip()) for line in lines) <= 500
     assert max(map(len, lines)) <= 110
@@ -26,4 +26,4 @@
 
 
 def test_the_decision_module_names_its_interface_first() -> None:
-    assert "`interface.py`" in SOURCES["harrieryoke/brain.py"].splitlines()[0]
+    assert "`interface.py`" in SOURCES["harrieryoke/router.py"].splitlines()[0]
