--- a/harrieryoke/cli.py
+++ b/harrieryoke/cli.py
@@ -93,7 +93,7 @@
     file: Any = config.operator
     if file.council is None:
         raise ConfigError("council: the operator's file has no [council] table")
-    name = file.council.member(config.name)
+    name = file.council.member_name(config.name)
     if name not in file.council.voters:
         raise ConfigError(f"council.voters: {name} is not a voter and can't found the council")
     member = Disk.bootstrap(file.council.store_settings(), name, base)
