--- a/harrieryoke/mqtt/front.py
+++ b/harrieryoke/mqtt/front.py
@@ -306,7 +306,7 @@
         try:
             call = self.reader.read(message)
         except Exception as error:
-            # Not BadCall alone: libraries may raise other errors on a schema or a payload.
+            # Not InvalidCallError alone: libraries may raise other errors on a schema or a payload.
             self.counts["malformed"] += 1
             self.log("bad-trigger", f"{message.topic[:80]}: {type(error).__name__}: {str(error)[:200]}")
             return self.finish_trigger(trigger, FinalAnswer("failed", reason=str(error)))
--- a/harrieryoke/mqtt/triggers.py
+++ b/harrieryoke/mqtt/triggers.py
@@ -92,7 +92,7 @@
         self.validator = None if trigger.schema is None else jsonschema.Draft7Validator(trigger.schema)
 
     def key_from_json(self, message: Message) -> str:
-        """Return the idempotency key from a field of the payload. Raises BadCall."""
+        """Return the idempotency key from a field of the payload. Raises InvalidCallError."""
         try:
             fields: dict[str, Any] = msgspec.json.decode(message.payload, type=dict[str, Any])
             value = fields[self.key_name]
@@ -101,7 +101,7 @@
         return str(value)
 
     def key_from_property(self, message: Message) -> str:
-        """Return the idempotency key from a user property. Raises BadCall."""
+        """Return the idempotency key from a user property. Raises InvalidCallError."""
         if self.key_name not in message.user_properties:
             raise InvalidCallError(f"no user property {self.key_name!r} for the key")
         return message.user_properties[self.key_name]
@@ -111,7 +111,7 @@
         return PLACEHOLDER.sub(lambda found: values[found[1]], text)
 
     def validate_payload(self, message: Message) -> None:
-        """Check the payload against the trigger's schema. Raises BadCall."""
+        """Check the payload against the trigger's schema. Raises InvalidCallError."""
         if self.validator is None:
             return
         try:
@@ -150,7 +150,7 @@
         return None
 
     def read(self, message: Message) -> Call:
-        """Return the call for a message. Raises BadCall."""
+        """Return the call for a message. Raises InvalidCallError."""
         for matcher in self.matchers:
             if found := matcher.pattern.fullmatch(message.topic):
                 return self.make_call(matcher, found.groupdict(), message)
