--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -85,7 +85,7 @@
         expect c1 1 result x
         get {ops} GET /door 200""",
         operator=ONE_IN_FLIGHT + f'[ops]\nlisten = "{ops}"\n',
-        seen=seen,
+        bodies=seen,
     )
     status = json.loads(seen["/door"])
     assert status["counts"]["handed"] == 1 and status["counts"]["refused"] == 1
