--- a/harrieryoke/copy_width.py
+++ b/harrieryoke/copy_width.py
@@ -11,6 +11,12 @@
 from .worker_health import WorkerHealth
 
 RENEWAL_KEEP_ALIVES = 3.0  # keep-alives without use until renewal stops
+RENEWAL_AGE_SHARE = 0.7  # of a keep-alive; a copy is renewed after this
+RENEWAL_LIMIT_SHARE = 0.5  # of the order limit
+EXTRA_COPY_LIMIT_SHARE = 0.75  # of the order limit
+MAX_WIDTH_INCREASE = 2.0  # factor
+WIDTH_DECREASE = 0.97  # factor
+IDLE_LOAD_SHARE = 0.5  # of the slots; the copy width decreases below this
 
 
 def adapt_copy_width(function: Function, load_share: float, worker_count: int) -> None:
@@ -20,9 +26,11 @@
     """
     if load_share > 1:
         function.copy_width = min(
-            worker_count, max(function.copy_width, len(function.copies)) * min(2.0, load_share)
+            worker_count, max(function.copy_width, len(function.copies)) * min(MAX_WIDTH_INCREASE, load_share)
         )
-    function.copy_width = max(1.0, function.copy_width * (0.97 if load_share < 0.5 else 1.0))
+    function.copy_width = max(
+        1.0, function.copy_width * (WIDTH_DECREASE if load_share < IDLE_LOAD_SHARE else 1.0)
+    )
 
 
 class CopyPlacement(WorkerHealth):
@@ -87,10 +95,11 @@
         for position, (worker_id, worker, copy) in enumerate(list(self.usable_copies(function))):
             age = self.now - copy.last_seen
             unused_time = self.now - self.total_idle_time - function.last_used
-            if position == 0 and age > 0.7 * keep_alive and unused_time < RENEWAL_KEEP_ALIVES * keep_alive:
+            in_use = unused_time < RENEWAL_KEEP_ALIVES * keep_alive
+            if position == 0 and age > RENEWAL_AGE_SHARE * keep_alive and in_use:
                 renews = age < keep_alive and (function.sole_user or self.rng.random() * front_ends < 1)
                 if renews and self.ensure_lease(worker):
-                    self.order_copy(function, worker_id, 0.5)
+                    self.order_copy(function, worker_id, RENEWAL_LIMIT_SHARE)
             elif (
                 position
                 and self.settings.idle_copy_price
@@ -202,7 +211,7 @@
         if not function.copies or missing <= 0 or self.is_loading(function, missing):
             return
         if (worker_id := self.next_place(function)) is not None:
-            self.order_copy(function, worker_id, 0.75)
+            self.order_copy(function, worker_id, EXTRA_COPY_LIMIT_SHARE)
 
     def candidate_copies(self, function: Function, request: Request) -> Iterator[tuple[int, Worker, Copy]]:
         """Yields usable copies, then the first workers of the order: other front ends load copies there."""
--- a/harrieryoke/load_limit.py
+++ b/harrieryoke/load_limit.py
@@ -4,8 +4,12 @@
 
 from .state import WorkerLoad
 
+LATENCY_WEIGHT = 0.1  # of a new value in the moving averages of latency ratios
 INITIAL_LIMIT = 16.0  # attempts at a worker, of all front ends together
 MIN_LIMIT = 3.0  # attempts at an overloaded worker, of all front ends together
+LIMIT_DECREASE_FACTOR = 0.95
+LIMIT_INCREASE = 0.2
+USED_SHARE = 0.7  # of the limit; a limit that is used less is not raised
 OVERLOADED_RATIO = 0.6  # duration of answers relative to the latency target
 
 
@@ -15,8 +19,8 @@
     `latency_ratio` is the duration of an answer relative to the latency target, `in_flight` the number of
     other attempts at the worker.
     """
-    load.latency_ratio += 0.1 * (latency_ratio - load.latency_ratio)
+    load.latency_ratio += LATENCY_WEIGHT * (latency_ratio - load.latency_ratio)
     if load.latency_ratio > OVERLOADED_RATIO:
-        load.attempt_limit = max(1.0, MIN_LIMIT / front_ends, 0.95 * load.attempt_limit)
-    elif in_flight + 1 > 0.7 * load.attempt_limit:
-        load.attempt_limit += 0.2
+        load.attempt_limit = max(1.0, MIN_LIMIT / front_ends, LIMIT_DECREASE_FACTOR * load.attempt_limit)
+    elif in_flight + 1 > USED_SHARE * load.attempt_limit:
+        load.attempt_limit += LIMIT_INCREASE
--- a/harrieryoke/router.py
+++ b/harrieryoke/router.py
@@ -31,7 +31,7 @@
     StartAttempt,
     WorkersListed,
 )
-from .load_limit import OVERLOADED_RATIO, adapt_limit
+from .load_limit import LATENCY_WEIGHT, OVERLOADED_RATIO, adapt_limit
 from .repeat_rules import may_refuse, may_repeat
 from .state import Function, PossibleRestart, Request, TokenBucket, Worker, digest
 
@@ -41,6 +41,16 @@
 MAX_ORDER_CAP = 12.0
 EARLY_REFUSAL_SHARE = 0.45  # of the time to the deadline: the refusal arrives in the first half
 FORGET_KEEP_ALIVES = 8.0  # keep-alives without use until a function is forgotten
+MAX_REQUESTS_PER_SLOT = 3  # of this front end at a copy, with the queued ones
+PREWARM_LIMIT_SHARE = 0.5  # of the order limit
+LOAD_DURATION_SHARE = 0.3  # of the load time; shorter answers come from a copy that was already loaded
+
+# weights of a new value in exponential moving averages
+LOAD_TIME_WEIGHT = 0.2
+IN_PROGRESS_WEIGHT = 0.05
+OTHERS_IN_FLIGHT_WEIGHT = 0.3
+SLOWNESS_WEIGHT = 0.1
+MEAN_DURATION_WEIGHT = 0.05
 
 
 class Router(CopyPlacement):
@@ -120,8 +130,8 @@
         if event.outcome is not Outcome.OK:
             function.load_failed_until[event.worker] = self.now + function.load_time
             cap_change = -1.0 if event.outcome is Outcome.ERROR else 0.0
-        elif load_ratio > 0.3:  # shorter answers come from a copy that was already loaded
-            self.load_time_factor += 0.2 * (max(1.0, load_ratio) - self.load_time_factor)
+        elif load_ratio > LOAD_DURATION_SHARE:
+            self.load_time_factor += LOAD_TIME_WEIGHT * (max(1.0, load_ratio) - self.load_time_factor)
             cap_change = -0.5 if load_ratio > 3 else 0.25
         self.order_cap = min(MAX_ORDER_CAP, max(MIN_ORDER_CAP, self.order_cap + cap_change))
 
@@ -152,7 +162,7 @@
                 and not any(self.usable_copies(function))
                 and (worker_id := self.next_place(function)) is not None
             ):
-                self.order_copy(function, worker_id, 0.5)
+                self.order_copy(function, worker_id, PREWARM_LIMIT_SHARE)
         self.prewarm_requests.clear()
 
     # --- choice of a worker ---
@@ -183,7 +193,7 @@
         for worker_id, worker, copy in self.candidate_copies(function, request):
             slots, own = function.slots * copy.count, function.own_in_flight.get(worker_id, 0)
             random_share = self.rng.random()
-            if own >= 3 * slots or not self.has_room(worker, request):
+            if own >= MAX_REQUESTS_PER_SLOT * slots or not self.has_room(worker, request):
                 continue
             expected = self.expected_duration(worker)
             # a request abandoned while it runs would add to the worker's overload
@@ -332,7 +342,7 @@
         latency_target = request.request_class.latency_target if request else self.shortest_latency_target
         if event.report and event.report.in_progress is not None:
             worker.in_progress, worker.reported_at = event.report.in_progress, self.now
-            self.mean_in_progress += 0.05 * (worker.in_progress - self.mean_in_progress)
+            self.mean_in_progress += IN_PROGRESS_WEIGHT * (worker.in_progress - self.mean_in_progress)
         if event.outcome is Outcome.NO_CONNECTION:
             self.eject(worker, unreachable=True)
         elif event.outcome is Outcome.NOT_SENT:
@@ -364,7 +374,7 @@
             worker.last_served[function.class_index] = self.now
             others = max(0.0, (event.concurrent_requests or 0) - function.own_in_flight.get(worker_id, 0))
             if self.settings.reports_concurrent_requests:
-                copy.others_in_flight += 0.3 * (others - copy.others_in_flight)
+                copy.others_in_flight += OTHERS_IN_FLIGHT_WEIGHT * (others - copy.others_in_flight)
             includes_load = event.copy_lookup in (CopyLookup.STARTED_LOAD, CopyLookup.WAITED_FOR_LOAD)
             if includes_load or not (event.copy_lookup or was_loaded):
                 return  # the duration includes a load
@@ -375,8 +385,8 @@
             )
             adapt_copy_width(function, load_share, len(self.workers))
             relative_duration = min(8.0, event.duration / function.mean_duration)
-            worker.slowness_factor += 0.1 * (relative_duration - worker.slowness_factor)
-            function.mean_duration += 0.05 * (event.duration - function.mean_duration)
+            worker.slowness_factor += SLOWNESS_WEIGHT * (relative_duration - worker.slowness_factor)
+            function.mean_duration += MEAN_DURATION_WEIGHT * (event.duration - function.mean_duration)
         unanswered = event.outcome in (Outcome.TIMEOUT, Outcome.CANCELLED) and event.duration > latency_target
         conclusive = (
             event.outcome is Outcome.OK
@@ -390,7 +400,7 @@
         ):
             # counts unanswered attempts too: otherwise many front ends keep each other's queues full
             latency_ratio = min(3.0, event.duration / latency_target)
-            self.latency_ratio += 0.1 * (latency_ratio - self.latency_ratio)
+            self.latency_ratio += LATENCY_WEIGHT * (latency_ratio - self.latency_ratio)
             adapt_limit(worker.load, latency_ratio, len(worker.in_flight), self.settings.front_ends)
 
     def reject(self, request: Request) -> None:
