--- a/harrieryoke/net/heartbeats.py
+++ b/harrieryoke/net/heartbeats.py
@@ -20,8 +20,7 @@
         self.first_delay_ms: float | None = None  # from the start of the dial to the first heartbeat
 
     def record(self, now: float) -> float:
-        """Record a heartbeat; return as of when all changes have been received if its number is the last one
-        known."""
+        """Record a heartbeat; return the time up to which it confirms changes, if its number is the last."""
         self.written_at = min(now, self.written_at + INTERVAL_MS)
         if self.first_delay_ms is None:
             self.first_delay_ms = now - self.started_at
--- a/harrieryoke/net/link.py
+++ b/harrieryoke/net/link.py
@@ -79,8 +79,7 @@
         return len(self.open) + len(self.backlog)
 
     def has_frame(self, id: int | None) -> bool:
-        """Return whether a frame with this id is open or queued; a second one could not be told apart from
-        it."""
+        """Return whether a frame with this id is open or queued; ids must be unique on a link."""
         return id in self.open or any(frame.id == id for frame in self.backlog)
 
     def write(self, frame: PendingFrame) -> bool:
--- a/harrieryoke/net/platform.py
+++ b/harrieryoke/net/platform.py
@@ -181,7 +181,7 @@
     def transfer_clients(self) -> None:
         """Transfer the clients to the process that took over, if any; each is asked once."""
         if self.transfer_request is not None:
-            for client in [client for client, told in self.clients.items() if not told]:
+            for client in [client for client, leaving in self.clients.items() if not leaving]:
                 self.clients[client] = client.try_send(self.transfer_request)
 
     def close_when_idle(self, client: ClientActor, reason: str) -> None:
@@ -222,12 +222,14 @@
         if self.listening is not None:
             self.listening.close()
         self.transfer_clients()
-        for client in [c for c, told in self.clients.items() if not told]:
+        for client in [c for c, leaving in self.clients.items() if not leaving]:
             self.close_when_idle(client, "the process stops")
 
     def accept_backlog(self) -> None:
-        """Accept the connections in the kernel's backlog, which a close would reset; retry while none can be
-        accepted."""
+        """Accept the connections in the kernel's backlog, which a close would reset.
+
+        Retries for a limited time if accepting fails.
+        """
         if self.listening is None:
             return
         self.listening.settimeout(0)
@@ -276,7 +278,7 @@
         once, or never, and keep their connections.
         """
         now = now_ms()
-        staying = [c for c, told in self.clients.items() if not told and not c.partial]
+        staying = [c for c, leaving in self.clients.items() if not leaving and not c.partial]
         idle = {c: q for c in staying if (q := c.idle_ms(now)) is not None}
         if idle and max(idle.values()) > self.limits.client_fresh_ms:
             self.close_when_idle(max(idle, key=idle.__getitem__), "a new connection needs its place")
--- a/harrieryoke/upgrade/link.py
+++ b/harrieryoke/upgrade/link.py
@@ -48,8 +48,7 @@
 
 @contextmanager
 def short_socket_path(path: Path) -> Iterator[str]:
-    """Yield a short name for `path` through its directory's descriptor: a Unix address is at most 107 bytes
-    long."""
+    """Yield a short name for `path` through its directory: a Unix address holds at most 107 bytes."""
     folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{folder}/{path.name}"
--- a/tests/clients.py
+++ b/tests/clients.py
@@ -38,7 +38,7 @@
 class NullLog(Log):
     """Counts lines by kind and writes none."""
 
-    def put(self, *told: object) -> None: ...
+    def put(self, *arguments: object) -> None: ...
 
 
 class Core:
--- a/tests/test_discovery_crossings.py
+++ b/tests/test_discovery_crossings.py
@@ -74,8 +74,8 @@
         """Accept the next connection and return its request."""
         self.conn, _ = self.listening.accept()
         self.conn.settimeout(TIMEOUT_S)
-        asked: bytes = self.conn.makefile("rb").readline()
-        return asked.decode().strip()
+        request: bytes = self.conn.makefile("rb").readline()
+        return request.decode().strip()
 
     def send_until_closed(self, data: bytes, every_s: float) -> None:
         """Send the same data repeatedly until the follower closes."""
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize(
-    "said, closes",
+    "data, closes",
     [
         (b"", True),
         (b"1\n", True),
@@ -198,15 +198,15 @@
     ],
 )
 def test_repeated_losses_of_the_bus_are_retried_with_bounded_exponential_backoff(
-    watch: Callable[..., WatchedBus], said: bytes, closes: bool
+    watch: Callable[..., WatchedBus], data: bytes, closes: bool
 ) -> None:
     """The connection ends, names events that never come, or falls silent while open."""
-    w = watch(bus_quiet_ms=60_000.0 if closes or b"9" in said else 200.0, bus_backoff_most_ms=60.0)
+    w = watch(bus_quiet_ms=60_000.0 if closes or b"9" in data else 200.0, bus_backoff_most_ms=60.0)
     pauses = []
     for _ in range(5):
         assert w.bus.accept_request() == "from 1"
         pauses.append(w.follower.backoff_ms)
-        w.bus.conn.sendall(said)
+        w.bus.conn.sendall(data)
         if closes:
             w.bus.conn.close()
     assert pauses == [10.0, 20.0, 40.0, 60.0, 60.0]
@@ -235,8 +235,8 @@
     assert other.accept_request() == "from 2" and w.bus.is_closed()
     other.conn.sendall(event(3, entry("new", 2)))
     w.until(lambda: w.offsets() == [2, 3])
-    assert isinstance(said := w.received[1], EventReceived) and said.event.topology is not None
-    assert [s.id for s in said.event.topology.servers] == ["new"]
+    assert isinstance(message := w.received[1], EventReceived) and message.event.topology is not None
+    assert [s.id for s in message.event.topology.servers] == ["new"]
 
 
 def test_a_line_queued_after_a_change_of_address_is_dropped_and_one_before_it_counts(
@@ -278,8 +278,8 @@
     assert w.bus.accept_request() == "from 0" and w.received == []
     w.bus.conn.sendall(RENUMBERED + b"2\n" + event(2, entry("old", 9)) + event(3, entry("h4", 4)))
     w.until(lambda: w.offsets() == [-2, 3])
-    assert isinstance(said := w.received[0], ListReplaced)
-    assert said.update.is_full and {s.id: s.addr[-1] for s in said.update.servers.values()} == {
+    assert isinstance(message := w.received[0], ListReplaced)
+    assert message.update.is_full and {s.id: s.addr[-1] for s in message.update.servers.values()} == {
         "h1": "1",
         "h3": "3",
     }
@@ -399,7 +399,9 @@
     for at, line in lines:
         clock[0] = at
         follower.receive(LineReceived(follower.connection, line))
-    confirmed = [said.as_of + PROPAGATION_DELAY_MS for said in received if isinstance(said, ListConfirmed)]
+    confirmed = [
+        message.as_of + PROPAGATION_DELAY_MS for message in received if isinstance(message, ListConfirmed)
+    ]
     assert confirmed == expected
 
 
@@ -414,11 +416,11 @@
     follower, _, clock = followed(monkeypatch, 5)
     received: list[Any] = []
     follower.send_to_list = received.append
-    first, most = follower.connection, max(follower.limits.bus_lag_ms, 2 * (latency + period))
+    first, max_age = follower.connection, max(follower.limits.bus_lag_ms, 2 * (latency + period))
     for n in range(1, 601):
         clock[0] = n * period + latency
         follower.receive(LineReceived(follower.connection, b"5"))
-        assert clock[0] - received[-1].as_of <= most + PROPAGATION_DELAY_MS + period
+        assert clock[0] - received[-1].as_of <= max_age + PROPAGATION_DELAY_MS + period
     assert follower.connection - first == reconnects
 
 
@@ -602,8 +604,8 @@
         event(4, full=True),
     ):
         follower.receive(LineReceived(follower.connection, line))
-    for said in received:
-        driven.actor.receive(said)
+    for message in received:
+        driven.actor.receive(message)
     assert driven.state() == {"h4": (UP, 4)} and follower.last_offset == 4
     driven.actor.remove_host("h4", immediately=True)
     gevent.sleep(0)
@@ -691,8 +693,8 @@
 
 
 @settings(max_examples=300, deadline=None)
-@given(said=EVENT | JSON)
-def test_no_json_ends_the_follower_or_the_list_and_invalid_json_changes_nothing(said: Any) -> None:
+@given(message=EVENT | JSON)
+def test_no_json_ends_the_follower_or_the_list_and_invalid_json_changes_nothing(message: Any) -> None:
     driven, received, log = DrivenList(), list[Any](), RecordingLog()
     driven.send_event(entry("h1", 1), entry("h2", 2), full=True)
     before = driven.state()
@@ -701,7 +703,7 @@
         patch.setattr(bus_follower, "spawn", lambda *reader: None)
         follower.connect(0.0)
         for _ in range(2):  # the second time the line is skipped
-            follower.receive(LineReceived(follower.connection, json.dumps(said).encode()))
+            follower.receive(LineReceived(follower.connection, json.dumps(message).encode()))
     changes = len(driven.log.of_kind("list"))
     for each in received:
         driven.actor.receive(each)
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -85,7 +85,7 @@
         expect c1 1 result x
         get {ops} GET /door 200""",
         operator=ONE + f'[ops]\nlisten = "{ops}"\n',
-        seen=seen,
+        bodies=seen,
     )
     told = json.loads(seen["/door"])
     assert told["counts"]["handed"] == 1 and told["counts"]["refused"] == 1
--- a/tests/test_interleave.py
+++ b/tests/test_interleave.py
@@ -107,7 +107,7 @@
 
 
 class NullLog(Log):
-    def put(self, *told: object) -> None: ...
+    def put(self, *arguments: object) -> None: ...
 
 
 class SingleHostRouter:
@@ -116,10 +116,10 @@
     outs, list_current = 0, True  # read by the actor for its log
 
     def __init__(self, worker: int) -> None:
-        self.worker, self.heard = worker, list[i.Event]()
+        self.worker, self.events = worker, list[i.Event]()
 
     def handle(self, now: float, events: list[i.Event]) -> list[i.Action]:
-        self.heard += events
+        self.events += events
         actions: list[i.Action] = []
         for e in events:
             if isinstance(e, i.RequestArrived):
@@ -134,10 +134,10 @@
 class CountingTable(RequestTable):
     """The real table; counts the attempts it created."""
 
-    made = 0
+    created = 0
 
     def attempt(self, *args: Any) -> AttemptTask:
-        self.made += 1
+        self.created += 1
         return super().attempt(*args)
 
 
@@ -185,32 +185,32 @@
         self.results.append((call.request_id, how))
 
     def attempts(self) -> list[i.AttemptEnded]:
-        return [e for e in self.script.heard if isinstance(e, i.AttemptEnded)]
+        return [e for e in self.script.events if isinstance(e, i.AttemptEnded)]
 
     def check(self) -> None:
         assert max(Counter(rid for rid, _ in self.results).values(), default=1) == 1, "a call ended twice"
         expected = [rid for rid, how in self.results if how != "withdrawn"]
-        assert self.answers == expected, "an answer without an end"
-        told = Counter((e.request, e.attempt) for e in self.attempts())
-        assert max(told.values(), default=1) == 1, "an attempt ended twice"
+        assert self.answers == expected, "an answer without a result"
+        reported = Counter((e.request, e.attempt) for e in self.attempts())
+        assert max(reported.values(), default=1) == 1, "an attempt ended twice"
         assert "module-fault" not in self.log.totals
 
     def final(self) -> None:
         assert sorted(rid for rid, _ in self.results) == [
             c.request_id for c in self.calls
-        ], "a call without its end"
+        ], "a call without a result"
         table = self.table
         left = table.tasks or table.attempts or table.entries or len(table.times)
-        assert not left, "a task without its end"
-        assert len(self.attempts()) == table.made, "an attempt without its end"
+        assert not left, "a task without a result"
+        assert len(self.attempts()) == table.created, "an attempt without a result"
 
     def key(self) -> Hashable:
         table = self.table
-        heard = sorted((e.request, e.attempt, e.outcome.value) for e in self.attempts())
+        ended = sorted((e.request, e.attempt, e.outcome.value) for e in self.attempts())
         return shape(
             self.now,
             sorted(self.results),
-            heard,
+            ended,
             self.core.mailbox,
             self.core.echoes,
             table.latest,
@@ -299,7 +299,7 @@
     pass.
     """
 
-    def __init__(self, patch: pytest.MonkeyPatch, news: str, kind: type[StubHost] = StubHost) -> None:
+    def __init__(self, patch: pytest.MonkeyPatch, change: str, kind: type[StubHost] = StubHost) -> None:
         super().__init__(patch, worker_number("h1"))
         patch.setattr(host, "now_ms", self.clock)
         patch.setattr(host, "spawn", lambda *reader: None)
@@ -309,10 +309,10 @@
         self.reports: Counter[Task] = Counter()
         self.list = WatchedList(SETTINGS, Limits(), self.log, self.core.blocking_send, self.report, Metrics())
         self.list.apply_entries([Server("h1", "10.0.0.1:9", "active")], i.ListScope.REMEMBERED)
-        said = EventReceived(BusEvent(1, CHANGES[news]))
+        message = EventReceived(BusEvent(1, CHANGES[change]))
         self.threads |= {
             "client": [self.offer(0), self.offer(1), self.withdraw(1)],
-            "bus": [("say", lambda: self.list.blocking_send(said))],
+            "bus": [("say", lambda: self.list.blocking_send(message))],
             "list": actor_thread(self.list, self.clock),
             "module": actor_thread(self.core, self.clock),
             "h1": self.answering(),
@@ -365,13 +365,13 @@
         )
 
 
-@pytest.mark.parametrize("news", CHANGES)
+@pytest.mark.parametrize("change", CHANGES)
 def test_no_order_of_a_close_against_a_dispatch_writes_late_or_ends_a_task_twice(
-    monkeypatch: pytest.MonkeyPatch, news: str
+    monkeypatch: pytest.MonkeyPatch, change: str
 ) -> None:
     """A ban is the same kind of drain: the list's actor reports both in the same way."""
-    counts = explore(lambda: Dispatch(monkeypatch, news), preemptions=1 if news == "drains" else 0)
-    assert counts.states > (2000 if news == "drains" else 200)
+    counts = explore(lambda: Dispatch(monkeypatch, change), preemptions=1 if change == "drains" else 0)
+    assert counts.states > (2000 if change == "drains" else 200)
 
 
 def test_a_status_check_only_before_the_dial_is_found(
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -70,7 +70,9 @@
     "all is handed over": 'point(Link, "send_with_descriptor", "after", 1)',
     "it hears that another serves": 'point(Upgrade, "receive", "before", 1, said(link.Serving))',
     "it has told its front": 'point(Upgrade, "receive", "after", 1, said(link.Serving))',
-    "it accepts no more": 'point(PlatformFront, "transfer_clients", "before", 1, lambda front: front.transfer_request)',
+    "it accepts no more": (
+        'point(PlatformFront, "transfer_clients", "before", 1, lambda front: front.transfer_request)'
+    ),
     "it passes the first client on": 'point(Upgrade, "receive", "before", 1, passed)',
     "the first client has gone": 'point(Upgrade, "receive", "after", 1, passed)',
     "it is told to stop": 'point(Upgrade, "stop", "before", 1)',
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -105,7 +105,7 @@
         get {ops} nonsense / 400"""
     )
     seen: dict[str, str] = {}
-    run(tmp_path, text, operator=f'[ops]\nlisten = "{ops}"\n', seen=seen)
+    run(tmp_path, text, operator=f'[ops]\nlisten = "{ops}"\n', bodies=seen)
     described = openapi()["paths"]
     assert set(described) == set(ROUTES)
     for path in ("/healthz", "/counters"):
