--- a/tests/clients.py
+++ b/tests/clients.py
@@ -38,7 +38,7 @@
 class NullLog(Log):
     """Counts lines by kind and writes none."""
 
-    def write_line(self, *told: object) -> None: ...
+    def write_line(self, *arguments: object) -> None: ...
 
 
 class Core:
