--- a/harrieryoke/plugins/bench.py
+++ b/harrieryoke/plugins/bench.py
@@ -1,4 +1,4 @@
-"""Plays synthetic calls through one plug-in, by the daemon's own gate, with a core that takes every call."""
+"""Plays synthetic calls through one plug-in, with the daemon's gate and a core that answers each call."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from ..core.records import Call, Front, HostName, WorkersChanged
 from ..limits import Limits
 from ..log import Log
-from .decide.manifest import granted, within
+from .decide.manifest import cap_budgets, granted_capabilities
 from .gate import PluginGate
 from .instance import Instance
 from .package import Package, read_package
-from .settings import PluginError, PluginsSettings, Use
+from .settings import PluginError, PluginsSettings, PluginUse
 
 SETTINGS = i.Settings(
     (
@@ -33,13 +33,15 @@
 )
 
 
-class Quiet(Log):
+class SilentLog(Log):
+    """Counts lines without writing them."""
+
     def write_line(self, now: float, kind: str, text: str, fields: dict[str, object] | None = None) -> None:
         pass
 
 
-class Taker(ModuleActor):
-    """A core that only notes what reaches it, and answers at once."""
+class AcceptingCore(ModuleActor):
+    """A core that answers each call at once."""
 
     def __init__(self, limits: Limits, log: Log) -> None:
         super().__init__(SETTINGS, 1, limits, log)
@@ -54,7 +56,7 @@
         return True
 
 
-class Caller:
+class AnswerCounter:
     """Counts the final answers of one call."""
 
     def __init__(self) -> None:
@@ -71,8 +73,8 @@
         self.served(call, b"")
 
 
-def synthetic(rng: random.Random, now: float) -> Call:
-    """A call as the fronts make them."""
+def synthetic_call(rng: random.Random, now: float) -> Call:
+    """A random call, as a front would create it."""
     kind = int(rng.random() < 0.21)
     return Call(
         f"{rng.getrandbits(64):016x}",
@@ -91,43 +93,45 @@
 
 
 def settings_for(path: str) -> PluginsSettings:
-    return PluginsSettings([Use(path)])
+    return PluginsSettings([PluginUse(path)])
 
 
-def loaded(path: str) -> tuple[Package, Instance]:
-    """Reads and loads a plug-in. Raises PluginError."""
-    told = settings_for(path)
-    package = read_package(path, told.budgets)
+def load_plugin(path: str) -> tuple[Package, Instance]:
+    """Read and load a plug-in. Raises PluginError."""
+    plugins_settings = settings_for(path)
+    package = read_package(path, plugins_settings.budgets)
     m = package.manifest
     instance = Instance(
         package,
         1,
-        granted(m.capabilities, []),
-        within(m.budgets, told.budgets),
-        told.breaker(),
-        Quiet(),
-        lambda heard: None,
+        granted_capabilities(m.capabilities, []),
+        cap_budgets(m.budgets, plugins_settings.budgets),
+        plugins_settings.breaker_limits(),
+        SilentLog(),
+        lambda result: None,
     )
-    instance.begin(now_ms())
+    instance.load_and_start(now_ms())
     return package, instance
 
 
-def play(path: str, calls: int, seed: int, at_a_time: int = 1) -> dict[str, Any]:
-    """The figures of `plugin run`. A plug-in that can't be loaded answers no call: its default holds for all.
-    Raises PluginError for what is no plug-in."""
-    limits, log, rng = Limits(), Quiet(), random.Random(seed)
-    core = Taker(limits, log)
+def play(path: str, calls: int, seed: int, concurrency: int = 1) -> dict[str, Any]:
+    """The figures of `plugin run`. If the plug-in can't be loaded, its default applies to all calls.
+
+    Raises PluginError if `path` is no plug-in.
+    """
+    limits, log, rng = Limits(), SilentLog(), random.Random(seed)
+    core = AcceptingCore(limits, log)
     gate = PluginGate(settings_for(path), SETTINGS, core, limits, log)
     core.set_gate(gate)
-    took = HdrHistogram(1, 60_000_000, 2)
-    answered, slowest = 0, 0.0
-    fault: str | None = None
+    latency_us = HdrHistogram(1, 60_000_000, 2)
+    answered, slowest_ms = 0, 0.0
+    load_error: str | None = None
     try:
         gate.load_all()
     except PluginError as error:
-        fault = str(error)
-    if fault is not None:
-        kind = fault.split(": ")[-2] if fault.count(": ") > 1 else "raised"
+        load_error = str(error)
+    if load_error is not None:
+        kind = load_error.split(": ")[-2] if load_error.count(": ") > 1 else "raised"
         return {
             "calls": calls,
             "answered": calls,
@@ -138,30 +142,30 @@
             "max_ms": 0.0,
             "peak_mb": 0.0,
             "state": "open",
-            "not_loaded": fault,
+            "not_loaded": load_error,
         }
     gate.start()
     hosts = {n: HostName(f"mh{n}.zone-a", f"zone-{'ab'[n % 2]}", "kind-b", "active") for n in range(8)}
     gate.workers_changed(WorkersChanged(i.WorkersListed(i.ListScope.WHOLE), {}, hosts))
 
-    def one() -> None:
-        nonlocal answered, slowest
+    def play_one() -> None:
+        nonlocal answered, slowest_ms
         now = now_ms()
-        caller = Caller()
-        core.offer(synthetic(rng, now), caller)
+        caller = AnswerCounter()
+        core.offer(synthetic_call(rng, now), caller)
         caller.done.wait(10)
         gevent.sleep(0)
-        spent = now_ms() - now
+        spent_ms = now_ms() - now
         answered += caller.answers == 1
-        slowest = max(slowest, spent)
-        took.record_value(max(1, int(1000 * spent)))
+        slowest_ms = max(slowest_ms, spent_ms)
+        latency_us.record_value(max(1, int(1000 * spent_ms)))
 
-    pool = Pool(at_a_time)
+    pool = Pool(concurrency)
     began = now_ms()
     for _ in range(calls):
-        pool.spawn(one)
+        pool.spawn(play_one)
     pool.join()
-    lasted = now_ms() - began
+    duration_ms = now_ms() - began
     status = gate.ask_status(10_000)
     version = next(iter(status["plugins"][0]["versions"].values()))
     return {
@@ -170,11 +174,11 @@
         "by_default": sum(status["by_default"].values()),
         "faults": version["faults"],
         "declined": status["by_default"],
-        "p50_us": took.get_value_at_percentile(50),
-        "p99_us": took.get_value_at_percentile(99),
-        "max_ms": round(slowest, 3),
+        "p50_us": latency_us.get_value_at_percentile(50),
+        "p99_us": latency_us.get_value_at_percentile(99),
+        "max_ms": round(slowest_ms, 3),
         "peak_mb": version["peak_mb"],
         "state": version["state"],
         "refused": status["calls"].get("refused", 0),
-        "calls_per_s": round(1000 * calls / max(1.0, lasted)),
+        "calls_per_s": round(1000 * calls / max(1.0, duration_ms)),
     }
--- a/harrieryoke/plugins/commands.py
+++ b/harrieryoke/plugins/commands.py
@@ -1,4 +1,4 @@
-"""`harrieryoke plugin ...`: for authors and operators of plug-ins."""
+"""The commands `harrieryoke plugin ...`, for authors and operators of plug-ins."""
 
 from __future__ import annotations
 
@@ -17,12 +17,14 @@
 
 plugin = typer.Typer(no_args_is_help=True, help="Make, try, sign and swap plug-ins.")
 Json = Annotated[bool, typer.Option("--json", help="print one JSON object")]
-Where = Annotated[str, typer.Argument(metavar="PATH", help="a directory with plugin.toml, or a bare file")]
+PluginPath = Annotated[
+    str, typer.Argument(metavar="PATH", help="a directory with plugin.toml, or a bare file")
+]
 Ops = Annotated[
     str, typer.Option("--ops", metavar="HOST:PORT", help="the operators' HTTP of a running invoker")
 ]
 
-NEW = {
+TEMPLATES = {
     "starlark": (
         "plugin.star",
         '''\
@@ -47,7 +49,7 @@
 }
 
 
-def put(figures: Any, as_json: bool) -> None:
+def print_figures(figures: Any, as_json: bool) -> None:
     if as_json:
         print(msgspec.json.encode(figures).decode())
         return
@@ -61,9 +63,9 @@
     engine: Annotated[str, typer.Option(help="starlark or wasm")] = "starlark",
 ) -> None:
     """Write a small plug-in to begin with."""
-    if engine not in NEW:
-        raise PluginError(f"engine: one of {', '.join(NEW)} is wanted, not {engine!r}")
-    folder, (file, code) = Path(path), NEW[engine]
+    if engine not in TEMPLATES:
+        raise PluginError(f"engine: one of {', '.join(TEMPLATES)} is wanted, not {engine!r}")
+    folder, (file, code) = Path(path), TEMPLATES[engine]
     if folder.exists():
         raise PluginError(f"{path}: it exists")
     folder.mkdir(parents=True)
@@ -77,11 +79,11 @@
 
 
 @plugin.command()
-def check(path: Where, as_json: Json = False) -> None:
+def check(path: PluginPath, as_json: Json = False) -> None:
     """Read a plug-in, load it as the daemon would, and name its hooks."""
-    from .bench import loaded
+    from .bench import load_plugin
 
-    package, instance = loaded(path)
+    package, instance = load_plugin(path)
     figures = {
         "name": package.manifest.name,
         "version": package.manifest.version,
@@ -90,12 +92,12 @@
         "hooks": sorted(instance.hooks),
         "capabilities": sorted(instance.capabilities),
     }
-    put(figures, as_json)
+    print_figures(figures, as_json)
 
 
 @plugin.command()
 def run(
-    path: Where,
+    path: PluginPath,
     calls: Annotated[int, typer.Option(min=1)] = 1000,
     seed: Annotated[int, typer.Option()] = 1,
     as_json: Json = False,
@@ -103,12 +105,12 @@
     """Play synthetic calls through a plug-in exactly as the daemon would. Exits with 0 whatever it does."""
     from .bench import play
 
-    put(play(path, calls, seed), as_json)
+    print_figures(play(path, calls, seed), as_json)
 
 
 @plugin.command()
 def bench(
-    path: Where,
+    path: PluginPath,
     calls: Annotated[int, typer.Option(min=1)] = 5000,
     seed: Annotated[int, typer.Option()] = 1,
     as_json: Json = False,
@@ -116,13 +118,13 @@
     """Calls a second that one plug-in carries, one behind the other, and with eight at a time."""
     from .bench import play
 
-    alone, many = play(path, calls, seed), play(path, calls, seed, at_a_time=8)
-    put({"one": alone, "eight": many}, as_json)
+    alone, many = play(path, calls, seed), play(path, calls, seed, concurrency=8)
+    print_figures({"one": alone, "eight": many}, as_json)
 
 
 @plugin.command("sign")
-def sign_it(
-    path: Where,
+def sign_command(
+    path: PluginPath,
     key: Annotated[str, typer.Option(help="the key's name, as the operator's file has it")],
     private: Annotated[
         str, typer.Option(metavar="FILE", help="base64 of the 32 bytes; made where there is none")
@@ -134,31 +136,31 @@
 
     file = Path(private)
     if not file.exists():
-        made = Ed25519PrivateKey.generate()
+        generated = Ed25519PrivateKey.generate()
         file.touch(0o600)
-        file.write_text(base64.b64encode(made.private_bytes_raw()).decode() + "\n")
+        file.write_text(base64.b64encode(generated.private_bytes_raw()).decode() + "\n")
     try:
-        raw = base64.b64decode(file.read_text().strip(), validate=True)
-        public = Ed25519PrivateKey.from_private_bytes(raw).public_key().public_bytes_raw()
+        private_bytes = base64.b64decode(file.read_text().strip(), validate=True)
+        public = Ed25519PrivateKey.from_private_bytes(private_bytes).public_key().public_bytes_raw()
     except ValueError as error:
         raise PluginError(f"{private}: {error}") from None
     expires = (time.time() + days * 86400) * 1000 if days else 0.0
-    print(sign(read_package(path), key, raw, expires))
+    print(sign(read_package(path), key, private_bytes, expires))
     print(f'[[plugins.trusted]]\nname = "{key}"\nkey = "{base64.b64encode(public).decode()}"')
 
 
 @plugin.command("verify")
-def verify_it(
-    path: Where,
+def verify_command(
+    path: PluginPath,
     key: Annotated[list[str], typer.Option(metavar="NAME=BASE64", help="a trusted key; as often as wanted")],
 ) -> None:
     """Check a plug-in's signature against trusted keys."""
     trusted = []
-    for each in key:
-        name, _, value = each.partition("=")
+    for text in key:
+        name, _, value = text.partition("=")
         trusted.append(TrustedKey(name, value))
         try:
-            trusted[-1].raw()
+            trusted[-1].decode()
         except ValueError as error:
             raise PluginError(str(error)) from None
     package = read_package(path)
@@ -167,23 +169,23 @@
 
 
 @plugin.command("list")
-def list_them(ops: Ops, as_json: Json = False) -> None:
+def list_command(ops: Ops, as_json: Json = False) -> None:
     """The plug-ins of a running invoker."""
-    told = ask(ops, "GET", "/plugins")
+    status = ask(ops, "GET", "/plugins")
     if as_json:
-        return put(told, True)
+        return print_figures(status, True)
     print(
         f"{'plug-in':24} {'version':10} {'stage':10} {'state':10} {'calls':>9} {'faults':>7} {'p99 us':>7} MB"
     )
-    for each in told["plugins"]:
-        for version in each["versions"].values():
+    for entry in status["plugins"]:
+        for version in entry["versions"].values():
             print(
-                f"{each['name']:24} {version['version']:10} {version['stage']:10} {version['state']:10} "
+                f"{entry['name']:24} {version['version']:10} {version['stage']:10} {version['state']:10} "
                 f"{version['calls']:9} {sum(version['faults'].values()):7} {version['p99_us']:7} "
                 f"{version['peak_mb']}"
             )
-        if each["last_swap"]:
-            print(f"    {each['last_swap']}")
+        if entry["last_swap"]:
+            print(f"    {entry['last_swap']}")
 
 
 @plugin.command()
@@ -195,16 +197,16 @@
     """Have a running invoker read a plug-in anew; say what became of it, with 1 if it does not serve."""
     before = {p["name"]: (p["serving"], p["last_swap"]) for p in ask(ops, "GET", "/plugins")["plugins"]}
     ask(ops, "POST", "/plugins/swap", **({"name": name} if name else {}))
-    until, left, good = time.monotonic() + wait, [n for n in before if name in (None, n)], True
-    while left and time.monotonic() < until:
+    end, pending, succeeded = time.monotonic() + wait, [n for n in before if name in (None, n)], True
+    while pending and time.monotonic() < end:
         time.sleep(0.1)
-        for each in ask(ops, "GET", "/plugins")["plugins"]:
-            if each["name"] in left and each["last_swap"] != before[each["name"]][1]:
-                left.remove(each["name"])
-                good = good and (
-                    each["last_swap"].endswith("in service") or "nothing new" in each["last_swap"]
+        for entry in ask(ops, "GET", "/plugins")["plugins"]:
+            if entry["name"] in pending and entry["last_swap"] != before[entry["name"]][1]:
+                pending.remove(entry["name"])
+                succeeded = succeeded and (
+                    entry["last_swap"].endswith("in service") or "nothing new" in entry["last_swap"]
                 )
-                print(f"{each['name']}: {each['last_swap']}")
-    for each in left:
-        print(f"{each}: still on trial")
-    raise typer.Exit(0 if good and not left else 1)
+                print(f"{entry['name']}: {entry['last_swap']}")
+    for pending_name in pending:
+        print(f"{pending_name}: still on trial")
+    raise typer.Exit(0 if succeeded and not pending else 1)
--- a/harrieryoke/plugins/decide/__init__.py
+++ b/harrieryoke/plugins/decide/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions and the state of plug-ins. No I/O, no clock: times come in as milliseconds."""
+"""Decision logic and state of plug-ins. No I/O and no clock: times are passed in as milliseconds."""
--- a/harrieryoke/plugins/decide/abi.py
+++ b/harrieryoke/plugins/decide/abi.py
@@ -1,7 +1,7 @@
-"""The interface between the invoker and plug-ins, version 1, independent of any engine.
+"""The interface between the invoker and plug-ins, version 1, independent of the engine.
 
-What goes in are plain views (texts, numbers, lists of them); what comes out is read here, and only here, into
-a `Said`, or is a `Fault`. Whatever a plug-in returns, nothing else of it gets any further.
+Hooks receive plain views (texts, numbers and lists of them). Whatever a hook returns is parsed here, and only
+here, into an `Advice`, or raises a `Fault`; nothing else of it reaches the invoker.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 from dataclasses import dataclass
 from typing import Any
 
-VERSION = 1
+ABI_VERSION = 1
 HOOKS = ("on_request", "on_outcome", "on_hosts", "on_timer", "carry")
 CAPABILITIES = ("advise", "function", "warm", "body", "hosts", "timer", "outcomes", "state")
-MOST_TARGETS = 32  # in prefer, and in avoid
-MOST_WARM = 16
-MOST_TEXT = 128  # characters of a target, a function or a label
-HEX16 = re.compile(r"[0-9a-f]{16}\Z")
-LABEL = re.compile(r"[\w.:/ -]{1,64}\Z", re.ASCII)
-TARGETS = ("zone", "kind", "host")
-FAULTS = (
+MAX_TARGETS = 32  # in prefer, and in avoid
+MAX_WARM_FUNCTIONS = 16
+MAX_TEXT_CHARS = 128  # of a target or a function
+FUNCTION_PATTERN = re.compile(r"[0-9a-f]{16}\Z")
+LABEL_PATTERN = re.compile(r"[\w.:/ -]{1,64}\Z", re.ASCII)
+TARGET_SCOPES = ("zone", "kind", "host")
+FAULT_KINDS = (
     "raised",
     "wrong-answer",
     "not-allowed",
@@ -39,7 +39,7 @@
 
 
 class Fault(ValueError):
-    """What a plug-in did that it may not; `kind` is one of FAULTS."""
+    """A plug-in failed or broke a rule of the interface; `kind` is one of FAULT_KINDS."""
 
     def __init__(self, kind: str, text: str = "") -> None:
         super().__init__(text or kind)
@@ -48,111 +48,129 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """A zone, a kind of machine or one model host, by its name."""
+    """A zone, a kind of machine or one model host; `scope` is one of TARGET_SCOPES."""
 
-    what: str
+    scope: str
     name: str
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
-    """What one plug-in says of one call. `refuse` is None to go on, else the advice in milliseconds."""
+class Advice:
+    """One plug-in's advice on one call. The call is refused unless `retry_after_ms` is None."""
 
-    refuse: float | None = None
+    retry_after_ms: float | None = None
     function: str | None = None
     prefer: tuple[Target, ...] = ()
     avoid: tuple[Target, ...] = ()
     warm: tuple[str, ...] = ()
-    wanted: float | None = None
+    latency_target_ms: float | None = None
     label: str | None = None
 
 
-ADMIT = Said()
+ADMIT = Advice()
 
 
-def number(name: str, value: Any, least: float, most: float) -> float:
-    """A finite number within its bounds; what lies outside is brought to the nearer one, NaN is a fault."""
+def parse_number(name: str, value: Any, minimum: float, maximum: float) -> float:
+    """Clamp a number to its bounds, infinities included; NaN is a fault."""
     if isinstance(value, bool) or not isinstance(value, int | float) or value != value:
-        raise Fault("wrong-answer", f"{name}: a number is wanted, not {type(value).__name__}")
-    return float(min(max(least, value), most)) if math.isfinite(value) else (most if value > 0 else least)
+        raise Fault("wrong-answer", f"{name}: must be a number, not {type(value).__name__}")
+    return (
+        float(min(max(minimum, value), maximum))
+        if math.isfinite(value)
+        else (maximum if value > 0 else minimum)
+    )
 
 
-def texts(name: str, value: Any, most: int) -> list[str]:
+def parse_texts(name: str, value: Any, max_entries: int) -> list[str]:
     if not isinstance(value, list | tuple):
-        raise Fault("wrong-answer", f"{name}: a list of texts is wanted, not {type(value).__name__}")
-    if len(value) > most:
-        raise Fault("too-large", f"{name}: {len(value)} entries, {most} at most")
-    for each in value:
-        if not isinstance(each, str) or not 0 < len(each) <= MOST_TEXT:
-            raise Fault("wrong-answer", f"{name}: texts of 1 to {MOST_TEXT} characters are wanted")
+        raise Fault("wrong-answer", f"{name}: must be a list of texts, not {type(value).__name__}")
+    if len(value) > max_entries:
+        raise Fault("too-large", f"{name}: {len(value)} entries, {max_entries} at most")
+    for text in value:
+        if not isinstance(text, str) or not 0 < len(text) <= MAX_TEXT_CHARS:
+            raise Fault("wrong-answer", f"{name}: texts must have 1 to {MAX_TEXT_CHARS} characters")
     return list(value)
 
 
-def targets(name: str, value: Any) -> tuple[Target, ...]:
-    read = []
-    for text in texts(name, value, MOST_TARGETS):
-        what, _, of = text.partition(":")
-        if what not in TARGETS or not of:
-            raise Fault("wrong-answer", f"{name}: 'zone:', 'kind:' or 'host:' and a name, not {text[:40]!r}")
-        read.append(Target(what, of))
-    return tuple(dict.fromkeys(read))
+def parse_targets(name: str, value: Any) -> tuple[Target, ...]:
+    parsed = []
+    for text in parse_texts(name, value, MAX_TARGETS):
+        scope, _, target_name = text.partition(":")
+        if scope not in TARGET_SCOPES or not target_name:
+            raise Fault(
+                "wrong-answer", f"{name}: must be 'zone:', 'kind:' or 'host:' and a name, not {text[:40]!r}"
+            )
+        parsed.append(Target(scope, target_name))
+    return tuple(dict.fromkeys(parsed))
 
 
-def function(name: str, value: Any) -> str:
-    if not isinstance(value, str) or not HEX16.match(value):
-        raise Fault("wrong-answer", f"{name}: 16 hex digits are wanted")
+def parse_function(name: str, value: Any) -> str:
+    if not isinstance(value, str) or not FUNCTION_PATTERN.match(value):
+        raise Fault("wrong-answer", f"{name}: must be 16 hex digits")
     return value
 
 
-def needs(capabilities: frozenset[str], which: str, name: str) -> None:
-    if which not in capabilities:
-        raise Fault("not-allowed", f"{name}: the capability {which!r} is not granted")
+def require_capability(capabilities: frozenset[str], capability: str, name: str) -> None:
+    if capability not in capabilities:
+        raise Fault("not-allowed", f"{name}: the capability {capability!r} is not granted")
 
 
-def read_request(said: Any, capabilities: frozenset[str], names_function: bool, most_refuse: float) -> Said:
-    """What `on_request` returned. `names_function` is whether this call's function may be named; a refusal's
-    advice goes up to `most_refuse` milliseconds. Raises Fault."""
-    if said is None or said is True or said == "admit":
+def parse_request_advice(
+    result: Any, capabilities: frozenset[str], may_set_function: bool, max_retry_after_ms: float
+) -> Advice:
+    """Parse the result of `on_request`. Raises Fault.
+
+    `may_set_function` says whether the plug-in may set this call's function; a refusal's retry advice is
+    limited to `max_retry_after_ms`.
+    """
+    if result is None or result is True or result == "admit":
         return ADMIT
-    if said is False or said == "refuse":
-        return Said(refuse=most_refuse)
-    if not isinstance(said, Mapping):
-        raise Fault("wrong-answer", f"on_request returned {type(said).__name__}")
-    read: dict[str, Any] = {}
-    for key, value in said.items():
+    if result is False or result == "refuse":
+        return Advice(retry_after_ms=max_retry_after_ms)
+    if not isinstance(result, Mapping):
+        raise Fault("wrong-answer", f"on_request returned {type(result).__name__}")
+    parsed: dict[str, Any] = {}
+    for key, value in result.items():
         if value is None:
             continue
         match key:
             case "refuse_ms":
-                read["refuse"] = number(key, value, 0.0, most_refuse)
+                parsed["retry_after_ms"] = parse_number(key, value, 0.0, max_retry_after_ms)
             case "function":
-                needs(capabilities, "function", key)
-                if not names_function:
-                    raise Fault("not-allowed", "function: only a trigger's function may be named")
-                read[key] = function(key, value)
+                require_capability(capabilities, "function", key)
+                if not may_set_function:
+                    raise Fault("not-allowed", "function: may be set for calls of a trigger only")
+                parsed[key] = parse_function(key, value)
             case "prefer" | "avoid":
-                needs(capabilities, "advise", key)
-                read[key] = targets(key, value)
+                require_capability(capabilities, "advise", key)
+                parsed[key] = parse_targets(key, value)
             case "wanted_ms":
-                needs(capabilities, "advise", key)
-                read["wanted"] = number(key, value, 1.0, 1e9)
+                require_capability(capabilities, "advise", key)
+                parsed["latency_target_ms"] = parse_number(key, value, 1.0, 1e9)
             case "warm":
-                needs(capabilities, "warm", key)
-                read[key] = tuple(function(key, f) for f in texts(key, value, MOST_WARM))
+                require_capability(capabilities, "warm", key)
+                parsed[key] = tuple(
+                    parse_function(key, f) for f in parse_texts(key, value, MAX_WARM_FUNCTIONS)
+                )
             case "label":
-                if not isinstance(value, str) or not LABEL.match(value):
-                    raise Fault("wrong-answer", "label: 1 to 64 letters, digits or any of '_.:/ -'")
-                read[key] = value
+                if not isinstance(value, str) or not LABEL_PATTERN.match(value):
+                    raise Fault("wrong-answer", "label: must be 1 to 64 letters, digits or any of '_.:/ -'")
+                parsed[key] = value
             case _:
-                raise Fault("wrong-answer", f"on_request returned a key {str(key)[:40]!r}")
-    return Said(**read)
+                raise Fault("wrong-answer", f"on_request returned an unknown key {str(key)[:40]!r}")
+    return Advice(**parsed)
+
 
+def parse_watch_result(result: Any, capabilities: frozenset[str]) -> tuple[str, ...]:
+    """Parse the result of `on_timer`, `on_hosts` or `on_outcome`: None, or functions to keep warm.
 
-def read_watch(said: Any, capabilities: frozenset[str]) -> tuple[str, ...]:
-    """What `on_timer`, `on_hosts` or `on_outcome` returned: nothing, or functions to warm. Raises Fault."""
-    if said is None:
+    Raises Fault.
+    """
+    if result is None:
         return ()
-    if not isinstance(said, Mapping) or set(said) - {"warm"}:
-        raise Fault("wrong-answer", "nothing, or {'warm': [...]}, is wanted")
-    needs(capabilities, "warm", "warm")
-    return tuple(function("warm", f) for f in texts("warm", said.get("warm") or [], MOST_WARM))
+    if not isinstance(result, Mapping) or set(result) - {"warm"}:
+        raise Fault("wrong-answer", "must be None or {'warm': [...]}")
+    require_capability(capabilities, "warm", "warm")
+    return tuple(
+        parse_function("warm", f) for f in parse_texts("warm", result.get("warm") or [], MAX_WARM_FUNCTIONS)
+    )
--- a/harrieryoke/plugins/decide/binding.py
+++ b/harrieryoke/plugins/decide/binding.py
@@ -1,4 +1,4 @@
-"""Which calls a plug-in sees."""
+"""Which calls are shown to a plug-in."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Binding:
-    """Empty sets bind to all. A cooperative's plug-in is bound to its tenant and sees no other's calls."""
+    """A filter on calls; an empty set matches all. A cooperative's plug-in is bound to its tenant, so that it
+    sees no other tenant's calls."""
 
     tenants: frozenset[str] = frozenset()
     classes: frozenset[str] = frozenset()
     fronts: frozenset[str] = frozenset()
 
-    def sees(self, tenant: str | None, class_name: str, front: str) -> bool:
+    def matches(self, tenant: str | None, class_name: str, front: str) -> bool:
         return (
             (not self.tenants or tenant in self.tenants)
             and (not self.classes or class_name in self.classes)
--- a/harrieryoke/plugins/decide/breaker.py
+++ b/harrieryoke/plugins/decide/breaker.py
@@ -10,67 +10,67 @@
 
 @dataclass(frozen=True, slots=True)
 class BreakerLimits:
-    """Opens after `in_a_row` faults, or when `share` of the last `window` calls failed. Times in ms."""
+    """Opens after `consecutive_faults`, or when `fault_share` of the last `window` calls are faults."""
 
-    in_a_row: int = 5
+    consecutive_faults: int = 5
     window: int = 40
-    share: float = 0.5
-    first_pause: float = 1000.0
-    longest_pause: float = 60_000.0
-    trials: int = 3  # good answers in a row, one at a time, that close it
+    fault_share: float = 0.5
+    first_pause_ms: float = 1000.0
+    max_pause_ms: float = 60_000.0
+    closing_successes: int = 3  # consecutive, one call at a time
 
 
 @dataclass(slots=True)
 class Breaker:
-    """`allows` says whether a call may go; each call that went must be told of by `good` or `bad`."""
+    """Each call that `allow` admits must be reported by `record_success` or `record_fault`."""
 
     limits: BreakerLimits = field(default_factory=BreakerLimits)
     state: str = CLOSED
-    last: deque[bool] = field(default_factory=deque)  # True: it failed
-    row: int = 0  # faults in a row while closed, good answers in a row while half-open
-    pause: float = 0.0
-    until: float = 0.0
-    trying: bool = False
-    opened: int = 0  # how often it was put out
+    recent_faults: deque[bool] = field(default_factory=deque)  # True: the call failed
+    streak: int = 0  # consecutive faults while closed, consecutive successes while half-open
+    pause_ms: float = 0.0
+    open_until: float = 0.0
+    trial_pending: bool = False
+    times_opened: int = 0
 
-    def allows(self, now: float) -> bool:
-        if self.state == OPEN and now >= self.until:
-            self.state, self.row, self.trying = HALF_OPEN, 0, False
-        if self.state == HALF_OPEN and not self.trying:
-            self.trying = True
+    def allow(self, now: float) -> bool:
+        if self.state == OPEN and now >= self.open_until:
+            self.state, self.streak, self.trial_pending = HALF_OPEN, 0, False
+        if self.state == HALF_OPEN and not self.trial_pending:
+            self.trial_pending = True
             return True
         return self.state == CLOSED
 
-    def good(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         if self.state == HALF_OPEN:
-            self.trying, self.row = False, self.row + 1
-            if self.row >= self.limits.trials:
-                self.state, self.row, self.pause = CLOSED, 0, 0.0
-                self.last.clear()
+            self.trial_pending, self.streak = False, self.streak + 1
+            if self.streak >= self.limits.closing_successes:
+                self.state, self.streak, self.pause_ms = CLOSED, 0, 0.0
+                self.recent_faults.clear()
         elif self.state == CLOSED:
-            self.row = 0
-            self.note(False)
+            self.streak = 0
+            self.record_result(False)
 
-    def bad(self, now: float) -> None:
+    def record_fault(self, now: float) -> None:
         if self.state == HALF_OPEN:
-            return self.put_out(now)
+            return self.trip(now)
         if self.state == CLOSED:
-            self.row += 1
-            self.note(True)
-            crowded = len(self.last) >= self.limits.window
-            if self.row >= self.limits.in_a_row or (
-                crowded and sum(self.last) >= self.limits.share * len(self.last)
+            self.streak += 1
+            self.record_result(True)
+            window_full = len(self.recent_faults) >= self.limits.window
+            if self.streak >= self.limits.consecutive_faults or (
+                window_full and sum(self.recent_faults) >= self.limits.fault_share * len(self.recent_faults)
             ):
-                self.put_out(now)
+                self.trip(now)
 
-    def note(self, failed: bool) -> None:
-        self.last.append(failed)
-        while len(self.last) > self.limits.window:
-            self.last.popleft()
+    def record_result(self, failed: bool) -> None:
+        self.recent_faults.append(failed)
+        while len(self.recent_faults) > self.limits.window:
+            self.recent_faults.popleft()
 
-    def put_out(self, now: float) -> None:
-        """For twice as long as the last time, until it was closed in between."""
-        self.pause = min(max(2 * self.pause, self.limits.first_pause), self.limits.longest_pause)
-        self.state, self.until, self.row, self.trying = OPEN, now + self.pause, 0, False
-        self.opened += 1
-        self.last.clear()
+    def trip(self, now: float) -> None:
+        """Open the breaker. The pause doubles each time and starts over once the breaker has closed."""
+        self.pause_ms = min(max(2 * self.pause_ms, self.limits.first_pause_ms), self.limits.max_pause_ms)
+        self.state, self.open_until, self.streak, self.trial_pending = OPEN, now + self.pause_ms, 0, False
+        self.times_opened += 1
+        self.recent_faults.clear()
--- a/harrieryoke/plugins/decide/budget.py
+++ b/harrieryoke/plugins/decide/budget.py
@@ -1,4 +1,4 @@
-"""What one plug-in has used of its budgets, and the pauses between the starts of its process."""
+"""Rate budgets of a plug-in, and the back-off between starts of its process."""
 
 from __future__ import annotations
 
@@ -6,51 +6,57 @@
 
 
 @dataclass(slots=True)
-class Allowance:
-    """Fills at `rate` a second up to `depth`. What is charged may go below 0: the debt is waited for."""
+class TokenBucket:
+    """Refills at `rate` tokens a second up to `capacity`.
 
-    rate: float
-    depth: float
-    left: float = 0.0
-    at: float | None = None
-
-    def fill(self, now: float) -> None:
-        since = 0.0 if self.at is None else max(0.0, now - self.at)
-        self.left = self.depth if self.at is None else min(self.depth, self.left + since * self.rate / 1000)
-        self.at = now
+    A charge may leave a debt of up to `capacity`, which must be refilled first.
+    """
 
-    def has(self, now: float) -> bool:
-        self.fill(now)
-        return self.left > 0
+    rate: float
+    capacity: float
+    tokens: float = 0.0
+    refilled_at: float | None = None
+
+    def refill(self, now: float) -> None:
+        elapsed = 0.0 if self.refilled_at is None else max(0.0, now - self.refilled_at)
+        self.tokens = (
+            self.capacity
+            if self.refilled_at is None
+            else min(self.capacity, self.tokens + elapsed * self.rate / 1000)
+        )
+        self.refilled_at = now
+
+    def has_tokens(self, now: float) -> bool:
+        self.refill(now)
+        return self.tokens > 0
 
     def charge(self, now: float, amount: float) -> None:
-        self.fill(now)
-        self.left = max(self.left - amount, -self.depth)
+        self.refill(now)
+        self.tokens = max(self.tokens - amount, -self.capacity)
 
-    def take(self, now: float) -> bool:
-        """One unit, where there is one."""
-        self.fill(now)
-        if self.left < 1:
+    def try_take(self, now: float) -> bool:
+        """Take one token if there is one."""
+        self.refill(now)
+        if self.tokens < 1:
             return False
-        self.left -= 1
+        self.tokens -= 1
         return True
 
 
 @dataclass(slots=True)
-class Restarts:
-    """Pauses between starts of a process that keeps ending: they double, and shrink with good service."""
+class RestartBackoff:
+    """Exponential back-off for a process that keeps ending; it shrinks again with each success."""
 
-    first: float = 50.0
-    longest: float = 10_000.0
-    pause: float = 0.0
+    first_ms: float = 50.0
+    max_ms: float = 10_000.0
+    pause_ms: float = 0.0
     count: int = 0
 
-    def ended(self) -> float:
-        """The process has ended against our will; for so many milliseconds it is not started again."""
-        self.pause = min(max(2 * self.pause, self.first), self.longest)
+    def record_exit(self) -> float:
+        """Record an unexpected end of the process; return the milliseconds until the next start."""
+        self.pause_ms = min(max(2 * self.pause_ms, self.first_ms), self.max_ms)
         self.count += 1
-        return self.pause
+        return self.pause_ms
 
-    def served(self) -> None:
-        """It has answered well."""
-        self.pause = self.pause / 2 if self.pause > self.first else 0.0
+    def record_success(self) -> None:
+        self.pause_ms = self.pause_ms / 2 if self.pause_ms > self.first_ms else 0.0
--- a/harrieryoke/plugins/decide/merge.py
+++ b/harrieryoke/plugins/decide/merge.py
@@ -1,12 +1,12 @@
-"""What several plug-ins say of one call, made into one, and settled against the list of model hosts.
+"""Merges the advice of several plug-ins on one call, and resolves it against the list of model hosts.
 
-The rules, in the order in which the plug-ins stand in the operator's file:
+Rules, in the order in which the plug-ins stand in the operator's file:
 
-1. A refusal wins, and ends the asking.
-2. Avoid goes before prefer, whoever says it.
-3. The first that names a function, or a label, has it; a different one later is a conflict, which is counted.
-4. The shortest wanted time holds.
-5. Warm wishes add up, within each plug-in's bound.
+1. A refusal wins; no further plug-in is asked.
+2. Avoid takes precedence over prefer, whichever plug-in gives it.
+3. The first plug-in to set a function, or a label, decides it; a different later value counts as a conflict.
+4. The shortest latency target applies.
+5. Prewarm requests add up, within each plug-in's limit.
 """
 
 from __future__ import annotations
@@ -15,43 +15,51 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from .abi import Said, Target
+from .abi import Advice, Target
 
-AVOID, PREFER = 8.0, 0.5  # how a host's cost counts in the module: times this
+AVOID_FACTOR, PREFER_FACTOR = 8.0, 0.5  # the decision module multiplies a host's cost by these
 
 
 @dataclass(slots=True)
-class Merged:
-    """One call's advice of all plug-ins so far."""
+class MergedAdvice:
+    """The advice of all plug-ins asked so far on one call."""
 
-    refuse: float | None = None
+    retry_after_ms: float | None = None
     function: str | None = None
     prefer: set[Target] = field(default_factory=set)
     avoid: set[Target] = field(default_factory=set)
     warm: list[tuple[str, str]] = field(default_factory=list)  # plug-in, function
-    wanted: float | None = None
+    latency_target_ms: float | None = None
     label: str | None = None
     conflicts: int = 0
 
-    def add(self, plugin: str, said: Said) -> None:
-        if said.refuse is not None:
-            self.refuse = said.refuse if self.refuse is None else max(self.refuse, said.refuse)
-        self.prefer |= set(said.prefer)
-        self.avoid |= set(said.avoid)
-        self.warm += [(plugin, f) for f in said.warm]
-        if said.wanted is not None:
-            self.wanted = said.wanted if self.wanted is None else min(self.wanted, said.wanted)
+    def add(self, plugin: str, advice: Advice) -> None:
+        if advice.retry_after_ms is not None:
+            self.retry_after_ms = (
+                advice.retry_after_ms
+                if self.retry_after_ms is None
+                else max(self.retry_after_ms, advice.retry_after_ms)
+            )
+        self.prefer |= set(advice.prefer)
+        self.avoid |= set(advice.avoid)
+        self.warm += [(plugin, f) for f in advice.warm]
+        if advice.latency_target_ms is not None:
+            self.latency_target_ms = (
+                advice.latency_target_ms
+                if self.latency_target_ms is None
+                else min(self.latency_target_ms, advice.latency_target_ms)
+            )
         for name in ("function", "label"):
-            mine, theirs = getattr(self, name), getattr(said, name)
-            if mine is None:
-                setattr(self, name, theirs)
-            elif theirs not in (None, mine):
+            current, offered = getattr(self, name), getattr(advice, name)
+            if current is None:
+                setattr(self, name, offered)
+            elif offered not in (None, current):
                 self.conflicts += 1
 
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """One model host as plug-ins may know it."""
+    """One model host, as far as plug-ins may see it."""
 
     worker: int
     name: str
@@ -60,14 +68,14 @@
     state: str  # "active", "leaving" or "left"
 
 
-class Fleet:
-    """The model hosts by name, kept from the list's changes."""
+class HostList:
+    """The model hosts by name, kept up to date from events."""
 
     def __init__(self) -> None:
         self.hosts: dict[str, Host] = {}
 
-    def apply(self, whole: bool, hosts: Iterable[Host]) -> None:
-        if whole:
+    def apply(self, replace: bool, hosts: Iterable[Host]) -> None:
+        if replace:
             self.hosts = {}
         for host in hosts:
             if host.state == "left":
@@ -76,79 +84,93 @@
                 self.hosts[host.name] = host
 
 
-def settle(merged: Merged, fleet: Fleet, dropped: Counter[str]) -> dict[int, float]:
-    """The one ordered preference that the module gets: a factor for each host that is advised on, above 1 to
-    avoid it, below 1 to prefer it. What names no host in service is dropped and counted by its reason; so is
-    advice to avoid all of them, which says nothing about where to go."""
-    up = {h.name: h for h in fleet.hosts.values() if h.state == "active"}
-    known = {"zone": {h.zone for h in fleet.hosts.values()}, "kind": {h.kind for h in fleet.hosts.values()}}
+def resolve_cost_factors(
+    merged: MergedAdvice, host_list: HostList, dropped: Counter[str]
+) -> dict[int, float]:
+    """Cost factors by worker for the decision module: above 1 to avoid a host, below 1 to prefer it.
 
-    def meant(targets: set[Target]) -> set[int]:
-        found: set[int] = set()
+    Advice on a host that is not in service is dropped and counted by reason; so is advice to avoid all hosts,
+    since it does not say where to go.
+    """
+    active = {h.name: h for h in host_list.hosts.values() if h.state == "active"}
+    known = {
+        "zone": {h.zone for h in host_list.hosts.values()},
+        "kind": {h.kind for h in host_list.hosts.values()},
+    }
+
+    def matching_workers(targets: set[Target]) -> set[int]:
+        workers: set[int] = set()
         for t in targets:
-            if t.what == "host":
-                if t.name in up:
-                    found.add(up[t.name].worker)
+            if t.scope == "host":
+                if t.name in active:
+                    workers.add(active[t.name].worker)
                 else:
-                    dropped["leaving" if t.name in fleet.hosts else "unknown"] += 1
-            elif t.name in known[t.what]:
-                found |= {h.worker for h in up.values() if getattr(h, t.what) == t.name}
+                    dropped["leaving" if t.name in host_list.hosts else "unknown"] += 1
+            elif t.name in known[t.scope]:
+                workers |= {h.worker for h in active.values() if getattr(h, t.scope) == t.name}
             else:
                 dropped["unknown"] += 1
-        return found
+        return workers
 
-    avoid, prefer = meant(merged.avoid), meant(merged.prefer)
-    if avoid and len(avoid) == len(up):
+    avoid, prefer = matching_workers(merged.avoid), matching_workers(merged.prefer)
+    if avoid and len(avoid) == len(active):
         dropped["avoids-all"] += 1
         avoid = set()
-    return dict.fromkeys(prefer, PREFER) | dict.fromkeys(avoid, AVOID)
+    return dict.fromkeys(prefer, PREFER_FACTOR) | dict.fromkeys(avoid, AVOID_FACTOR)
 
 
 @dataclass(slots=True)
-class WishBook:
-    """Functions that plug-ins wish to have warm: each plug-in a few, each for a while, told now and then."""
+class PrewarmRequests:
+    """Functions that plug-ins ask to keep warm.
+
+    Each request expires; until then it is repeated to the decision module at an interval.
+    """
 
-    last: float = 30_000.0  # ms that a wish holds
-    every: float = 2_000.0  # ms between two tellings
-    most: int = 64  # of all plug-ins together
-    wishes: dict[tuple[str, str], tuple[float, float]] = field(default_factory=dict)  # until, next telling
+    ttl_ms: float = 30_000.0
+    interval_ms: float = 2_000.0
+    max_requests: int = 64  # of all plug-ins together
+    # (plug-in, function) -> (time of expiry, time when it is next due)
+    requests: dict[tuple[str, str], tuple[float, float]] = field(default_factory=dict)
     counts: Counter[str] = field(default_factory=Counter)
 
-    def wish(self, plugin: str, function: str, bound: int, now: float) -> bool:
-        """Whether it is kept. A plug-in at its bound keeps the wishes that it has."""
-        self.fade(now)
+    def add(self, plugin: str, function: str, max_of_plugin: int, now: float) -> bool:
+        """Add or renew a request; return False if it was dropped.
+
+        A plug-in at its limit keeps the requests that it has.
+        """
+        self.expire(now)
         key = (plugin, function)
-        own = sum(p == plugin for p, _ in self.wishes)
-        if key not in self.wishes and (own >= bound or len(self.wishes) >= self.most):
+        own = sum(p == plugin for p, _ in self.requests)
+        if key not in self.requests and (own >= max_of_plugin or len(self.requests) >= self.max_requests):
             self.counts["dropped"] += 1
             return False
-        _, told = self.wishes.get(key, (0.0, now))
-        self.wishes[key] = (now + self.last, told)
+        _, next_due = self.requests.get(key, (0.0, now))
+        self.requests[key] = (now + self.ttl_ms, next_due)
         self.counts["kept"] += 1
         return True
 
-    def fade(self, now: float) -> None:
-        for key in [k for k, (until, _) in self.wishes.items() if until <= now]:
-            del self.wishes[key]
+    def expire(self, now: float) -> None:
+        for key in [k for k, (expires_at, _) in self.requests.items() if expires_at <= now]:
+            del self.requests[key]
 
-    def forget(self, plugin: str) -> None:
-        for key in [k for k in self.wishes if k[0] == plugin]:
-            del self.wishes[key]
+    def remove_plugin(self, plugin: str) -> None:
+        for key in [k for k in self.requests if k[0] == plugin]:
+            del self.requests[key]
 
-    def due(self, now: float) -> list[str]:
-        """The functions to tell the module of now, each once."""
-        self.fade(now)
-        told = [k for k, (_, at) in self.wishes.items() if at <= now]
-        for key in told:
-            self.wishes[key] = (self.wishes[key][0], now + self.every)
-        return list(dict.fromkeys(f for _, f in told))
+    def take_due(self, now: float) -> list[str]:
+        """The functions to request from the decision module now, without duplicates."""
+        self.expire(now)
+        due = [k for k, (_, due_at) in self.requests.items() if due_at <= now]
+        for key in due:
+            self.requests[key] = (self.requests[key][0], now + self.interval_ms)
+        return list(dict.fromkeys(f for _, f in due))
 
 
-def by_label(counts: dict[str, Counter[str]], label: str, how: str, most: int = 256) -> None:
-    """Counts an outcome under its label; labels beyond the bound go together under '(others)'."""
-    name = label if label in counts or len(counts) < most else "(others)"
-    counts.setdefault(name, Counter())[how] += 1
+def count_by_label(counts: dict[str, Counter[str]], label: str, outcome: str, max_labels: int = 256) -> None:
+    """Count an outcome under its label; labels beyond the limit share '(others)'."""
+    name = label if label in counts or len(counts) < max_labels else "(others)"
+    counts.setdefault(name, Counter())[outcome] += 1
 
 
-def totals(counts: Mapping[str, Counter[str]]) -> dict[str, dict[str, int]]:
+def label_totals(counts: Mapping[str, Counter[str]]) -> dict[str, dict[str, int]]:
     return {name: dict(c) for name, c in counts.items()}
--- a/harrieryoke/plugins/decide/state.py
+++ b/harrieryoke/plugins/decide/state.py
@@ -7,40 +7,41 @@
 
 from .abi import Fault
 
-MOST_KEY = 128
+MAX_KEY_CHARS = 128
+ENTRY_OVERHEAD_BYTES = 16
 
 
-class State:
-    """Texts by name. It survives the plug-in's process: changes come with each answer."""
+class PluginState:
+    """Texts by key. The invoker's copy outlives the plug-in's process: each answer carries the changes."""
 
-    def __init__(self, most_bytes: int, values: Mapping[str, str] | None = None) -> None:
-        self.most, self.values, self.held = most_bytes, dict[str, str](), 0
-        self.change(values or {})
+    def __init__(self, max_bytes: int, values: Mapping[str, str] | None = None) -> None:
+        self.max_bytes, self.values, self.used_bytes = max_bytes, dict[str, str](), 0
+        self.apply(values or {})
 
-    def change(self, changes: Mapping[str, Any]) -> None:
-        """All of them, or none: None takes a key away. Raises Fault."""
-        held = self.held
+    def apply(self, changes: Mapping[str, Any]) -> None:
+        """Apply all changes or none; a value of None removes the key. Raises Fault."""
+        used_bytes = self.used_bytes
         for key, value in changes.items():
-            if not isinstance(key, str) or not 0 < len(key) <= MOST_KEY:
-                raise Fault("wrong-answer", f"state: a key of 1 to {MOST_KEY} characters is wanted")
+            if not isinstance(key, str) or not 0 < len(key) <= MAX_KEY_CHARS:
+                raise Fault("wrong-answer", f"state: a key must have 1 to {MAX_KEY_CHARS} characters")
             if value is not None and not isinstance(value, str):
                 raise Fault(
-                    "wrong-answer", f"state: a text is wanted for {key!r}, not {type(value).__name__}"
+                    "wrong-answer", f"state: the value of {key!r} must be a text, not {type(value).__name__}"
                 )
             if key in self.values:
-                held -= size(key, self.values[key])
+                used_bytes -= entry_size(key, self.values[key])
             if value is not None:
-                held += size(key, value)
-        if held > self.most:
-            raise Fault("state-full", f"state: {held} bytes, {self.most} at most")
+                used_bytes += entry_size(key, value)
+        if used_bytes > self.max_bytes:
+            raise Fault("state-full", f"state: {used_bytes} bytes, {self.max_bytes} at most")
         for key, value in changes.items():
             if value is None:
                 self.values.pop(key, None)
             else:
                 self.values[key] = value
-        self.held = held
+        self.used_bytes = used_bytes
 
 
-def size(key: str, value: str) -> int:
-    """Bytes held for one entry, with a little for its place."""
-    return len(key.encode("utf-8", "replace")) + len(value.encode("utf-8", "replace")) + 16
+def entry_size(key: str, value: str) -> int:
+    """Bytes that one entry counts for."""
+    return len(key.encode("utf-8", "replace")) + len(value.encode("utf-8", "replace")) + ENTRY_OVERHEAD_BYTES
--- a/harrieryoke/plugins/decide/versions.py
+++ b/harrieryoke/plugins/decide/versions.py
@@ -1,57 +1,61 @@
-"""The life of a plug-in's versions: loaded, tried beside the one in service, in service, watched, retired."""
+"""The life cycle of a plug-in's versions: loading, on trial beside the serving one, serving, retired."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
+MIN_CALLS_TO_JUDGE = 5  # before a version's fault rate counts, unless its trial is shorter
+
 
 @dataclass(frozen=True, slots=True)
 class SwapLimits:
-    """How a new version is tried: `trial` copies of calls or `trial_ms`, whichever comes first, then watched
-    for as many. It may fail by `margin` more than the old one, as a share of its calls."""
+    """Limits of a trial and of the watch that follows it.
+
+    A new version is on trial for `trial_calls` copies of calls or `trial_ms`, whichever comes first, and then
+    watched in service for `watch_calls` or `watch_ms`. Its fault rate may exceed the old version's by
+    `fault_rate_margin`.
+    """
 
-    trial: int = 20
+    trial_calls: int = 20
     trial_ms: float = 2000.0
-    watch: int = 50
+    watch_calls: int = 50
     watch_ms: float = 5000.0
-    margin: float = 0.1
-    linger_ms: float = 30_000.0  # that a retired version waits for the outcomes of its calls
+    fault_rate_margin: float = 0.1
+    retire_timeout_ms: float = 30_000.0  # how long a retired version waits for the outcomes of its calls
 
 
 @dataclass(slots=True)
-class Tally:
-    """What became of a version's calls."""
-
+class CallStats:
     calls: int = 0
     faults: int = 0
 
-    def rate(self) -> float:
+    def fault_rate(self) -> float:
         return self.faults / self.calls if self.calls else 0.0
 
 
 @dataclass(slots=True)
 class Version:
     number: int
-    text: str  # as the manifest words it
+    text: str  # name, version and digest, for people
     stage: str = "loading"  # loading, trial, serving, watched, previous, retired, rejected
-    since: float = 0.0
-    open: int = 0  # calls that began with it and have no outcome yet
-    tally: Tally = field(default_factory=Tally)
+    stage_since: float = 0.0
+    open_calls: int = 0  # calls that began with it and have no outcome yet
+    stats: CallStats = field(default_factory=CallStats)
 
 
 @dataclass(frozen=True, slots=True)
 class Promote:
-    """The candidate takes over: its state is to be carried over first."""
+    """The candidate is to serve, once the state has been carried over to it."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Back:
-    """The version before serves again."""
+class RollBack:
+    """The previous version serves again."""
 
     number: int
-    bad: int
+    failed_number: int
     reason: str
 
 
@@ -64,151 +68,162 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """The candidate failed its trial; `last` has the words."""
+    """The candidate failed its trial; `PluginVersions.last_swap` has the reason."""
 
     number: int
 
 
-Step = Promote | Back | Retire | Reject
+SwapStep = Promote | RollBack | Retire | Reject
+
 
+class PluginVersions:
+    """The versions of one plug-in.
 
-class Slot:
-    """One plug-in's versions. At any time exactly one serves; each call keeps the one it began with."""
+    Exactly one serves at any time; each call keeps the version that it began with.
+    """
 
     def __init__(self, plugin: str, limits: SwapLimits | None = None) -> None:
         self.plugin, self.limits = plugin, limits or SwapLimits()
         self.versions: dict[int, Version] = {}
-        self.serial = 0
+        self.last_number = 0
         self.current = 0
         self.candidate: int | None = None
         self.previous: int | None = None
         self.promoting = self.stopping = False
-        self.old_tally = Tally()  # of the version in service while a candidate is tried
-        self.last = ""  # what became of the last swap, in words
+        self.baseline = CallStats()  # of the serving version while a candidate is on trial
+        self.last_swap = ""  # the outcome of the last swap, for operators
 
-    # --- versions come ---
+    # --- new versions ---
 
-    def first(self, text: str, now: float) -> int:
-        """The version that serves from the start."""
-        self.serial += 1
-        self.versions[self.serial] = Version(self.serial, text, "serving", now)
-        self.current = self.serial
-        return self.serial
+    def add_first(self, text: str, now: float) -> int:
+        """Add the version that serves from the start."""
+        self.last_number += 1
+        self.versions[self.last_number] = Version(self.last_number, text, "serving", now)
+        self.current = self.last_number
+        return self.last_number
 
-    def offer(self, text: str, now: float) -> int | None:
-        """A new version is to be loaded; None while the invoker stops. A candidate that is still being tried
-        gives way to it: of two swaps in a row the second counts."""
+    def add_candidate(self, text: str, now: float) -> int | None:
+        """Add a version to be loaded; return None while the invoker stops. It supersedes a candidate that is
+        still loading or on trial."""
         if self.stopping:
-            self.last = f"{text}: not taken, the invoker stops"
+            self.last_swap = f"{text}: not taken, the invoker stops"
             return None
         if self.candidate is not None:
-            self.drop_candidate(f"{self.versions[self.candidate].text}: superseded by {text}")
-        self.serial += 1
-        self.versions[self.serial] = Version(self.serial, text, "loading", now)
-        self.candidate = self.serial
-        return self.serial
-
-    def loaded(self, number: int, now: float) -> bool:
-        """It can be loaded and has passed its check. False where it is no longer wanted."""
+            self.reject_candidate(f"{self.versions[self.candidate].text}: superseded by {text}")
+        self.last_number += 1
+        self.versions[self.last_number] = Version(self.last_number, text, "loading", now)
+        self.candidate = self.last_number
+        return self.last_number
+
+    def candidate_loaded(self, number: int, now: float) -> bool:
+        """Start the trial of a loaded candidate; return False if it has been superseded."""
         if number != self.candidate or self.versions[number].stage != "loading":
             return False
         version = self.versions[number]
-        version.stage, version.since, self.old_tally = "trial", now, Tally()
+        version.stage, version.stage_since, self.baseline = "trial", now, CallStats()
         return True
 
-    def failed(self, number: int, reason: str) -> None:
-        """It can't be loaded, checked, or carried over to: the old one stays."""
+    def candidate_failed(self, number: int, reason: str) -> None:
+        """Reject a candidate that could not be loaded, checked or given the state."""
         if number == self.candidate:
-            self.drop_candidate(f"{self.versions[number].text}: {reason}; {self.serving().text} stays")
+            self.reject_candidate(
+                f"{self.versions[number].text}: {reason}; {self.serving_version().text} stays"
+            )
 
-    def drop_candidate(self, words: str) -> None:
+    def reject_candidate(self, reason: str) -> None:
         assert self.candidate is not None
         self.versions[self.candidate].stage = "rejected"
-        self.candidate, self.promoting, self.last = None, False, words
+        self.candidate, self.promoting, self.last_swap = None, False, reason
 
-    def serving(self) -> Version:
+    def serving_version(self) -> Version:
         return self.versions[self.current]
 
     # --- calls ---
 
-    def begin(self) -> int:
-        """A call begins; it keeps this version until `end`."""
-        self.serving().open += 1
+    def begin_call(self) -> int:
+        """Return the number of the serving version; the call keeps it until `end_call`."""
+        self.serving_version().open_calls += 1
         return self.current
 
-    def end(self, number: int) -> None:
+    def end_call(self, number: int) -> None:
         if number in self.versions:
-            self.versions[number].open -= 1
+            self.versions[number].open_calls -= 1
 
-    def result(self, number: int, fault: bool) -> None:
-        """A hook of that version ended."""
+    def record_result(self, number: int, fault: bool) -> None:
+        """Record the result of a hook of that version."""
         if (version := self.versions.get(number)) is None:
             return
-        version.tally.calls += 1
-        version.tally.faults += fault
+        version.stats.calls += 1
+        version.stats.faults += fault
         if number == self.current and self.candidate is not None:
-            self.old_tally.calls += 1
-            self.old_tally.faults += fault
+            self.baseline.calls += 1
+            self.baseline.faults += fault
 
-    def shadow(self) -> int | None:
-        """The candidate that wants a copy of the calls."""
+    def trial_version(self) -> int | None:
+        """The candidate that is to get copies of the calls."""
         if self.candidate is None or self.versions[self.candidate].stage != "trial":
             return None
         return None if self.promoting else self.candidate
 
     # --- steps ---
 
-    def steps(self, now: float) -> list[Step]:
-        """What is to be done now. A Promote is answered by `promoted` or `failed`."""
-        out: list[Step] = []
-        if (number := self.shadow()) is not None:
+    def due_steps(self, now: float) -> list[SwapStep]:
+        """The steps to take now. A Promote must be answered by `complete_promotion` or `candidate_failed`."""
+        out: list[SwapStep] = []
+        if (number := self.trial_version()) is not None:
             version, lim = self.versions[number], self.limits
-            if self.worse(version.tally, self.old_tally) and version.tally.calls >= min(5, lim.trial):
-                self.failed(number, f"it failed {version.tally.faults} of {version.tally.calls} trial calls")
+            if self.exceeds_margin(version.stats, self.baseline) and version.stats.calls >= min(
+                MIN_CALLS_TO_JUDGE, lim.trial_calls
+            ):
+                self.candidate_failed(
+                    number, f"it failed {version.stats.faults} of {version.stats.calls} trial calls"
+                )
                 out.append(Reject(number))
-            elif version.tally.calls >= lim.trial or now - version.since >= lim.trial_ms:
+            elif version.stats.calls >= lim.trial_calls or now - version.stage_since >= lim.trial_ms:
                 self.promoting = True
                 out.append(Promote(number))
         if self.previous is not None:
-            out += self.watched(now)
+            out += self.check_watched(now)
         for version in list(self.versions.values()):
-            if self.idle(version, now):
+            if self.can_retire(version, now):
                 del self.versions[version.number]
                 out.append(Retire(version.number))
         return out
 
-    def watched(self, now: float) -> list[Step]:
-        """Goes back by itself where the new version fails more than the old did."""
+    def check_watched(self, now: float) -> list[SwapStep]:
+        """Roll back if the new version fails more often than the old one; end the watch when it is over."""
         assert self.previous is not None
-        new, old, lim = self.serving(), self.versions[self.previous], self.limits
-        if new.tally.calls >= min(5, lim.watch) and self.worse(new.tally, old.tally):
-            reason = f"it failed {new.tally.faults} of {new.tally.calls} calls in service"
-            new.stage, new.since, old.stage = "retired", now, "serving"
+        new, old, lim = self.serving_version(), self.versions[self.previous], self.limits
+        if new.stats.calls >= min(MIN_CALLS_TO_JUDGE, lim.watch_calls) and self.exceeds_margin(
+            new.stats, old.stats
+        ):
+            reason = f"it failed {new.stats.faults} of {new.stats.calls} calls in service"
+            new.stage, new.stage_since, old.stage = "retired", now, "serving"
             self.current, self.previous = old.number, None
-            self.last = f"{new.text}: {reason}; back to {old.text}"
-            return [Back(old.number, new.number, reason)]
-        if new.tally.calls >= lim.watch or now - new.since >= lim.watch_ms:
-            new.stage, old.stage, old.since, self.previous = "serving", "retired", now, None
+            self.last_swap = f"{new.text}: {reason}; back to {old.text}"
+            return [RollBack(old.number, new.number, reason)]
+        if new.stats.calls >= lim.watch_calls or now - new.stage_since >= lim.watch_ms:
+            new.stage, old.stage, old.stage_since, self.previous = "serving", "retired", now, None
         return []
 
-    def worse(self, new: Tally, old: Tally) -> bool:
-        return new.rate() > old.rate() + self.limits.margin
+    def exceeds_margin(self, new: CallStats, old: CallStats) -> bool:
+        return new.fault_rate() > old.fault_rate() + self.limits.fault_rate_margin
 
-    def idle(self, version: Version, now: float) -> bool:
+    def can_retire(self, version: Version, now: float) -> bool:
         if version.stage == "rejected":
             return True
-        waited = now - version.since >= self.limits.linger_ms
-        return version.stage == "retired" and (version.open <= 0 or waited)
+        timed_out = now - version.stage_since >= self.limits.retire_timeout_ms
+        return version.stage == "retired" and (version.open_calls <= 0 or timed_out)
 
-    def promoted(self, number: int, now: float) -> bool:
-        """The candidate's state has been carried over: it serves from here. False where it was superseded."""
+    def complete_promotion(self, number: int, now: float) -> bool:
+        """Let the candidate serve, after its state was carried over; return False if it was superseded."""
         if number != self.candidate or not self.promoting:
             return False
-        if self.previous is not None:  # a second swap while the first was watched
-            self.versions[self.previous].stage, self.versions[self.previous].since = "retired", now
-        old, new = self.serving(), self.versions[number]
-        old.stage, old.since = "previous", now
-        new.stage, new.since, new.tally = "watched", now, Tally()
+        if self.previous is not None:  # a second swap while the first is still being watched
+            self.versions[self.previous].stage, self.versions[self.previous].stage_since = "retired", now
+        old, new = self.serving_version(), self.versions[number]
+        old.stage, old.stage_since = "previous", now
+        new.stage, new.stage_since, new.stats = "watched", now, CallStats()
         self.previous, self.current, self.candidate, self.promoting = old.number, number, None, False
-        self.last = f"{new.text}: in service"
+        self.last_swap = f"{new.text}: in service"
         return True
--- a/harrieryoke/plugins/decide/walk.py
+++ b/harrieryoke/plugins/decide/walk.py
@@ -1,18 +1,18 @@
-"""One call's way past its plug-ins: which is asked next, and what holds in the end."""
+"""The chain of plug-ins that one call goes through: which is asked next, and the merged result."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from .abi import ADMIT, Said
-from .merge import Merged
+from .abi import ADMIT, Advice
+from .merge import MergedAdvice
 
-DEFAULTS = ("admit", "refuse")
+FAILURE_POLICIES = ("admit", "refuse")
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
-    """A plug-in that this call passes, with the version that it keeps until its outcome."""
+class ChainEntry:
+    """A plug-in in a call's chain, with the version that the call keeps until its outcome."""
 
     plugin: str
     version: int
@@ -20,42 +20,47 @@
 
 
 @dataclass(slots=True)
-class Walk:
-    """`next` is the plug-in to ask, or None at the end. It is told of each answer, once; a late or second
-    one says False and changes nothing."""
-
-    stops: list[Stop]
-    most_refuse: float
-    at: int = 0
-    merged: Merged = field(default_factory=Merged)
+class PluginChain:
+    """The progress of one call along its chain.
+
+    `next` is the plug-in to ask, or None at the end. `record` takes one answer of each; it ignores a late or
+    second one and returns False.
+    """
+
+    entries: list[ChainEntry]
+    max_retry_after_ms: float
+    position: int = 0
+    merged: MergedAdvice = field(default_factory=MergedAdvice)
     withdrawn: bool = False
-    passed: bool = False  # it has gone on to the module, or was refused here
-    defaulted: int = 0
+    completed: bool = False  # the call was passed on to the decision module, refused or dropped
+    default_count: int = 0
 
-    def next(self) -> Stop | None:
-        over = self.withdrawn or self.merged.refuse is not None
-        return None if over or self.at >= len(self.stops) else self.stops[self.at]
+    def next(self) -> ChainEntry | None:
+        ended = self.withdrawn or self.merged.retry_after_ms is not None
+        return None if ended or self.position >= len(self.entries) else self.entries[self.position]
 
-    def heard(self, stop: Stop, said: Said | None) -> bool:
-        """`None` stands for no usable answer: the stated default holds."""
-        if self.next() is not stop:
+    def record(self, entry: ChainEntry, advice: Advice | None) -> bool:
+        """Record an answer. None stands for no usable answer, and the plug-in's `on_failure` applies."""
+        if self.next() is not entry:
             return False
-        self.at += 1
-        if said is None:
-            self.defaulted += 1
-            said = ADMIT if stop.on_failure == "admit" else Said(refuse=self.most_refuse)
-        self.merged.add(stop.plugin, said)
+        self.position += 1
+        if advice is None:
+            self.default_count += 1
+            advice = ADMIT if entry.on_failure == "admit" else Advice(retry_after_ms=self.max_retry_after_ms)
+        self.merged.add(entry.plugin, advice)
         return True
 
-    def seen_by(self) -> list[Stop]:
-        """The plug-ins that were asked; each of them hears the outcome."""
-        return self.stops[: self.at]
+    def asked_entries(self) -> list[ChainEntry]:
+        """The plug-ins that were asked; each of them is told the call's outcome."""
+        return self.entries[: self.position]
 
 
-def time_for(
-    now: float, taken: float, due: float, call_ms: float, all_ms: float, share: float = 0.2
+def hook_deadlines(
+    now: float, received_at: float, deadline: float, call_ms: float, all_ms: float, max_share: float = 0.2
 ) -> tuple[float, float]:
-    """How long one plug-in, and all of them, may keep a call: (one's, all's) end. Neither may take more than
-    a share of the time that the client gave, however long the budgets are."""
-    everything = min(taken + all_ms, taken + share * (due - taken))
-    return min(now + call_ms, everything), everything
+    """Until when one plug-in, and all of them together, may keep a call.
+
+    Both are limited to a share of the client's time limit, however long the budgets are.
+    """
+    all_deadline = min(received_at + all_ms, received_at + max_share * (deadline - received_at))
+    return min(now + call_ms, all_deadline), all_deadline
--- a/harrieryoke/plugins/instance.py
+++ b/harrieryoke/plugins/instance.py
@@ -13,59 +13,59 @@
 from .decide import abi
 from .decide.abi import Fault
 from .decide.breaker import Breaker, BreakerLimits
-from .decide.budget import Allowance, Restarts
+from .decide.budget import RestartBackoff, TokenBucket
 from .decide.manifest import Budgets
-from .decide.state import State
+from .decide.state import PluginState
 from .package import Package
-from .process import Worker
+from .process import PluginProcess
 from .settings import PluginError
 
-# why a plug-in was not asked, or had no say; beside abi.FAULTS
-DECLINED = ("late", "out", "share-spent", "restarting", "queue-full", "ended")
-NEEDS = {"on_outcome": "outcomes", "on_hosts": "hosts", "on_timer": "timer"}  # hook -> capability
+# reasons for which a hook is not called; the reasons of a failed call are abi.FAULT_KINDS
+DECLINE_REASONS = ("late", "out", "share-spent", "restarting", "queue-full", "ended")
+HOOK_CAPABILITIES = {"on_outcome": "outcomes", "on_hosts": "hosts", "on_timer": "timer"}
+MIN_CALL_MS = 0.5  # a hook with less time left is not called
+IDLE_WAKE_MS = 1000.0
 
 
 @dataclass(slots=True, eq=False)
-class Ask:
-    """One call of a hook. `by` is when the answer is of no more use; `about` comes back with it."""
+class HookCall:
+    """One call of a hook. An answer after `deadline` is useless; `context` comes back with the result."""
 
     hook: str
     view: dict[str, Any]
-    by: float
-    about: Any = None
-    read: Callable[[Any], Any] | None = (
-        None  # raises Fault for a wrong answer; None: as of a hook that watches
-    )
+    deadline: float
+    context: Any = None
+    parse: Callable[[Any], Any] | None = None  # raises Fault; None: parsed as the result of a watching hook
 
 
 @dataclass(slots=True)
-class Heard:
-    """What came of an Ask: `said` where `why` is None, else one of DECLINED or abi.FAULTS."""
+class HookResult:
+    """The end of a HookCall: `result` if `reason` is None, else one of DECLINE_REASONS or abi.FAULT_KINDS."""
 
     instance: Instance
-    ask: Ask
-    said: Any = None
-    why: str | None = None
+    hook_call: HookCall
+    result: Any = None
+    reason: str | None = None
     text: str = ""
     fault: bool = False
 
 
 @dataclass(slots=True)
-class Give:
-    """The state is wanted, for the version that follows."""
+class ExportState:
+    """Send the state, for the version of that number."""
 
-    about: int
+    for_number: int
 
 
 @dataclass(slots=True)
-class Gave:
+class StateExported:
     instance: Instance
     values: dict[str, str]
-    about: int
+    for_number: int
 
 
 @dataclass(slots=True)
-class Carry:
+class ImportState:
     """Take over this state, which has that layout."""
 
     values: dict[str, str]
@@ -73,26 +73,26 @@
 
 
 @dataclass(slots=True)
-class Carried:
+class StateImported:
     instance: Instance
     fault: str | None
 
 
 @dataclass(slots=True)
-class Ready:
-    """A new process is there, or could not be had."""
+class ProcessStarted:
+    """The result of starting a process; `process` is None if that failed."""
 
-    worker: Worker | None
+    process: PluginProcess | None
     reason: str = ""
 
 
-class End:
-    """No more is wanted of this version."""
+class EndInstance:
+    """The version is no longer needed."""
 
 
 @dataclass(slots=True)
-class Figures:
-    """What an instance has done, for the operators. Latencies are microseconds, in a histogram."""
+class InstanceStats:
+    """Counters of an instance, for operators."""
 
     calls: int = 0
     faults: Counter[str] = field(default_factory=Counter)
@@ -103,7 +103,10 @@
 
 
 class Instance(Actor):
-    """Asks are served one at a time, in order; each gets its Heard by its time, whatever the plug-in does."""
+    """Serves HookCalls one at a time, in order.
+
+    Each gets a HookResult by its deadline, whatever the plug-in does.
+    """
 
     def __init__(
         self,
@@ -119,28 +122,28 @@
         from hdrh.histogram import HdrHistogram
 
         self.package, self.number, self.capabilities, self.budgets = package, number, capabilities, budgets
-        self.report, self.worker = report, None
-        self.state = State(budgets.state_bytes)
-        self.stale = False  # the process's copy of the state is to be replaced
+        self.report, self.process = report, None
+        self.state = PluginState(budgets.state_bytes)
+        self.state_stale = False  # the process's copy of the state must be replaced
         self.breaker = Breaker(breaker)
-        self.time = Allowance(1000 * budgets.time_share, 1000 * budgets.time_share)
-        self.lines = Allowance(budgets.log_lines_per_s, max(1.0, budgets.log_lines_per_s))
-        self.restarts, self.start_at, self.starting = Restarts(), 0.0, False
+        self.time_budget = TokenBucket(1000 * budgets.time_share, 1000 * budgets.time_share)
+        self.log_budget = TokenBucket(budgets.log_lines_per_s, max(1.0, budgets.log_lines_per_s))
+        self.backoff, self.start_at, self.starting = RestartBackoff(), 0.0, False
         self.hooks: frozenset[str] = frozenset()
-        self.figures = Figures()
-        self.took = HdrHistogram(1, 60_000_000, 2)
+        self.stats = InstanceStats()
+        self.latency_us = HdrHistogram(1, 60_000_000, 2)
         self.timer_at = float("inf")
 
-    worker: Worker | None
+    process: PluginProcess | None
 
-    # --- its process ---
+    # --- the process ---
 
-    def load(self, by: float) -> Worker:
-        """Starts a process and loads the code. Raises Fault; what was started is ended then."""
-        worker = Worker()
+    def load(self, by: float) -> PluginProcess:
+        """Start a process and load the code. On a Fault, the process is killed."""
+        process = PluginProcess()
         m, b = self.package.manifest, self.budgets
         try:
-            told = worker.ask(
+            answer = process.ask(
                 {
                     "engine": m.engine,
                     "code": self.package.code,
@@ -154,35 +157,37 @@
                 },
                 by,
             )
-            if "fault" in told:
-                raise Fault(*self.fault_in(told))
-            self.hooks = self.usable(told.get("hooks"))
+            if "fault" in answer:
+                raise Fault(*self.fault_of(answer))
+            self.hooks = self.usable_hooks(answer.get("hooks"))
         except Fault:
-            worker.kill()
+            process.kill()
             raise
-        self.figures.starts += 1
-        self.figures.peak_kb = max(self.figures.peak_kb, worker.peak_kb)
-        return worker
+        self.stats.starts += 1
+        self.stats.peak_kb = max(self.stats.peak_kb, process.peak_kb)
+        return process
 
-    def usable(self, told: Any) -> frozenset[str]:
-        """The hooks of this version. The manifest may name fewer than the file has, and not one more."""
-        has = {str(h) for h in told} if isinstance(told, list) else set()
+    def usable_hooks(self, reported: Any) -> frozenset[str]:
+        """The hooks of this version: those that the manifest names, or else all that the file defines."""
+        defined = {str(h) for h in reported} if isinstance(reported, list) else set()
         named = set(self.package.manifest.hooks)
-        if missing := named - has:
+        if missing := named - defined:
             raise Fault("wrong-answer", f"hooks: the file defines no {', '.join(sorted(missing))}")
-        return frozenset(h for h in (named or has) if NEEDS.get(h) in (None, *self.capabilities))
+        return frozenset(
+            h for h in (named or defined) if HOOK_CAPABILITIES.get(h) in (None, *self.capabilities)
+        )
 
     @staticmethod
-    def fault_in(answer: dict[str, Any]) -> tuple[str, str]:
+    def fault_of(answer: dict[str, Any]) -> tuple[str, str]:
         match answer.get("fault"):
             case [str(kind), str(text)]:
                 return kind, text
         return "protocol", "a fault without its kind"
 
-    def begin(self, now: float) -> None:
-        """The first process, while the caller waits. Raises PluginError."""
+    def load_and_start(self, now: float) -> None:
+        """Load the first process and start the actor; blocks the caller. Raises PluginError."""
         try:
-            self.worker = self.load(now + self.budgets.load_ms)
+            self.process = self.load(now + self.budgets.load_ms)
         except Fault as fault:
             raise PluginError(f"{self.package.path}: {fault.kind}: {fault}") from None
         if "on_timer" in self.hooks:
@@ -190,191 +195,207 @@
         self.start()
 
     def restart(self, now: float) -> None:
-        """In a greenlet of its own: no call waits for the start of a process."""
+        """Start a new process in a greenlet of its own, so that no call waits for it."""
         if self.starting or self.finished or now < self.start_at:
             return
         self.starting = True
 
         def run() -> None:
             try:
-                ready = Ready(self.load(now_ms() + self.budgets.load_ms))
+                started = ProcessStarted(self.load(now_ms() + self.budgets.load_ms))
             except (Fault, OSError) as error:
-                ready = Ready(None, str(error))
-            if not self.blocking_send(ready) and ready.worker is not None:
-                ready.worker.kill()
+                started = ProcessStarted(None, str(error))
+            if not self.blocking_send(started) and started.process is not None:
+                started.process.kill()
 
         spawn(self.log, f"{self.name} start", run)
 
-    def ended(self, now: float) -> None:
-        """The process has gone; another comes after a pause."""
-        if self.worker is not None:
-            self.figures.peak_kb = max(self.figures.peak_kb, self.worker.peak_kb)
-            self.worker.kill()
-            self.worker = None
-            self.start_at = now + self.restarts.ended()
+    def process_ended(self, now: float) -> None:
+        """Clean up after the process; the next one starts after the back-off."""
+        if self.process is not None:
+            self.stats.peak_kb = max(self.stats.peak_kb, self.process.peak_kb)
+            self.process.kill()
+            self.process = None
+            self.start_at = now + self.backoff.record_exit()
 
     # --- the loop ---
 
     def run(self) -> None:
         while not self.finished:
-            wake = min(self.timer_at, now_ms() + 1000.0)
-            if self.worker is None and not self.starting:
+            wake = min(self.timer_at, now_ms() + IDLE_WAKE_MS)
+            if self.process is None and not self.starting:
                 wake = min(wake, self.start_at)
             self.wait_for_message(max(1.0, wake - now_ms()))
             self.process_mailbox()
             now = now_ms()
-            if self.worker is None:
+            if self.process is None:
                 self.restart(now)
             if now >= self.timer_at and not self.finished:
                 self.timer_at = now + self.package.manifest.timer_ms
-                self.receive(Ask("on_timer", {}, now + self.budgets.call_ms))
+                self.receive(HookCall("on_timer", {}, now + self.budgets.call_ms))
 
     def finish(self) -> None:
-        """Whatever ended it: each Ask that is left gets its Heard, and the process ends."""
+        """Answer each HookCall that is left and end the process, also after a fault of this actor."""
         self.finished = True
-        if self.worker is not None:
-            self.figures.peak_kb = max(self.figures.peak_kb, self.worker.peak_kb)
-            self.worker.kill()
+        if self.process is not None:
+            self.stats.peak_kb = max(self.stats.peak_kb, self.process.peak_kb)
+            self.process.kill()
         for message in list(self.mailbox):
-            if isinstance(message, Ask):
-                self.report(Heard(self, message, why="ended"))
-            elif isinstance(message, Ready) and message.worker is not None:
-                message.worker.kill()
-            elif isinstance(message, Carry):
-                self.report(Carried(self, "it ended"))
+            if isinstance(message, HookCall):
+                self.report(HookResult(self, message, reason="ended"))
+            elif isinstance(message, ProcessStarted) and message.process is not None:
+                message.process.kill()
+            elif isinstance(message, ImportState):
+                self.report(StateImported(self, "the instance ended"))
         self.mailbox.clear()
         super().finish()
 
-    def tell_ask(self, ask: Ask) -> bool:
-        """Watching hooks leave half of the queue to the calls that wait for an answer."""
-        watching = ask.hook != "on_request"
+    def enqueue(self, hook_call: HookCall) -> bool:
+        """Queue a call of a hook; return False if the queue is full.
+
+        Watching hooks may fill only half of it; the rest is kept for calls that wait for an answer.
+        """
+        watching = hook_call.hook != "on_request"
         if len(self.mailbox) >= self.budgets.queue // (2 if watching else 1):
-            self.figures.declined["queue-full"] += 1
+            self.stats.declined["queue-full"] += 1
             return False
-        return self.try_send(ask)
+        return self.try_send(hook_call)
 
     def receive(self, message: Any) -> None:
         now = now_ms()
         match message:
-            case Ask():
+            case HookCall():
                 self.report(self.serve(message, now))
-            case Ready(worker, reason):
-                self.starting, self.worker = False, worker
-                if worker is None:
-                    self.start_at = now + self.restarts.ended()
+            case ProcessStarted(process, reason):
+                self.starting, self.process = False, process
+                if process is None:
+                    self.start_at = now + self.backoff.record_exit()
                     self.log("plugin-start-failed", f"{self.name}: {reason}")
                 else:
-                    self.stale = True  # it was given the state of when its start began
-            case Give(about):
-                self.report(Gave(self, dict(self.state.values), about))
-            case Carry(values, layout):
-                self.report(Carried(self, self.carry(values, layout, now)))
-            case End():
+                    self.state_stale = True  # the state may have changed since the start began
+            case ExportState(for_number):
+                self.report(StateExported(self, dict(self.state.values), for_number))
+            case ImportState(values, layout):
+                self.report(StateImported(self, self.import_state(values, layout, now)))
+            case EndInstance():
                 self.finished = True
 
-    def declined(self, ask: Ask, now: float) -> str | None:
-        """Why this ask is not even made."""
-        if ask.by - now < 0.5:
+    def decline_reason(self, hook_call: HookCall, now: float) -> str | None:
+        """Why the hook can't be called now, or None."""
+        if hook_call.deadline - now < MIN_CALL_MS:
             return "late"
-        if self.worker is None:
+        if self.process is None:
             self.restart(now)
             return "restarting"
-        if not self.time.has(now):
+        if not self.time_budget.has_tokens(now):
             return "share-spent"
-        return None if self.breaker.allows(now) else "out"
+        return None if self.breaker.allow(now) else "out"
 
-    def serve(self, ask: Ask, now: float) -> Heard:
-        if why := self.declined(ask, now):
-            self.figures.declined[why] += 1
-            return Heard(self, ask, why=why)
+    def serve(self, hook_call: HookCall, now: float) -> HookResult:
+        if reason := self.decline_reason(hook_call, now):
+            self.stats.declined[reason] += 1
+            return HookResult(self, hook_call, reason=reason)
         try:
-            said = self.read(ask, self.call(ask.hook, ask.view, min(ask.by, now + self.budgets.call_ms), now))
+            result = self.parse(
+                hook_call,
+                self.call(
+                    hook_call.hook,
+                    hook_call.view,
+                    min(hook_call.deadline, now + self.budgets.call_ms),
+                    now,
+                ),
+            )
         except Fault as fault:
             after = now_ms()
-            self.breaker.bad(after)
+            self.breaker.record_fault(after)
             if self.breaker.state == "open":
-                self.log("plugin-out", self.name, fault=fault.kind, for_ms=round(self.breaker.pause))
-            return Heard(self, ask, why=fault.kind, text=str(fault), fault=True)
-        self.breaker.good(now_ms())
-        self.restarts.served()
-        return Heard(self, ask, said)
-
-    def read(self, ask: Ask, said: Any) -> Any:
-        """What was said, checked: a wrong answer is a fault as any other, also for the breaker."""
+                self.log("plugin-out", self.name, fault=fault.kind, for_ms=round(self.breaker.pause_ms))
+            return HookResult(self, hook_call, reason=fault.kind, text=str(fault), fault=True)
+        self.breaker.record_success(now_ms())
+        self.backoff.record_success()
+        return HookResult(self, hook_call, result)
+
+    def parse(self, hook_call: HookCall, result: Any) -> Any:
+        """Parse a result. A wrong one is a fault like any other, also for the breaker."""
         try:
-            return abi.read_watch(said, self.capabilities) if ask.read is None else ask.read(said)
+            return (
+                abi.parse_watch_result(result, self.capabilities)
+                if hook_call.parse is None
+                else hook_call.parse(result)
+            )
         except Fault as fault:
-            self.figures.faults[fault.kind] += 1
+            self.stats.faults[fault.kind] += 1
             raise
 
     def call(self, hook: str, view: dict[str, Any], by: float, now: float) -> Any:
-        """One call of the process. Raises Fault, and has counted it then."""
-        assert self.worker is not None
-        self.figures.calls += 1
+        """Call a hook in the process. Raises Fault, which is already counted."""
+        assert self.process is not None
+        self.stats.calls += 1
         message: dict[str, Any] = {"hook": hook, "view": view, "ms": by - now}
-        if self.stale:
-            message["state"], self.stale = self.state.values, False
+        if self.state_stale:
+            message["state"], self.state_stale = self.state.values, False
         try:
-            answer = self.worker.ask(message, by)
+            answer = self.process.ask(message, by)
             for line in answer.get("log") or ():
-                if self.lines.take(now):
+                if self.log_budget.try_take(now):
                     self.log("plugin-says", repr(str(line)[:300]), plugin=self.package.manifest.name)
             if "fault" in answer:
-                raise Fault(*self.fault_in(answer))
+                raise Fault(*self.fault_of(answer))
             try:
-                self.state.change(answer.get("puts") or {})
+                self.state.apply(answer.get("puts") or {})
             except (Fault, AttributeError):
-                self.stale = True  # the two copies differ: ours holds
-                raise Fault("state-full", "what it wrote can't be kept") from None
+                self.state_stale = True  # the copies differ; the invoker's copy is authoritative
+                raise Fault("state-full", "the changes of the state can't be stored") from None
         except Fault as fault:
-            self.figures.faults[fault.kind] += 1
-            if not self.worker.pid:
-                self.ended(now_ms())
+            self.stats.faults[fault.kind] += 1
+            if not self.process.pid:
+                self.process_ended(now_ms())
             raise
         finally:
-            took = now_ms() - now
-            self.time.charge(now_ms(), took)
-            self.took.record_value(max(1, int(1000 * took)))
-            self.figures.slowest_ms = max(self.figures.slowest_ms, took)
-            if self.worker is not None:
-                self.figures.peak_kb = max(self.figures.peak_kb, self.worker.peak_kb)
+            duration = now_ms() - now
+            self.time_budget.charge(now_ms(), duration)
+            self.latency_us.record_value(max(1, int(1000 * duration)))
+            self.stats.slowest_ms = max(self.stats.slowest_ms, duration)
+            if self.process is not None:
+                self.stats.peak_kb = max(self.stats.peak_kb, self.process.peak_kb)
         return answer.get("said")
 
-    def carry(self, values: dict[str, str], layout: int, now: float) -> str | None:
-        """Takes an older version's state over; the reason where that fails. Nothing of it is kept then."""
-        before, mine = self.state, self.package.manifest.state_layout
+    def import_state(self, values: dict[str, str], layout: int, now: float) -> str | None:
+        """Take over another version's state. On a fault, restore the previous one and return the reason."""
+        before, own_layout = self.state, self.package.manifest.state_layout
         try:
-            self.state, self.stale = State(self.budgets.state_bytes, values), True
-            if layout != mine and values:
+            self.state, self.state_stale = PluginState(self.budgets.state_bytes, values), True
+            if layout != own_layout and values:
                 if "carry" not in self.hooks:
                     raise Fault(
-                        "wrong-answer", f"it has no carry hook, and the layout goes from {layout} to {mine}"
+                        "wrong-answer",
+                        f"there is no carry hook, and the layout changes from {layout} to {own_layout}",
                     )
-                if self.worker is None:
+                if self.process is None:
                     raise Fault("killed", "its process has ended")
                 self.call("carry", {"layout": layout}, now + self.budgets.load_ms, now)
         except Fault as fault:
-            self.state, self.stale = before, True
+            self.state, self.state_stale = before, True
             return f"carry: {fault.kind}: {fault}"
         return None
 
-    def told(self) -> dict[str, Any]:
-        """Its figures, as the operators read them."""
-        f, m = self.figures, self.package.manifest
+    def status(self) -> dict[str, Any]:
+        """The instance's status and counters, for operators."""
+        stats, m = self.stats, self.package.manifest
         return {
             "version": m.version,
             "digest": self.package.digest[:12],
             "engine": m.engine,
             "signed_by": self.package.signed_by,
             "state": self.breaker.state,
-            "put_out": self.breaker.opened,
-            "calls": f.calls,
-            "faults": dict(f.faults),
-            "declined": dict(f.declined),
-            "starts": f.starts,
-            "p50_us": self.took.get_value_at_percentile(50),
-            "p99_us": self.took.get_value_at_percentile(99),
-            "max_ms": round(f.slowest_ms, 3),
-            "peak_mb": round(f.peak_kb / 1024, 1),
-            "kept_bytes": self.state.held,
+            "put_out": self.breaker.times_opened,
+            "calls": stats.calls,
+            "faults": dict(stats.faults),
+            "declined": dict(stats.declined),
+            "starts": stats.starts,
+            "p50_us": self.latency_us.get_value_at_percentile(50),
+            "p99_us": self.latency_us.get_value_at_percentile(99),
+            "max_ms": round(stats.slowest_ms, 3),
+            "peak_mb": round(stats.peak_kb / 1024, 1),
+            "kept_bytes": self.state.used_bytes,
         }
--- a/harrieryoke/plugins/starlark_engine.py
+++ b/harrieryoke/plugins/starlark_engine.py
@@ -1,4 +1,4 @@
-"""Starlark in the worker process. It has no limit of steps: the invoker's kill is its only end."""
+"""The engine for Starlark, which has no limit on steps: the invoker must kill a hook that never ends."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 from .decide import abi
 from .decide.abi import Fault
-from .room import Room
+from .room import HookContext
 
-ARGUMENTS = {
+HOOK_ARGUMENTS = {
     "on_request": ("request",),
     "on_outcome": ("request", "outcome"),
     "on_hosts": ("hosts",),
@@ -19,32 +19,36 @@
 }
 
 
-class Starlark:
-    """One frozen module; the state is outside of it."""
+class StarlarkEngine:
+    """Runs the hooks of one frozen module; a plug-in's state is kept outside of it."""
 
-    def __init__(self, code: bytes, room: Room) -> None:
+    def __init__(self, code: bytes, context: HookContext) -> None:
         module = starlark.Module()
         self.fault: Fault | None = None
 
-        def guarded(does: Any) -> Any:
+        def record_fault(function: Any) -> Any:
             def run(*arguments: Any) -> Any:
                 try:
-                    return does(*arguments)
-                except Fault as fault:  # it would come back as a text among Starlark's own errors
+                    return function(*arguments)
+                except Fault as fault:  # Starlark would turn it into an error of its own, as text
                     self.fault = fault
                     raise
 
             return run
 
-        for name, does in (("log", room.log), ("state_get", room.get), ("state_put", room.put)):
-            module.add_callable(name, guarded(does))
+        for name, function in (
+            ("log", context.log),
+            ("state_get", context.state_get),
+            ("state_put", context.state_put),
+        ):
+            module.add_callable(name, record_fault(function))
         try:
             text = code.decode("utf-8")
         except UnicodeDecodeError as error:
             raise Fault("not-text", str(error)) from None
         tree = starlark.parse("plugin.star", text, dialect=starlark.Dialect.extended())
         starlark.eval(module, tree, starlark.Globals.standard())
-        self.has = [name for name in abi.HOOKS if self.defines(module, name)]
+        self.defined_hooks = [name for name in abi.HOOKS if self.defines(module, name)]
         self.module = module.freeze()
 
     @staticmethod
@@ -56,12 +60,12 @@
             return False
 
     def hooks(self) -> list[str]:
-        return self.has
+        return self.defined_hooks
 
     def call(self, hook: str, view: dict[str, Any]) -> Any:
         self.fault = None
         try:
-            return self.module.call(hook, *(view[name] for name in ARGUMENTS[hook]))
+            return self.module.call(hook, *(view[name] for name in HOOK_ARGUMENTS[hook]))
         except starlark.StarlarkError as error:
             if self.fault is not None:
                 raise self.fault from None
--- a/harrieryoke/plugins/worker.py
+++ b/harrieryoke/plugins/worker.py
@@ -1,8 +1,8 @@
 """The process that runs one version of one plug-in: `python -m harrieryoke.plugins.worker FD`.
 
-It holds one descriptor, a pipe to the invoker: frames of four bytes of length and msgpack, one answer to each
-message. It limits itself before it loads anything of the plug-in; the invoker kills it when it is late, and
-the kernel's alarm does where nobody is there to do so.
+FD is its only descriptor, a socket to the invoker. A frame is four bytes of length and msgpack; each message
+gets one answer. The process limits itself before it loads any code of the plug-in. The invoker kills it when
+it is late; an alarm of the kernel does so when the invoker can't.
 """
 
 from __future__ import annotations
@@ -20,16 +20,18 @@
 import msgspec
 
 from .decide.abi import Fault
-from .decide.state import State
-from .room import MOST_LINE, Room
+from .decide.state import PluginState
+from .room import MAX_LINE_CHARS, HookContext
 
-HEAD = struct.Struct(">I")
-MOST_OUT = 64 << 10
+FRAME_HEADER = struct.Struct(">I")
+MAX_ANSWER_BYTES = 64 << 10
 PR_SET_PDEATHSIG = 1
+WASM_COMPILE_MB = 160  # address space for compiling; the engine's store enforces the exact memory limit
+PEAK_READ_INTERVAL = 16  # calls between two reads of the peak memory
 
 
 class Engine(Protocol):
-    """What runs a plug-in's code. `call` raises Fault; any other error is told as 'raised'."""
+    """Runs a plug-in's code. `call` raises Fault; any other error is reported as 'raised'."""
 
     def hooks(self) -> list[str]: ...
 
@@ -37,64 +39,64 @@
 
 
 def limit_memory(more_mb: float) -> None:
-    """The address space may grow by so much from here. Guards the machine against a plug-in's appetite."""
+    """Limit further address space to `more_mb`, so that a plug-in can't exhaust the machine's memory."""
     with open("/proc/self/statm") as statm:
         now = int(statm.read().split()[0]) * resource.getpagesize()
-    most = now + int(more_mb * 2**20)
-    resource.setrlimit(resource.RLIMIT_AS, (most, most))
+    limit = now + int(more_mb * 2**20)
+    resource.setrlimit(resource.RLIMIT_AS, (limit, limit))
 
 
 def confine() -> None:
-    """No new files, no new processes, no core files; and no life without the invoker."""
+    """Forbid core files, and end this process when the invoker ends."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
-    if os.getppid() == 1:  # guards against the invoker having ended before the line above
+    if os.getppid() == 1:  # the invoker ended before prctl was called
         sys.exit(0)
     resource.setrlimit(resource.RLIMIT_CORE, (0, 0))
     signal.signal(signal.SIGALRM, signal.SIG_DFL)
 
 
-def no_more_files() -> None:
-    """After all is imported: nothing can be opened any more, be it a file or a socket."""
-    for what in (resource.RLIMIT_NOFILE, resource.RLIMIT_NPROC, resource.RLIMIT_FSIZE):
-        resource.setrlimit(what, (0, 0))
+def forbid_new_descriptors() -> None:
+    """Forbid opening files and sockets, and starting processes. Must be called after all imports."""
+    for limit in (resource.RLIMIT_NOFILE, resource.RLIMIT_NPROC, resource.RLIMIT_FSIZE):
+        resource.setrlimit(limit, (0, 0))
 
 
-def alarm(ms: float) -> None:
-    """The kernel ends this process then, whatever it is doing; 0 takes that back."""
+def set_alarm(ms: float) -> None:
+    """Let the kernel end this process after that time, whatever it is doing; 0 cancels the alarm."""
     signal.setitimer(signal.ITIMER_REAL, ms / 1000)
 
 
-def load(told: dict[str, Any]) -> tuple[Engine, Room]:
-    room = Room(told["state_bytes"], told["host_calls"], told["stateful"])
-    room.state.change(told["state"])
-    if told["engine"] == "wasm":
-        from .wasm_engine import Wasm
+def load(message: dict[str, Any]) -> tuple[Engine, HookContext]:
+    context = HookContext(message["state_bytes"], message["host_calls"], message["stateful"])
+    context.state.apply(message["state"])
+    if message["engine"] == "wasm":
+        from .wasm_engine import WasmEngine
 
-        limit_memory(told["memory_mb"] + 160)  # compiling takes some; the store has the exact bound
-        return Wasm(told["code"], told["memory_mb"], told["fuel"], room), room
-    from .starlark_engine import Starlark
+        limit_memory(message["memory_mb"] + WASM_COMPILE_MB)
+        return WasmEngine(message["code"], message["memory_mb"], message["fuel"], context), context
+    from .starlark_engine import StarlarkEngine
 
-    limit_memory(told["memory_mb"])
-    return Starlark(told["code"], room), room
+    limit_memory(message["memory_mb"])
+    return StarlarkEngine(message["code"], context), context
 
 
-def answer(engine: Engine, room: Room, told: dict[str, Any]) -> dict[str, Any]:
-    if "state" in told:  # the invoker's own copy replaces this one
-        room.state = State(room.state.most, told["state"])
-    room.begin()
-    said = engine.call(told["hook"], told["view"])
-    room.keep()
-    return {"said": said, "puts": room.changes}
+def run_hook(engine: Engine, context: HookContext, message: dict[str, Any]) -> dict[str, Any]:
+    if "state" in message:  # the invoker's copy replaces this one
+        context.state = PluginState(context.state.max_bytes, message["state"])
+    context.reset()
+    result = engine.call(message["hook"], message["view"])
+    context.apply_changes()
+    return {"said": result, "puts": context.changes}
 
 
 class Pipe:
-    """The worker's end."""
+    """The worker's end of the socket to the invoker."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        sock.setblocking(True)  # the invoker made it, and its own end is not
+        sock.setblocking(True)  # the invoker created it as non-blocking
 
-    def exactly(self, size: int) -> bytes:
+    def read_exactly(self, size: int) -> bytes:
         parts = bytearray()
         while len(parts) < size:
             data = self.sock.recv(size - len(parts))
@@ -104,75 +106,79 @@
         return bytes(parts)
 
     def read(self) -> dict[str, Any]:
-        (size,) = HEAD.unpack(self.exactly(HEAD.size))
-        told: dict[str, Any] = msgspec.msgpack.decode(self.exactly(size))
-        return told
+        (size,) = FRAME_HEADER.unpack(self.read_exactly(FRAME_HEADER.size))
+        message: dict[str, Any] = msgspec.msgpack.decode(self.read_exactly(size))
+        return message
 
     def write(self, answer: dict[str, Any]) -> None:
         try:
             data = msgspec.msgpack.encode(answer)
-            if len(data) > MOST_OUT:
+            if len(data) > MAX_ANSWER_BYTES:
                 raise Fault("too-large", f"an answer of {len(data)} bytes")
         except (Fault, TypeError, ValueError, OverflowError, RecursionError, MemoryError) as error:
             kind = error.kind if isinstance(error, Fault) else "wrong-answer"
             data = msgspec.msgpack.encode(
-                {"fault": [kind, str(error)[:MOST_LINE]], "rss_kb": answer.get("rss_kb", 0)}
+                {"fault": [kind, str(error)[:MAX_LINE_CHARS]], "rss_kb": answer.get("rss_kb", 0)}
             )
-        self.sock.sendall(HEAD.pack(len(data)) + data)
+        self.sock.sendall(FRAME_HEADER.pack(len(data)) + data)
 
 
-class Peak:
-    """The most memory that this process has held, in KiB. Kept open, since nothing can be opened later; read
-    now and then, since a read takes longer than a small hook."""
+class PeakMemory:
+    """The peak memory of this process, in KiB.
+
+    The file is kept open, since nothing can be opened later. It is read only now and then, since a read takes
+    longer than a small hook.
+    """
 
     def __init__(self) -> None:
         self.status = open("/proc/self/status")  # noqa: SIM115
-        self.kb = self.turn = 0
+        self.kb = self.samples = 0
 
-    def look(self) -> int:
+    def read(self) -> int:
         self.status.seek(0)
         self.kb = next((int(line.split()[1]) for line in self.status if line.startswith("VmHWM")), 0)
         return self.kb
 
-    def now(self) -> int:
-        self.turn += 1
-        return self.look() if self.turn % 16 == 1 else self.kb
+    def sample(self) -> int:
+        self.samples += 1
+        return self.read() if self.samples % PEAK_READ_INTERVAL == 1 else self.kb
 
 
-def described(error: BaseException) -> list[str]:
+def fault_of(error: BaseException) -> list[str]:
+    """The kind and text of a fault, as sent to the invoker."""
     if isinstance(error, Fault):
-        return [error.kind, str(error)[:MOST_LINE]]
+        return [error.kind, str(error)[:MAX_LINE_CHARS]]
     if isinstance(error, MemoryError):
         return ["memory", "out of memory"]
     if isinstance(error, RecursionError):
-        return ["recursion", "too deep"]
+        return ["recursion", "recursion too deep"]
     text = " ".join(str(error).split())
-    return ["raised", f"{type(error).__name__}: {text[-MOST_LINE:]}"]
+    return ["raised", f"{type(error).__name__}: {text[-MAX_LINE_CHARS:]}"]
 
 
 def main() -> None:
     confine()
     pipe = Pipe(socket.socket(fileno=int(sys.argv[1])))
-    told = pipe.read()
-    alarm(2 * told["load_ms"] + 1000)
-    peak = Peak()
+    message = pipe.read()
+    set_alarm(2 * message["load_ms"] + 1000)
+    peak = PeakMemory()
     try:
-        engine, room = load(told)
-        no_more_files()
-        pipe.write({"hooks": engine.hooks(), "rss_kb": peak.look()})
+        engine, context = load(message)
+        forbid_new_descriptors()
+        pipe.write({"hooks": engine.hooks(), "rss_kb": peak.read()})
     except Exception as error:
-        return pipe.write({"fault": described(error), "rss_kb": peak.look()})
+        return pipe.write({"fault": fault_of(error), "rss_kb": peak.read()})
     while True:
-        alarm(0)
-        told = pipe.read()
-        alarm(2 * told["ms"] + 1000)
+        set_alarm(0)
+        message = pipe.read()
+        set_alarm(2 * message["ms"] + 1000)
         began = time.perf_counter()
         try:
-            said = answer(engine, room, told)
+            answer = run_hook(engine, context, message)
         except Exception as error:
-            said = {"fault": described(error)}
+            answer = {"fault": fault_of(error)}
         took = time.perf_counter() - began
-        pipe.write(said | {"log": room.lines, "took_ms": took * 1000, "rss_kb": peak.now()})
+        pipe.write(answer | {"log": context.lines, "took_ms": took * 1000, "rss_kb": peak.sample()})
 
 
 if __name__ == "__main__":
--- a/tests/test_council_part.py
+++ b/tests/test_council_part.py
@@ -22,7 +22,7 @@
 from harrieryoke.council.part import CouncilPart
 from harrieryoke.council.settings import CouncilError, CouncilSettings
 from harrieryoke.council.status import status
-from harrieryoke.plugins.bench import Quiet
+from harrieryoke.plugins.bench import SilentLog
 
 from .council_nodes import Nodes
 from .council_nodes import wait_until as wait_for_nodes
@@ -86,7 +86,9 @@
     def __init__(self, names: str, voters: str, **changes: object) -> None:
         council_settings = settings(names, voters, **changes)
         self.disks = {name: MemoryDisk(name, n + 1, n == 0) for n, name in enumerate(names)}
-        self.actors = {n: CouncilActor(n, council_settings, self.disks[n], Quiet(), ord(n)) for n in names}
+        self.actors = {
+            n: CouncilActor(n, council_settings, self.disks[n], SilentLog(), ord(n)) for n in names
+        }
         self.fences = {duty: Fence() for duty in DUTIES}
         for name, actor in self.actors.items():
             actor.links, disk = LocalLinks(self, name), self.disks[name]
@@ -226,7 +228,7 @@
 
 
 def test_the_mailbox_is_bounded_except_for_disk_results() -> None:
-    actor = CouncilActor("a", settings(mailbox=64), MemoryDisk("a", 1, True), Quiet(), 1)
+    actor = CouncilActor("a", settings(mailbox=64), MemoryDisk("a", 1, True), SilentLog(), 1)
     for _ in range(70):
         actor.deliver(ReplicaId("b", 2), JoinRequest())
     actor.raft.leader = actor.raft.replica
@@ -314,7 +316,9 @@
         return table
 
     def start(self, name: str, members: str, voters: str = "abc") -> CouncilPart:
-        part = self.parts[name] = CouncilPart(self.settings(name, members, voters), name, Quiet(), ord(name))
+        part = self.parts[name] = CouncilPart(
+            self.settings(name, members, voters), name, SilentLog(), ord(name)
+        )
         recorded = self.recorded_bodies[name] = RecordedBodies()
         part.add_machine("reconcile", recorded)
         part.open()
@@ -353,10 +357,10 @@
 
 
 def test_a_configuration_check_does_not_touch_the_folder(tmp_path: Path) -> None:
-    CouncilPart(settings(folder=str(tmp_path / "a")), "a", Quiet(), 1)
+    CouncilPart(settings(folder=str(tmp_path / "a")), "a", SilentLog(), 1)
     assert not (tmp_path / "a").exists()
     with pytest.raises(CouncilError, match="council.name: x"):
-        CouncilPart(settings(), "x", Quiet(), 1)
+        CouncilPart(settings(), "x", SilentLog(), 1)
 
 
 def test_a_restarted_and_a_new_member_receive_the_committed_entries(parts: RunningParts) -> None:
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -129,10 +129,10 @@
     )
 
 
-class HoldingCore(bench.Taker):
+class HoldingCore(bench.AcceptingCore):
     """A core that holds the calls it is given."""
 
-    def __init__(self, limits: Limits, log: bench.Quiet) -> None:
+    def __init__(self, limits: Limits, log: bench.SilentLog) -> None:
         super().__init__(limits, log)
         self.admitted: list[Call] = []
 
@@ -142,16 +142,16 @@
 
 
 def test_a_full_queue_evicts_the_calls_of_the_flooding_tenant() -> None:
-    limits, log = Limits(), bench.Quiet()
+    limits, log = Limits(), bench.SilentLog()
     core = HoldingCore(limits, log)
     door_settings = DoorSettings(queue=20, inside_first=1, inside_least=1, inside_most=1)
     door = DoorActor(door_settings, bench.SETTINGS, core, limits, log, seed=1)
     core.set_door(door)
     door.start()
-    callers: list[tuple[int, bench.Caller]] = []
+    callers: list[tuple[int, bench.AnswerCounter]] = []
     for n in range(200):
         tenant = 2 if n % 20 else 1  # tenant 2 floods, tenant 1 sends every twentieth call
-        caller = bench.Caller()
+        caller = bench.AnswerCounter()
         now = now_ms()
         call = Call(
             f"{n:016x}", 0, "0" * 16, now + 60_000, received_at=now, tenant=tenant, client=f"c{tenant}"
@@ -173,16 +173,16 @@
     """A door without a greenlet, with a clock that the test sets."""
 
     def __init__(self, door_settings: DoorSettings) -> None:
-        self.now, limits, log = 1e12, Limits(), bench.Quiet()
+        self.now, limits, log = 1e12, Limits(), bench.SilentLog()
         self.core = HoldingCore(limits, log)
         self.door = DoorActor(door_settings, bench.SETTINGS, self.core, limits, log, 1, lambda: self.now)
         self.core.set_door(self.door)
-        self.callers: dict[Call, bench.Caller] = {}
+        self.callers: dict[Call, bench.AnswerCounter] = {}
 
     def call(self, client: str = "c", tenant: int = 0, budget: float = 4000.0) -> Call:
         request_id, deadline = f"{len(self.callers):016x}", self.now + budget
         call = Call(request_id, 0, "0" * 16, deadline, received_at=self.now, tenant=tenant, client=client)
-        self.callers[call] = bench.Caller()
+        self.callers[call] = bench.AnswerCounter()
         self.door.receive(CallReceived(call, self.callers[call]))
         return call
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -26,7 +26,7 @@
 from harrieryoke.ledger.settings import CollectorSettings, LedgerError, LedgerSettings
 from harrieryoke.ledger.tls import create_context
 from harrieryoke.limits import Limits
-from harrieryoke.plugins.bench import SETTINGS, Caller, Quiet
+from harrieryoke.plugins.bench import SETTINGS, AnswerCounter, SilentLog
 from harrieryoke.store.settings import StoreSettings
 
 from .faulty import Disk
@@ -44,7 +44,7 @@
     """A ledger with its parts in this process, an emulated collector, and finished calls."""
 
     def __init__(self, folder: Path | None, collector: EmulatedCollector | None, **options: Any) -> None:
-        self.collector, self.rng, self.callers = collector, random.Random(1), list[Caller]()
+        self.collector, self.rng, self.callers = collector, random.Random(1), list[AnswerCounter]()
         link, store = None, None
         if collector is not None:
             link = CollectorSettings(collector.address(), batch=20, batch_ms=20.0, answer_ms=500.0)
@@ -57,7 +57,7 @@
             "n1",
             SETTINGS,
             Limits(),
-            Quiet(),
+            SilentLog(),
             1,
             lambda: False,
         )
@@ -75,7 +75,7 @@
                 memory=400,
                 received_at=now - 50,
             )
-            caller = Caller()
+            caller = AnswerCounter()
             self.callers.append(caller)
             front = self.part.front_for(caller)
             if front is caller:
@@ -413,7 +413,7 @@
     server = SSLContext(ssl.PROTOCOL_TLS_SERVER)
     server.load_cert_chain(good / "cert.pem", good / "key.pem")
     collector = EmulatedCollector(random.Random(1), {}, server)
-    log = Quiet()
+    log = SilentLog()
     settings = CollectorSettings(
         collector.address(), ca=str(good / "cert.pem"), server_name="collector", batch_ms=10
     )
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -22,7 +22,7 @@
 from harrieryoke.ledger.wire import codec
 from harrieryoke.ledger.wire.codec import pb
 from harrieryoke.limits import Limits
-from harrieryoke.plugins.bench import SETTINGS, Quiet
+from harrieryoke.plugins.bench import SETTINGS, SilentLog
 
 TURN_SETTINGS = TurnSettings(
     at_once=1, turn_ms=1000.0, tries=3, again_ms=0.0, spread_ms=20.0, repeat_ms=100.0
@@ -109,7 +109,7 @@
 class Member:
     def __init__(self, council: LocalCouncil, name: str, collector: EmulatedCollector) -> None:
         self.turns = TurnsActor(
-            MemberView(council, name), name, TURN_SETTINGS, len(council.watchers), Quiet()
+            MemberView(council, name), name, TURN_SETTINGS, len(council.watchers), SilentLog()
         )
         collector_settings = CollectorSettings(collector.address(), batch=20, batch_ms=20.0, answer_ms=100.0)
         self.part = LedgerPart(
@@ -119,7 +119,7 @@
             name,
             SETTINGS,
             Limits(),
-            Quiet(),
+            SilentLog(),
             1,
             lambda: False,
             self.turns,
