--- a/harrieryoke/plugins/instance.py
+++ b/harrieryoke/plugins/instance.py
@@ -138,7 +138,7 @@
 
     # --- the process ---
 
-    def load(self, by: float) -> PluginProcess:
+    def load(self, deadline: float) -> PluginProcess:
         """Start a process and load the code. On a Fault, the process is killed."""
         process = PluginProcess()
         m, b = self.package.manifest, self.budgets
@@ -155,7 +155,7 @@
                     "stateful": "state" in self.capabilities,
                     "load_ms": b.load_ms,
                 },
-                by,
+                deadline,
             )
             if "fault" in answer:
                 raise Fault(*self.fault_of(answer))
@@ -327,15 +327,15 @@
             self.stats.faults[fault.kind] += 1
             raise
 
-    def call(self, hook: str, view: dict[str, Any], by: float, now: float) -> Any:
+    def call(self, hook: str, view: dict[str, Any], deadline: float, now: float) -> Any:
         """Call a hook in the process. Raises Fault, which is already counted."""
         assert self.process is not None
         self.stats.calls += 1
-        message: dict[str, Any] = {"hook": hook, "view": view, "ms": by - now}
+        message: dict[str, Any] = {"hook": hook, "view": view, "ms": deadline - now}
         if self.state_stale:
             message["state"], self.state_stale = self.state.values, False
         try:
-            answer = self.process.ask(message, by)
+            answer = self.process.ask(message, deadline)
             for line in answer.get("log") or ():
                 if self.log_budget.try_take(now):
                     self.log("plugin-says", repr(str(line)[:300]), plugin=self.package.manifest.name)
--- a/harrieryoke/plugins/process.py
+++ b/harrieryoke/plugins/process.py
@@ -47,16 +47,16 @@
             os.close(null)
             child_end.close()
 
-    def ask(self, message: dict[str, Any], by: float) -> dict[str, Any]:
+    def ask(self, message: dict[str, Any], deadline: float) -> dict[str, Any]:
         """Send one message and return the answer.
 
-        On an error, or without an answer before `by`, kill the process and raise Fault.
+        On an error, or without an answer before `deadline`, kill the process and raise Fault.
         """
         try:
             data = msgspec.msgpack.encode(message)
-            self.sock.settimeout(max(0.001, (by - now_ms()) / 1000))
+            self.sock.settimeout(max(0.001, (deadline - now_ms()) / 1000))
             self.sock.sendall(FRAME_HEADER.pack(len(data)) + data)
-            answer: dict[str, Any] = msgspec.msgpack.decode(self.read_frame(by), type=dict[str, Any])
+            answer: dict[str, Any] = msgspec.msgpack.decode(self.read_frame(deadline), type=dict[str, Any])
         except TimeoutError:
             self.kill()
             raise Fault("timeout", "no answer in time") from None
@@ -69,7 +69,7 @@
         self.peak_kb = max(self.peak_kb, int(answer.get("rss_kb") or 0))
         return answer
 
-    def read_frame(self, by: float) -> bytes:
+    def read_frame(self, deadline: float) -> bytes:
         """Read one whole answer. One read usually suffices, since at most one answer is in transit."""
         received = bytearray()
         while True:
@@ -79,7 +79,7 @@
                     raise Fault("protocol", f"an answer of {size} bytes")
                 if len(received) == FRAME_HEADER.size + size:
                     return bytes(received[FRAME_HEADER.size :])
-            remaining = by - now_ms()
+            remaining = deadline - now_ms()
             if remaining <= 0:
                 raise TimeoutError
             self.sock.settimeout(min(remaining, MEMORY_SAMPLE_MS) / 1000)
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_advice_that_tells_nothing_apart_changes_nothing(seed: int) -> None:
+def test_advice_that_treats_all_workers_alike_changes_nothing(seed: int) -> None:
     assert play(seed, cost_factors=dict.fromkeys(range(1, 7), 1.0), latency_target=1e9) == play(seed)
 
 
--- a/tests/test_plugins.py
+++ b/tests/test_plugins.py
@@ -248,7 +248,7 @@
     assert "asked for weight-read" not in log
 
 
-def test_wrong_answers_in_a_row_put_a_plugin_out_as_any_fault(tmp_path: Path) -> None:
+def test_consecutive_wrong_answers_open_the_breaker(tmp_path: Path) -> None:
     (tmp_path / "p.star").write_text("def on_request(r):\n    return [1, 2]\n")
     figures = bench.play(str(tmp_path / "p.star"), 20, seed=1)
     assert figures["state"] == "open" and figures["declined"]["out"] == 15 and figures["answered"] == 20
@@ -448,7 +448,7 @@
         scene.end()
 
 
-def test_a_plugin_out_of_its_share_of_time_is_not_asked_and_can_be_swapped(tmp_path: Path) -> None:
+def test_a_plugin_that_used_up_its_time_share_is_not_asked_and_can_be_swapped(tmp_path: Path) -> None:
     slow = "def on_request(r):\n    x = 0\n    for i in range(300000):\n        x = x + i\n"
     more = QUICK_SWAPS + "[plugins.budgets]\ncall_ms = 2000\ntime_share = 0.001\n"
     scene, ops = scene_with(tmp_path, slow, more.replace("[plugins]", "[plugins]\nall_ms = 2000"))
@@ -466,7 +466,7 @@
 
 
 @pytest.mark.parametrize("hook", ["on_timer()", "on_hosts(hosts)", "on_outcome(r, o)"])
-def test_a_loop_in_a_hook_that_watches_costs_no_call_its_answer(hook: str, tmp_path: Path) -> None:
+def test_an_endless_loop_in_a_watching_hook_costs_no_call_its_answer(hook: str, tmp_path: Path) -> None:
     (tmp_path / "p.star").write_text(
         f"def on_request(r):\n    return None\ndef {hook}:\n" + ENDLESS_HOOK_BODY
     )
@@ -569,7 +569,7 @@
         assert figures["answered"] == 50 and figures["by_default"] == 0 and not figures["faults"], figures
 
 
-def test_the_platforms_start_loads_no_operators_part() -> None:
+def test_a_start_without_operator_file_imports_no_optional_part() -> None:
     wanted = (
         "wasmtime",
         "starlark",
--- a/tests/test_plugins_decide.py
+++ b/tests/test_plugins_decide.py
@@ -101,7 +101,7 @@
     assert caught.value.kind == kind
 
 
-def test_numbers_without_end_are_brought_to_their_bounds() -> None:
+def test_infinite_numbers_are_clamped_to_their_bounds() -> None:
     assert abi.parse_request_advice(
         {"refuse_ms": math.inf, "wanted_ms": -math.inf}, ALL, False, 500.0
     ) == Advice(retry_after_ms=500.0, latency_target_ms=1.0)
@@ -123,13 +123,13 @@
     return resolve_cost_factors(merged, host_list, dropped), dropped, merged
 
 
-def test_avoid_goes_before_prefer_whoever_says_it() -> None:
+def test_avoid_takes_precedence_over_prefer_in_any_order() -> None:
     a, b = Advice(prefer=(Target("zone", "hall-a"),)), Advice(avoid=(Target("host", "mh1"),))
     for order in ((a, b), (b, a)):
         assert resolve_advice(*order)[0] == {1: AVOID_FACTOR, 4: PREFER_FACTOR}
 
 
-def test_advice_on_hosts_that_drain_have_gone_or_never_were_is_dropped_and_counted() -> None:
+def test_advice_on_draining_removed_or_unknown_hosts_is_dropped_and_counted() -> None:
     cost_factors, dropped, _ = resolve_advice(
         Advice(prefer=(Target("host", "mh3"), Target("host", "mh9"), Target("zone", "moon"))),
         Advice(avoid=(Target("kind", "fast"),)),
@@ -137,7 +137,7 @@
     assert cost_factors == {4: AVOID_FACTOR} and dropped == {"leaving": 1, "unknown": 2}
 
 
-def test_advice_to_avoid_all_says_nothing() -> None:
+def test_advice_to_avoid_all_hosts_is_dropped() -> None:
     cost_factors, dropped, _ = resolve_advice(
         Advice(avoid=(Target("zone", "hall-a"), Target("zone", "hall-b")))
     )
@@ -189,7 +189,7 @@
         assert not binding.matches(*other)
 
 
-def test_labels_beyond_their_bound_go_together() -> None:
+def test_labels_beyond_the_limit_are_counted_together() -> None:
     counts: dict[str, Counter[str]] = {}
     for n in range(1000):
         count_by_label(counts, f"l{n}", "served", max_labels=10)
@@ -209,14 +209,14 @@
 
 @FUZZ
 @given(st.floats(0, 1e4), st.floats(1, 1e5), st.floats(0.1, 5000), st.floats(0.1, 5000))
-def test_no_budget_keeps_a_call_longer_than_its_part_of_the_clients_time(
+def test_no_budget_keeps_a_call_longer_than_its_share_of_the_clients_time_limit(
     elapsed: float, client_ms: float, call_ms: float, all_ms: float
 ) -> None:
     one, all_plugins = hook_deadlines(1000 + elapsed, 1000.0, 1000.0 + client_ms, call_ms, all_ms)
     assert one <= all_plugins <= 1000 + 0.2 * client_ms + 1e-6 and one <= 1000 + elapsed + call_ms + 1e-6
 
 
-def test_the_breaker_opens_by_a_row_or_a_share_and_closes_by_trials_one_at_a_time() -> None:
+def test_the_breaker_opens_on_consecutive_faults_or_a_fault_share_and_closes_after_single_trials() -> None:
     b = Breaker(
         BreakerLimits(
             consecutive_faults=3,
@@ -243,7 +243,7 @@
     assert b.state == OPEN and b.open_until == 500.0  # it was closed in between: the pause started over
 
 
-def test_a_debt_of_time_is_waited_for_and_bounded() -> None:
+def test_budget_debt_is_bounded_and_restarts_back_off() -> None:
     time_budget = TokenBucket(rate=250.0, capacity=250.0)
     assert time_budget.has_tokens(0.0)
     time_budget.charge(0.0, 10_000.0)
@@ -257,7 +257,7 @@
     assert backoff.pause_ms == 0.0 or backoff.record_exit() <= 100
 
 
-def test_state_is_changed_whole_or_not_at_all() -> None:
+def test_state_changes_are_applied_all_or_none() -> None:
     state = PluginState(100, {"a": "1"})
     with pytest.raises(Fault) as caught:
         state.apply({"a": "2", "b": "x" * 100})
@@ -334,7 +334,7 @@
         (Signature("ops", "s", 500.0), "required", 600, "signature by the key 'ops' has expired"),
     ],
 )
-def test_a_signature_that_will_not_do_names_the_key(
+def test_the_error_for_an_unacceptable_signature_names_the_key(
     signature: Signature | None, policy: str, now: float, message: str
 ) -> None:
     with pytest.raises(TrustError, match=message):
