--- a/harrieryoke/lab/case.py
+++ b/harrieryoke/lab/case.py
@@ -15,10 +15,15 @@
 
     from . import door, fleet, ledger, plugins
 
-    name, case, seed, seconds, rate, folder, out = sys.argv[1:]
-    play = {"plugins": plugins.play, "door": door.play, "ledger": ledger.play, "fleet": fleet.play}[name]
-    figures = play(case, int(seed), float(seconds), float(rate), Path(folder))
-    Path(out).write_bytes(msgspec.json.encode(figures))
+    name, case, seed, seconds, rate, folder, output = sys.argv[1:]
+    run_case = {
+        "plugins": plugins.run_case,
+        "door": door.run_case,
+        "ledger": ledger.run_case,
+        "fleet": fleet.run_case,
+    }[name]
+    figures = run_case(case, int(seed), float(seconds), float(rate), Path(folder))
+    Path(output).write_bytes(msgspec.json.encode(figures))
 
 
 if __name__ == "__main__":
--- a/harrieryoke/lab/collector.py
+++ b/harrieryoke/lab/collector.py
@@ -25,13 +25,13 @@
 
     def __init__(self, rng: random.Random, faults: dict[str, float] | None = None, tls: Any = None) -> None:
         self.rng, self.faults = rng, faults or {}
-        self.kept: dict[tuple[str, int, int], pb.Batch] = {}
-        self.older: dict[tuple[str, int, int], pb.Batch] = {}
+        self.batches: dict[tuple[str, int, int], pb.Batch] = {}
+        self.saved_batches: dict[tuple[str, int, int], pb.Batch] = {}
         self.repaired: dict[str, list[bytes]] = {}
         self.fences: dict[tuple[str, int], Fence] = {}  # by instance and period
         self.hellos: list[pb.Hello] = []
         self.counts: Counter[str] = Counter()
-        self.links: set[Any] = set()
+        self.connections: set[Any] = set()
         self.port = 0
         self.tls = tls
         self.server: StreamServer | None = None
@@ -48,64 +48,64 @@
 
     # --- troubles ---
 
-    def down(self) -> None:
+    def stop(self) -> None:
         if self.server is not None:
             self.server.stop(timeout=0)
             self.server = None
-        self.cut()
+        self.drop_connections()
 
-    def cut(self) -> None:
-        for sock in list(self.links):
+    def drop_connections(self) -> None:
+        for sock in list(self.connections):
             with suppress(OSError):  # it had ended
                 sock.shutdown(socket.SHUT_RDWR)
-        self.links.clear()
+        self.connections.clear()
 
-    def save(self) -> None:
-        self.older = dict(self.kept)
+    def save_batches(self) -> None:
+        self.saved_batches = dict(self.batches)
 
-    def back(self) -> None:
+    def restore_saved_batches(self) -> None:
         """It was restored from an older copy of itself."""
-        self.kept = dict(self.older)
+        self.batches = dict(self.saved_batches)
         self.counts["back"] += 1
-        self.cut()
+        self.drop_connections()
 
     # --- its work ---
 
     def serve(self, sock: Any, peer: Any) -> None:
-        self.links.add(sock)
+        self.connections.add(sock)
         decoder, instance = Decoder(pb.Frame, codec.MAX_FRAME_BYTES), ""
         try:
             while data := sock.recv(65536):
                 for frame in decoder.feed(data):
-                    what = frame.WhichOneof("said")
-                    if what == "hello":
+                    message_kind = frame.WhichOneof("said")
+                    if message_kind == "hello":
                         instance = frame.hello.instance
                         self.hellos.append(frame.hello)
-                        sock.sendall(encode(pb.Frame(welcome=self.welcome(instance))))
-                    elif what == "reconcile":
-                        sock.sendall(encode(pb.Frame(sketch=self.sketch(instance, frame.reconcile))))
-                    elif what == "repair":
-                        self.repair(instance, frame.repair)
-                    elif what == "batch" and not self.batch(sock, instance, frame.batch):
+                        sock.sendall(encode(pb.Frame(welcome=self.make_welcome(instance))))
+                    elif message_kind == "reconcile":
+                        sock.sendall(encode(pb.Frame(sketch=self.make_sketch(instance, frame.reconcile))))
+                    elif message_kind == "repair":
+                        self.apply_repair(instance, frame.repair)
+                    elif message_kind == "batch" and not self.handle_batch(sock, instance, frame.batch):
                         return
         except (OSError, WireError):
             self.counts["broken"] += 1
         finally:
-            self.links.discard(sock)
+            self.connections.discard(sock)
             sock.close()
 
-    def welcome(self, instance: str) -> pb.Welcome:
+    def make_welcome(self, instance: str) -> pb.Welcome:
         """Up to which batch it holds all, by epoch."""
-        upto: dict[int, int] = {}
-        for name, epoch, _ in self.kept:
-            if name == instance and epoch not in upto:
-                upto[epoch] = 0
-                while (instance, epoch, upto[epoch] + 1) in self.kept:
-                    upto[epoch] += 1
-        held = [pb.Epoch(epoch=epoch, batches=number) for epoch, number in upto.items()]
+        complete_until: dict[int, int] = {}
+        for name, epoch, _ in self.batches:
+            if name == instance and epoch not in complete_until:
+                complete_until[epoch] = 0
+                while (instance, epoch, complete_until[epoch] + 1) in self.batches:
+                    complete_until[epoch] += 1
+        held = [pb.Epoch(epoch=epoch, batches=number) for epoch, number in complete_until.items()]
         return pb.Welcome(version=codec.PROTOCOL_VERSION, held=held)
 
-    def fault(self) -> str:
+    def draw_fault(self) -> str:
         draw = self.rng.random()
         for name, chance in self.faults.items():
             draw -= chance
@@ -113,9 +113,9 @@
                 return name
         return ""
 
-    def batch(self, sock: Any, instance: str, batch: pb.Batch) -> bool:
+    def handle_batch(self, sock: Any, instance: str, batch: pb.Batch) -> bool:
         """Whether the connection goes on."""
-        fault, key = self.fault(), (instance, batch.epoch, batch.number)
+        fault, key = self.draw_fault(), (instance, batch.epoch, batch.number)
         self.counts["came"] += 1
         self.counts[fault] += bool(fault)
         answer = pb.Answer(epoch=batch.epoch, number=batch.number)
@@ -123,14 +123,14 @@
             return False
         if fault == "slow":
             gevent.sleep(self.rng.uniform(0, 0.3))
-        if fault in ("refuse", "never") and key not in self.kept:
+        if fault in ("refuse", "never") and key not in self.batches:
             answer.refused, answer.for_good = f"a fault: {fault}", fault == "never"
         elif codec.batch_digest(batch.entries) != batch.digest:
             answer.refused, answer.for_good = "the digest is not that of the entries", True
             self.counts["wrong"] += 1
         else:
-            self.counts["again"] += key in self.kept
-            answer.digest = self.kept.setdefault(key, batch).digest
+            self.counts["again"] += key in self.batches
+            answer.digest = self.batches.setdefault(key, batch).digest
         if fault == "lose":
             return False
         for _ in range(2 if fault == "twice" else 1):
@@ -141,13 +141,13 @@
 
     def lose_entries(self, count: int) -> None:
         """Entries in the midst of batches that it still says it has."""
-        for key in self.rng.sample(sorted(self.kept), count):
+        for key in self.rng.sample(sorted(self.batches), count):
             batch = pb.Batch()
-            batch.CopyFrom(self.kept[key])
+            batch.CopyFrom(self.batches[key])
             del batch.entries[self.rng.randrange(len(batch.entries))]
-            self.kept[key] = batch
+            self.batches[key] = batch
 
-    def newer(self, instance: str, period: int, token: int) -> int:
+    def newer_token(self, instance: str, period: int, token: int) -> int:
         """0 where what comes under that token may be done; else the later token that came before."""
         fence = self.fences.setdefault((instance, period), Fence())
         if fence.token == token == 0 or fence.admit(token):  # 0: of an invoker that nobody gives turns
@@ -155,58 +155,64 @@
         self.counts["older"] += 1
         return fence.token
 
-    def sketch(self, instance: str, asked: pb.Reconcile) -> pb.Sketch:
-        if newer := self.newer(instance, asked.period, asked.token):
-            return pb.Sketch(period=asked.period, cells=asked.cells, token=asked.token, newer=newer)
+    def make_sketch(self, instance: str, request: pb.Reconcile) -> pb.Sketch:
+        if newer_token := self.newer_token(instance, request.period, request.token):
+            return pb.Sketch(
+                period=request.period, cells=request.cells, token=request.token, newer=newer_token
+            )
         ids = {
             codec.entry_wire_id(data)
-            for data in self.raw(instance)
-            if pb.Entry.FromString(data).period == asked.period
+            for data in self.raw_entries(instance)
+            if pb.Entry.FromString(data).period == request.period
         }
-        session = ReconcileSession(ids, asked.seed)
-        data = session.encode_table(asked.cells) if asked.cells else session.encode_strata()
-        return pb.Sketch(period=asked.period, cells=asked.cells, data=data, token=asked.token)
+        session = ReconcileSession(ids, request.seed)
+        data = session.encode_table(request.cells) if request.cells else session.encode_strata()
+        return pb.Sketch(period=request.period, cells=request.cells, data=data, token=request.token)
 
-    def repair(self, instance: str, repair: pb.Repair) -> None:
-        if self.newer(instance, repair.period, repair.token):
+    def apply_repair(self, instance: str, repair: pb.Repair) -> None:
+        if self.newer_token(instance, repair.period, repair.token):
             return
-        had = {codec.entry_wire_id(data) for data in self.raw(instance)}
-        new = [data for data in repair.entries if codec.entry_wire_id(data) not in had]
-        self.counts["repaired"] += len(new)
-        self.repaired.setdefault(instance, []).extend(new)
+        known_ids = {codec.entry_wire_id(data) for data in self.raw_entries(instance)}
+        added = [data for data in repair.entries if codec.entry_wire_id(data) not in known_ids]
+        self.counts["repaired"] += len(added)
+        self.repaired.setdefault(instance, []).extend(added)
 
     # --- what it knows ---
 
-    def raw(self, instance: str | None = None) -> list[bytes]:
-        kept = [data for key, b in self.kept.items() if instance in (None, key[0]) for data in b.entries]
-        return kept + [d for name, data in self.repaired.items() if instance in (None, name) for d in data]
+    def raw_entries(self, instance: str | None = None) -> list[bytes]:
+        received = [
+            data for key, b in self.batches.items() if instance in (None, key[0]) for data in b.entries
+        ]
+        return received + [
+            d for name, data in self.repaired.items() if instance in (None, name) for d in data
+        ]
 
     def entries(self) -> list[pb.Entry]:
-        return [pb.Entry.FromString(data) for data in self.raw()]
+        return [pb.Entry.FromString(data) for data in self.raw_entries()]
 
     def figures(self) -> dict[str, Any]:
         """Duplicates, and numbers that are missing before the last that it has of an epoch."""
-        seen = Counter((e.instance, e.epoch, e.number) for e in self.entries())
+        occurrences = Counter((e.instance, e.epoch, e.number) for e in self.entries())
         last: dict[tuple[str, int], int] = {}
-        for instance, epoch, number in seen:
+        for instance, epoch, number in occurrences:
             last[instance, epoch] = max(last.get((instance, epoch), 0), number)
         return {
-            "entries": len(seen),
-            "duplicates": sum(n - 1 for n in seen.values()),
-            "holes": sum(last.values()) - len(seen),
+            "entries": len(occurrences),
+            "duplicates": sum(n - 1 for n in occurrences.values()),
+            "holes": sum(last.values()) - len(occurrences),
             "epochs": len(last),
             "counts": dict(self.counts),
         }
 
-    def gaps(self) -> int:
+    def count_gaps(self) -> int:
         return sum(e.kind == pb.GAP for e in self.entries())
 
-    def totals(self) -> dict[tuple[str, str], list[int]]:
+    def usage_totals(self) -> dict[tuple[str, str], list[int]]:
         """Calls and milliseconds by tenant and outcome."""
         sums: dict[tuple[str, str], list[int]] = {}
         for e in self.entries():
             if e.kind != pb.GAP:
-                line = sums.setdefault((e.tenant, e.outcome), [0, 0])
-                line[0] += e.calls
-                line[1] += e.took
+                total = sums.setdefault((e.tenant, e.outcome), [0, 0])
+                total[0] += e.calls
+                total[1] += e.took
         return sums
--- a/harrieryoke/lab/door.py
+++ b/harrieryoke/lab/door.py
@@ -10,12 +10,12 @@
 
 from ..core.clock import now_ms
 from . import audit, structures
-from .clients import Sent, Tenant
-from .hosts import Shape
-from .world import TENANTS, World
+from .clients import SentCall, Tenant
+from .hosts import HostSettings
+from .world import TENANTS, Testbed
 
-FLOODS = "tenant-a"
-BY = 10.0  # times its share
+FLOODING_TENANT = "tenant-a"
+FLOOD_FACTOR = 10.0  # times its share
 # case -> whether the flood comes, and the operator's file
 CASES: dict[str, tuple[bool, str]] = {
     "quiet-today": (False, ""),
@@ -30,119 +30,138 @@
     "clock-door": (False, "[door]\n"),  # the invoker's clock steps by 5 s
     "structures": (False, ""),
 }
-CLIENTS = 40  # addresses of each tenant
-HERD = 5000
-MOST_BACKOFF = 20_000.0  # so that the truth can be told
-HOSTS, CORES, WORK = 4, 4, 60.0  # together they carry 266 calls a second
-SHAPE = Shape(work=WORK, load=300.0, cores=CORES)
-
-
-def tenants(flood: bool) -> list[Tenant]:
-    return [Tenant(t.name, t.part * (BY if flood and t.name == FLOODS else 1.0), 4, CLIENTS) for t in TENANTS]
+CLIENTS_PER_TENANT = 40  # addresses of each tenant
+HERD_CLIENTS = 5000
+MAX_BACKOFF_MS = 20_000.0  # so that the truth can be told
+HOSTS, CORES, SERVICE_MS = 4, 4, 60.0  # together they carry 266 calls a second
+HOST_SETTINGS = HostSettings(service_time=SERVICE_MS, load_time=300.0, cores=CORES)
+
+
+def select_tenants(flood: bool) -> list[Tenant]:
+    return [
+        Tenant(
+            t.name,
+            t.share * (FLOOD_FACTOR if flood and t.name == FLOODING_TENANT else 1.0),
+            4,
+            CLIENTS_PER_TENANT,
+        )
+        for t in TENANTS
+    ]
 
 
-def play(case: str, seed: int, seconds: float, rate: float, folder: Path) -> dict[str, Any]:
+def run_case(case: str, seed: int, seconds: float, rate: float, folder: Path) -> dict[str, Any]:
     """`rate` is what all tenants ask for without the flood."""
     flood, operator = CASES[case]
     if case == "structures":
-        return structures.play(seed)
-    two, herded = case.startswith("two-"), case.startswith("herd-")
-    rate *= 0.25 if herded else 1.0
-    chosen = tenants(flood)
-    for tenant in chosen:
-        tenant.part *= 3.0 if two and tenant.name == "tenant-b" else 1.0
-    world = World(
+        return structures.run_case(seed)
+    two_floods, with_herd = case.startswith("two-"), case.startswith("herd-")
+    rate *= 0.25 if with_herd else 1.0
+    tenants = select_tenants(flood)
+    for tenant in tenants:
+        tenant.share *= 3.0 if two_floods and tenant.name == "tenant-b" else 1.0
+    testbed = Testbed(
         folder,
         seed,
-        rate * sum(t.part for t in chosen),
+        rate * sum(t.share for t in tenants),
         operator,
         HOSTS,
-        chosen,
-        SHAPE,
-        3 * MOST_BACKOFF if herded else MOST_BACKOFF,
-        8192 if herded else 1024,
+        tenants,
+        HOST_SETTINGS,
+        3 * MAX_BACKOFF_MS if with_herd else MAX_BACKOFF_MS,
+        8192 if with_herd else 1024,
     )
-    world.load.hasty = case.endswith("-hasty")
-    world.load.returns = not two  # both are to be backlogged all the time
-    back = now_ms() + 1000 * (seconds / 3 + 3.0)  # when the hosts are back
-    if herded:
-        gevent.spawn_later(2.0, world.load.herd, HERD, 1500.0)
+    testbed.load.impatient = case.endswith("-hasty")
+    testbed.load.retries = not two_floods  # both are to be backlogged all the time
+    hosts_back_at = now_ms() + 1000 * (seconds / 3 + 3.0)  # when the hosts are back
+    if with_herd:
+        gevent.spawn_later(2.0, testbed.load.start_herd, HERD_CLIENTS, 1500.0)
     elif case.startswith("gone-"):
-        gevent.spawn_later(seconds / 3, world.gone, 3.0)
+        gevent.spawn_later(seconds / 3, testbed.stop_all_hosts, 3.0)
     elif case.startswith("clock-"):
-        gevent.spawn(world.steps, seconds / 5)
-    world.run(seconds, 0.0)
-    status = world.status("/door")
-    code = world.close()
-    calls = world.load.calls
-    small = [c for c in calls if c.tenant != FLOODS]
-    took = sorted(c.answered - c.sent for c in small if c.how == "served")
-    hinted, early = [c for c in calls if c.hinted], [c for c in calls if c.early]
-    shares = {t.name: audit.served_share(of(calls, t.name), lambda c: True) for t in TENANTS}
-    figures = world.figures() | {
+        gevent.spawn(testbed.step_clock, seconds / 5)
+    testbed.run(seconds, 0.0)
+    status = testbed.fetch_status("/door")
+    exit_code = testbed.close()
+    calls = testbed.load.calls
+    other_calls = [c for c in calls if c.tenant != FLOODING_TENANT]
+    latencies = sorted(c.answered_at - c.sent_at for c in other_calls if c.outcome == "served")
+    hinted_calls, early_calls = [c for c in calls if c.followed_hint], [c for c in calls if c.returned_early]
+    shares = {t.name: audit.served_share(calls_of(calls, t.name), lambda c: True) for t in TENANTS}
+    figures = testbed.figures() | {
         "case": case,
-        "exit_code": code,
-        "repeats": audit.repeats(world.arrived),
+        "exit_code": exit_code,
+        "repeats": audit.count_repeats(testbed.received),
         "served_by_tenant": {name: round(share, 4) for name, share in shares.items()},
-        "share_error_max": round(share_error(calls), 4) if two else None,
-        "early": len(early),
+        "share_error_max": round(share_error(calls), 4) if two_floods else None,
+        "early": len(early_calls),
         "early_gain": round(
-            audit.served_share(early, lambda c: True) - audit.served_share(hinted, lambda c: True), 4
+            audit.served_share(early_calls, lambda c: True)
+            - audit.served_share(hinted_calls, lambda c: True),
+            4,
         )
-        if early and hinted
+        if early_calls and hinted_calls
+        else None,
+        "hint_short": round(sum(c.outcome == "refused" for c in hinted_calls) / len(hinted_calls), 4)
+        if hinted_calls
         else None,
-        "hint_short": round(sum(c.how == "refused" for c in hinted) / len(hinted), 4) if hinted else None,
-        "stayed_away": world.load.stayed,
-        "small_tenants_served": round(audit.served_share(small, lambda c: True), 4),
-        "small_tenants_in_aim": round(in_aim(small), 4),
-        "small_tenants_p99_ms": round(took[int(0.99 * (len(took) - 1))], 1) if took else 0.0,
-        "hinted": len(hinted),
-        "hinted_success": round(sum(c.how == "served" for c in hinted) / len(hinted), 4) if hinted else None,
-        "herd_peak": herd([c.sent for c in hinted], 100.0),
-        "back_after_s": back_after(calls, back) if case.startswith("gone-") else None,
-        "served_at_last": round(audit.served_share(late_part(calls), lambda c: True), 4),
+        "stayed_away": testbed.load.withheld,
+        "small_tenants_served": round(audit.served_share(other_calls, lambda c: True), 4),
+        "small_tenants_in_aim": round(share_within_goal(other_calls), 4),
+        "small_tenants_p99_ms": round(latencies[int(0.99 * (len(latencies) - 1))], 1) if latencies else 0.0,
+        "hinted": len(hinted_calls),
+        "hinted_success": round(sum(c.outcome == "served" for c in hinted_calls) / len(hinted_calls), 4)
+        if hinted_calls
+        else None,
+        "herd_peak": peak_count([c.sent_at for c in hinted_calls], 100.0),
+        "back_after_s": recovery_time_s(calls, hosts_back_at) if case.startswith("gone-") else None,
+        "served_at_last": round(audit.served_share(last_fifth(calls), lambda c: True), 4),
         "door": status,
     }
     return figures
 
 
-def share_error(calls: list[Sent]) -> float:
+def share_error(calls: list[SentCall]) -> float:
     """Of the two backlogged tenants: how far the part that each was served of both lies from its weight's."""
-    weights = {t.name: t.part for t in TENANTS if t.name in (FLOODS, "tenant-b")}
-    began, ended = calls[0].sent + 3000.0, calls[-1].sent  # from when both are backlogged, while both ask
-    got = {
-        name: sum(c.how == "served" and began < c.answered < ended for c in of(calls, name))
+    weights = {t.name: t.share for t in TENANTS if t.name in (FLOODING_TENANT, "tenant-b")}
+    begin, end = calls[0].sent_at + 3000.0, calls[-1].sent_at  # from when both are backlogged, while both ask
+    served = {
+        name: sum(c.outcome == "served" and begin < c.answered_at < end for c in calls_of(calls, name))
         for name in weights
     }
-    return max(abs(got[n] / sum(got.values()) - w / sum(weights.values())) for n, w in weights.items())
+    return max(
+        abs(served[name] / sum(served.values()) - weight / sum(weights.values()))
+        for name, weight in weights.items()
+    )
 
 
-def of(calls: list[Sent], tenant: str) -> list[Sent]:
+def calls_of(calls: list[SentCall], tenant: str) -> list[SentCall]:
     return [c for c in calls if c.tenant == tenant]
 
 
-def in_aim(calls: list[Sent]) -> float:
-    aims = {"sample-read": 1000.0, "sample-write": 750.0}
-    good = sum(c.how == "served" and c.answered - c.sent <= aims[c.kind] for c in calls)
-    return good / len(calls) if calls else 0.0
+def share_within_goal(calls: list[SentCall]) -> float:
+    goals = {"sample-read": 1000.0, "sample-write": 750.0}
+    within_goal = sum(
+        c.outcome == "served" and c.answered_at - c.sent_at <= goals[c.class_name] for c in calls
+    )
+    return within_goal / len(calls) if calls else 0.0
 
 
-def late_part(calls: list[Sent]) -> list[Sent]:
+def last_fifth(calls: list[SentCall]) -> list[SentCall]:
     """The calls of the last fifth."""
-    return [c for c in calls if c.sent > calls[-1].sent - 0.2 * (calls[-1].sent - calls[0].sent)]
+    return [c for c in calls if c.sent_at > calls[-1].sent_at - 0.2 * (calls[-1].sent_at - calls[0].sent_at)]
 
 
-def back_after(calls: list[Sent], since: float) -> float | None:
+def recovery_time_s(calls: list[SentCall], since: float) -> float | None:
     """Seconds from then to the first half second from which on nine in ten are served."""
-    for half in range(60):
-        begin = since + 500.0 * half
-        part = [c for c in calls if begin <= c.sent < begin + 500.0]
-        if part and audit.served_share(part, lambda c: True) >= 0.9:
-            return half / 2
+    for half_seconds in range(60):
+        begin = since + 500.0 * half_seconds
+        selected = [c for c in calls if begin <= c.sent_at < begin + 500.0]
+        if selected and audit.served_share(selected, lambda c: True) >= 0.9:
+            return half_seconds / 2
     return None
 
 
-def herd(times: list[float], within: float) -> int:
+def peak_count(times: list[float], window_ms: float) -> int:
     """The most that came within any stretch of so many ms."""
     times = sorted(times)
-    return max((bisect.bisect_right(times, at + within) - n for n, at in enumerate(times)), default=0)
+    return max((bisect.bisect_right(times, at + window_ms) - n for n, at in enumerate(times)), default=0)
--- a/harrieryoke/lab/experiments.py
+++ b/harrieryoke/lab/experiments.py
@@ -12,14 +12,16 @@
 import msgspec
 
 NAMES = ("plugins", "door", "rounds", "ledger", "fleet")
-AT_A_TIME = 2  # a case wants two or three cores: invoker, plug-in, and the emulated rest; fleet's wants all
-HOSTILE_ZERO = ("unanswered", "doubled", "late", "orders_over_budget", "sends_after_drain")
+MAX_PARALLEL_CASES = (
+    2  # a case wants two or three cores: invoker, plug-in, and the emulated rest; fleet's wants all
+)
+MUST_BE_ZERO = ("unanswered", "doubled", "late", "orders_over_budget", "sends_after_drain")
 
 
-def one_case(name: str, case: str, seed: int, seconds: float, rate: float) -> dict[str, Any]:
+def run_case(name: str, case: str, seed: int, seconds: float, rate: float) -> dict[str, Any]:
     with tempfile.TemporaryDirectory(prefix="harrieryoke-lab-") as folder:
-        out = Path(folder) / "figures.json"
-        done = subprocess.run(
+        output = Path(folder) / "figures.json"
+        completed = subprocess.run(
             [
                 sys.executable,
                 "-B",
@@ -31,27 +33,27 @@
                 str(seconds),
                 str(rate),
                 folder,
-                str(out),
+                str(output),
             ],
             capture_output=True,
             text=True,
             check=False,
             timeout=seconds + 600,
         )
-        if done.returncode != 0 or not out.exists():
-            return {"case": case, "failed": done.stderr[-2000:]}
-        figures: dict[str, Any] = msgspec.json.decode(out.read_bytes())
+        if completed.returncode != 0 or not output.exists():
+            return {"case": case, "failed": completed.stderr[-2000:]}
+        figures: dict[str, Any] = msgspec.json.decode(output.read_bytes())
         return figures
 
 
-def rounds(seed: int, seconds: float, file: str | None) -> int:
+def run_rounds(seed: int, seconds: float, file: str | None) -> int:
     """The cost of the module actor's rounds, in this process and in simulated time."""
-    from .rounds import play
+    from .rounds import run_case
 
     report = {
         "experiment": "rounds",
         "seed": seed,
-        "cases": [play(seed, seconds, rate) for rate in (150, 600)],
+        "cases": [run_case(seed, seconds, rate) for rate in (150, 600)],
     }
     if file is not None:
         Path(file).write_bytes(msgspec.json.format(msgspec.json.encode(report)))
@@ -72,43 +74,50 @@
         print(f"harrieryoke: lab: one of {', '.join(NAMES)} is wanted, not {name!r}", file=sys.stderr)
         return 2
     if name == "rounds":
-        return rounds(seed, seconds, file)
+        return run_rounds(seed, seconds, file)
     from . import door, fleet, ledger, plugins
 
-    known: dict[str, list[str]] = {
+    all_cases: dict[str, list[str]] = {
         "plugins": list(plugins.CASES),
         "door": list(door.CASES),
         "ledger": list(ledger.CASES),
         "fleet": list(fleet.CASES),
     }
-    chosen, zero = cases or known[name], fleet.ZERO if name == "fleet" else HOSTILE_ZERO
-    with ThreadPoolExecutor(1 if name == "fleet" else AT_A_TIME) as pool:
-        played = list(pool.map(lambda case: one_case(name, case, seed, seconds, rate), chosen))
-    bases = {c["case"]: c for c in played if c["case"] in ("none", "calm-none") and "failed" not in c}
-    for figures in played:
+    selected, must_be_zero = cases or all_cases[name], fleet.MUST_BE_ZERO if name == "fleet" else MUST_BE_ZERO
+    with ThreadPoolExecutor(1 if name == "fleet" else MAX_PARALLEL_CASES) as pool:
+        results = list(pool.map(lambda case: run_case(name, case, seed, seconds, rate), selected))
+    baselines = {c["case"]: c for c in results if c["case"] in ("none", "calm-none") and "failed" not in c}
+    for figures in results:
         if name != "plugins":
             continue
-        base = bases.get("calm-none" if figures["case"].startswith("calm-") else "none")
-        if base is not None and "failed" not in figures:
+        baseline = baselines.get("calm-none" if figures["case"].startswith("calm-") else "none")
+        if baseline is not None and "failed" not in figures:
             figures["others_vs_none"] = round(
-                figures["served_share_others"] / max(1e-9, base["served_share_others"]), 4
+                figures["served_share_others"] / max(1e-9, baseline["served_share_others"]), 4
             )
-            figures["calls_per_s_vs_none"] = round(figures["calls_per_s"] / base["calls_per_s"], 3)
-            figures["p99_added_ms"] = round(figures["p99_ms"] - base["p99_ms"], 2)
-    broken = [f["case"] for f in played if "failed" in f or any(f.get(key) for key in zero)]
+            figures["calls_per_s_vs_none"] = round(figures["calls_per_s"] / baseline["calls_per_s"], 3)
+            figures["p99_added_ms"] = round(figures["p99_ms"] - baseline["p99_ms"], 2)
+    failed_cases = [f["case"] for f in results if "failed" in f or any(f.get(key) for key in must_be_zero)]
     report = {
         "experiment": name,
         "seed": seed,
         "seconds": seconds,
         "rate": rate,
-        "broken": broken,
-        "cases": played,
+        "broken": failed_cases,
+        "cases": results,
     }
     if file is not None:
         Path(file).write_bytes(msgspec.json.format(msgspec.json.encode(report)))
-    for f in played:
-        short = ("taken", "answered_once", *zero, "others_vs_none", "hook_p99_us", "calls_per_s")
+    for f in results:
+        summary_keys = (
+            "taken",
+            "answered_once",
+            *must_be_zero,
+            "others_vs_none",
+            "hook_p99_us",
+            "calls_per_s",
+        )
         if name == "fleet":
-            short = ("faults", *zero, *fleet.TOLD)
-        print(f"{f['case']:18}", f.get("failed") or " ".join(f"{k}={f.get(k, '-')}" for k in short))
-    return 1 if broken else 0
+            summary_keys = ("faults", *must_be_zero, *fleet.SUMMARY_KEYS)
+        print(f"{f['case']:18}", f.get("failed") or " ".join(f"{k}={f.get(k, '-')}" for k in summary_keys))
+    return 1 if failed_cases else 0
--- a/harrieryoke/lab/fleet.py
+++ b/harrieryoke/lab/fleet.py
@@ -12,17 +12,17 @@
 
 from ..council.actor import boot_ms
 from . import audit
-from . import fleet_checks as c
+from . import fleet_checks as checks
 from .collector import EmulatedCollector
-from .fleet_faults import Faults
-from .fleet_world import DUTIES, LEASE, Fleet, Traffic
-from .ledger import compared
+from .fleet_faults import FaultInjector
+from .fleet_world import DUTIES, LEASE_MS, Fleet, Traffic
+from .ledger import compare_with_collector
 
 CASES = {"three-voters": 3, "five-voters": 5}
 MEMBERS = 5
-QUIET_S = 4.0  # how long an idle and a loaded council are looked at
-GRAIN = 100.0  # ms between two acts that are none: a hand asks every 10 ms, of a busy machine
-ZERO = (
+OBSERVATION_S = 4.0  # how long an idle and a loaded council are looked at
+MIN_GAP_MS = 100.0  # ms between two acts that are none: a hand asks every 10 ms, of a busy machine
+MUST_BE_ZERO = (
     "two_holders",
     "stale_acts_taken",
     "agreed_lost",
@@ -31,168 +31,192 @@
     "unanswered",
     "answered_twice",
 )
-TOLD = ("handover_p50_ms", "handover_p99_ms", "handover_in_order_p99_ms", "duty_unheld_share")
+SUMMARY_KEYS = ("handover_p50_ms", "handover_p99_ms", "handover_in_order_p99_ms", "duty_unheld_share")
 
 
 class FencedCollector(EmulatedCollector):
     """Keeps which periods were reconciled with it, what came under a token, and whether it took it."""
 
     def __init__(self, rng: random.Random) -> None:
-        self.came: list[c.Came] = []
-        self.asked: set[tuple[str, int]] = set()
+        self.writes: list[checks.FencedWrite] = []
+        self.reconciled_periods: set[tuple[str, int]] = set()
         super().__init__(rng)
 
-    def newer(self, instance: str, period: int, token: int) -> int:
-        newer = super().newer(instance, period, token)
-        self.asked.add((instance, period))
+    def newer_token(self, instance: str, period: int, token: int) -> int:
+        newer = super().newer_token(instance, period, token)
+        self.reconciled_periods.add((instance, period))
         if token:
-            self.came.append(c.Came(instance, f"{instance}/{period}", token, not newer))
+            self.writes.append(checks.FencedWrite(instance, f"{instance}/{period}", token, not newer))
         return newer
 
 
-def play(case: str, seed: int, seconds: float, rate: float, folder: Path) -> dict[str, Any]:
+def run_case(case: str, seed: int, seconds: float, rate: float, folder: Path) -> dict[str, Any]:
     collector = FencedCollector(random.Random(seed + 1))
     fleet = Fleet(folder, seed, CASES[case], MEMBERS, rate / MEMBERS, collector)
-    well = fleet.wait_well()
+    healthy = fleet.wait_healthy()
     members = list(fleet.members.values())
-    idle = looked(fleet)
-    fleet.agree(True)
-    loads = [gevent.spawn(m.load.run, seconds) for m in members]
-    loaded = looked(fleet)
-    faults, begin = Faults(fleet, seed), boot_ms()
-    faults.run(seconds - QUIET_S)
+    idle = measure_traffic(fleet)
+    fleet.enable_proposals(True)
+    load_greenlets = [gevent.spawn(m.load.run, seconds) for m in members]
+    loaded = measure_traffic(fleet)
+    faults, begin = FaultInjector(fleet, seed), boot_ms()
+    faults.run(seconds - OBSERVATION_S)
     end = boot_ms()
-    gevent.joinall(loads, raise_error=True)
-    well = well and fleet.wait_well()
-    fleet.agree(False)
-    until = boot_ms() + 10 * LEASE
-    while c.at_the_end(fleet.watch.applied, fleet.names) and boot_ms() < until:
+    gevent.joinall(load_greenlets, raise_error=True)
+    healthy = healthy and fleet.wait_healthy()
+    fleet.enable_proposals(False)
+    deadline = boot_ms() + 10 * LEASE_MS
+    while checks.incomplete_members(fleet.watch.applied, fleet.names) and boot_ms() < deadline:
         gevent.sleep(0.5)
-    acts, came = list(fleet.watch.acts), fleet.watch.came + collector.came
-    applied = [one for one in fleet.watch.applied if isinstance(one, c.Applied)]
-    loaded_states = [one for one in fleet.watch.applied if isinstance(one, c.Loaded)]
-    codes = fleet.close()
-    collector.down()
+    acts, writes = list(fleet.watch.acts), fleet.watch.writes + collector.writes
+    applied = [event for event in fleet.watch.applied if isinstance(event, checks.Applied)]
+    loaded_states = [event for event in fleet.watch.applied if isinstance(event, checks.SnapshotLoaded)]
+    exit_codes = fleet.close()
+    collector.stop()
     calls = [call for m in members for call in m.load.calls]
-    kept = [call for call in calls if not call.lost]
-    answers = audit.answers(kept)
-    copies = list(fleet.watch.copies)
-    found = {
-        "two_holders": c.two_holders(acts) + c.two_holders(said(fleet)),
-        "stale_acts_taken": c.stale_taken(came),
-        "agreed_lost": c.agreed_lost(applied, copies, loaded_states)
-        + c.at_the_end(fleet.watch.applied, fleet.names),
-        "two_leaders": c.two_leaders(leading(fleet)),
-        "others": fleet.found,
+    answered_calls = [call for call in calls if not call.connection_lost]
+    answers = audit.answer_counts(answered_calls)
+    copies = list(fleet.watch.state_copies)
+    findings = {
+        "two_holders": checks.two_holders(acts) + checks.two_holders(reported_acts(fleet)),
+        "stale_acts_taken": checks.stale_writes_admitted(writes),
+        "agreed_lost": checks.lost_commits(applied, copies, loaded_states)
+        + checks.incomplete_members(fleet.watch.applied, fleet.names),
+        "two_leaders": checks.two_leaders(reported_leaders(fleet)),
+        "others": fleet.findings,
     }
-    failed = c.by_failure(acts, fleet.faults, LEASE)
-    alone = [f for f in failed if f.alone and f.took is not None]
-    ordered = c.in_order(acts, fleet.faults, LEASE)
-    gaps = [p.gap for p in ordered]
-    calm = between(begin, end, [f for f in fleet.faults if f.kind == "all"])
+    all_failovers = checks.failovers(acts, fleet.faults, LEASE_MS)
+    isolated_failovers = [f for f in all_failovers if f.isolated and f.duration is not None]
+    handovers = checks.planned_handovers(acts, fleet.faults, LEASE_MS)
+    gaps = [p.gap for p in handovers]
+    spans_with_members = spans_outside(begin, end, [f for f in fleet.faults if f.kind == "all"])
     figures: dict[str, Any] = {
         "case": case,
-        "lease_ms": LEASE,
-        "well_at_the_end": well,
-        "exit_codes": codes,
-        **{name: len(lines) for name, lines in found.items()},
+        "lease_ms": LEASE_MS,
+        "well_at_the_end": healthy,
+        "exit_codes": exit_codes,
+        **{name: len(lines) for name, lines in findings.items()},
         "unanswered": answers["unanswered"],
         "answered_twice": answers["doubled"],
         "taken": len(calls),
-        "lost_with_their_invoker": sum(call.lost for call in calls),
-        "handovers_by_failure": len(failed),
-        "handovers_by_failure_alone": len(alone),
-        "handovers_that_never_came": sum(f.took is None for f in failed),
-        "handover_p50_ms": c.at_share([f.took for f in alone if f.took is not None], 0.5),
-        "handover_p99_ms": c.at_share([f.took for f in alone if f.took is not None], 0.99),
-        "handover_p99_ms_two_faults": c.at_share(
-            [f.took for f in failed if not f.alone and f.took is not None and f.fault.kind != "all"], 0.99
+        "lost_with_their_invoker": sum(call.connection_lost for call in calls),
+        "handovers_by_failure": len(all_failovers),
+        "handovers_by_failure_alone": len(isolated_failovers),
+        "handovers_that_never_came": sum(f.duration is None for f in all_failovers),
+        "handover_p50_ms": checks.quantile(
+            [f.duration for f in isolated_failovers if f.duration is not None], 0.5
         ),
-        "handover_after_all_are_up_p99_ms": c.at_share(
-            [f.took + f.fault.at - f.fault.until for f in failed if f.took and f.fault.kind == "all"], 0.99
+        "handover_p99_ms": checks.quantile(
+            [f.duration for f in isolated_failovers if f.duration is not None], 0.99
         ),
-        "handover_by_kind_ms": by_kind(alone),
-        "handovers_in_order": len(ordered),
-        "handover_in_order_p50_ms": c.at_share(gaps, 0.5),
-        "handover_in_order_p99_ms": c.at_share(gaps, 0.99),
+        "handover_p99_ms_two_faults": checks.quantile(
+            [
+                f.duration
+                for f in all_failovers
+                if not f.isolated and f.duration is not None and f.fault.kind != "all"
+            ],
+            0.99,
+        ),
+        "handover_after_all_are_up_p99_ms": checks.quantile(
+            [
+                f.duration + f.fault.began_at - f.fault.ended_at
+                for f in all_failovers
+                if f.duration and f.fault.kind == "all"
+            ],
+            0.99,
+        ),
+        "handover_by_kind_ms": failovers_by_kind(isolated_failovers),
+        "handovers_in_order": len(handovers),
+        "handover_in_order_p50_ms": checks.quantile(gaps, 0.5),
+        "handover_in_order_p99_ms": checks.quantile(gaps, 0.99),
         "duty_unheld_share": unheld_share(acts, [(begin, end)]),
-        "duty_unheld_share_while_any_is_up": unheld_share(acts, calm),
+        "duty_unheld_share_while_any_is_up": unheld_share(acts, spans_with_members),
         "faults": dict(Counter(f.kind for f in fleet.faults)),
         "rounds": faults.rounds,
         "acts_seen": len(acts),
-        "acts_agreed": len({(a.duty, a.place) for a in applied}),
+        "acts_agreed": len({(a.duty, a.log_index) for a in applied}),
         "acts_applied": len(applied),
-        "snapshots_loaded": len({(one.member, one.chain) for one in loaded_states if one.chain}),
-        "copies_compared": len(copies) - len({copy.place for copy in copies}),
-        "stale_acts_refused": sum(not one.taken for one in came),
+        "snapshots_loaded": len(
+            {(event.member, event.chain_hash) for event in loaded_states if event.chain_hash}
+        ),
+        "copies_compared": len(copies) - len({copy.log_index for copy in copies}),
+        "stale_acts_refused": sum(not event.admitted for event in writes),
         "reconciles": {
-            "asked": len(collector.asked),
-            "failed": fleet.logged["reconcile-failed"],
-            "sealed": fleet.logged["period-sealed"],
-            "under_a_token": len(collector.came),
+            "asked": len(collector.reconciled_periods),
+            "failed": fleet.log_counts["reconcile-failed"],
+            "sealed": fleet.log_counts["period-sealed"],
+            "under_a_token": len(collector.writes),
         },
         "idle": idle,
         "loaded": loaded,
         "collector": collector.figures(),
-        "ledger": compared(kept, collector),
-        "found": {name: lines[:10] for name, lines in found.items() if lines},
-        "took": [[f.fault.kind, f.fault.member, round(f.fault.at), f.duty, f.took, f.alone] for f in failed],
-        "slow_in_order": [p for p in sorted(ordered, key=lambda p: -p.gap)[:5] if p.gap > 100.0],
+        "ledger": compare_with_collector(answered_calls, collector),
+        "found": {name: lines[:10] for name, lines in findings.items() if lines},
+        "took": [
+            [f.fault.kind, f.fault.member, round(f.fault.began_at), f.duty, f.duration, f.isolated]
+            for f in all_failovers
+        ],
+        "slow_in_order": [p for p in sorted(handovers, key=lambda p: -p.gap)[:5] if p.gap > 100.0],
     }
-    (folder / "seen").write_bytes(msgspec.msgpack.encode([acts, came, applied, fleet.faults]))
+    (folder / "seen").write_bytes(msgspec.msgpack.encode([acts, writes, applied, fleet.faults]))
     return figures
 
 
-def looked(fleet: Fleet) -> dict[str, float]:
+def measure_traffic(fleet: Fleet) -> dict[str, float]:
     """Messages and bytes a second between the members, over a while in which nothing is broken."""
-    one: Traffic = fleet.traffic()
-    gevent.sleep(QUIET_S)
-    two = fleet.traffic()
-    seconds = (two.at - one.at) / 1000
+    before: Traffic = fleet.traffic()
+    gevent.sleep(OBSERVATION_S)
+    after = fleet.traffic()
+    seconds = (after.at - before.at) / 1000
     return {
-        "messages_per_s": round((two.messages - one.messages) / seconds, 1),
-        "bytes_per_s": round((two.bytes - one.bytes) / seconds),
+        "messages_per_s": round((after.messages - before.messages) / seconds, 1),
+        "bytes_per_s": round((after.bytes - before.bytes) / seconds),
     }
 
 
-def between(begin: float, end: float, faults: list[c.Struck]) -> list[tuple[float, float]]:
+def spans_outside(begin: float, end: float, faults: list[checks.InjectedFault]) -> list[tuple[float, float]]:
     """The time beside these faults, and beside what a new start of all takes after them."""
     spans = []
-    for at, until in sorted({(f.at, f.until + 2 * LEASE) for f in faults}):
+    for at, until in sorted({(f.began_at, f.ended_at + 2 * LEASE_MS) for f in faults}):
         spans.append((begin, max(begin, at)))
         begin = max(begin, until)
     return [*spans, (begin, max(begin, end))]
 
 
-def unheld_share(acts: list[c.Act], spans: list[tuple[float, float]]) -> float:
-    whole = sum(end - begin for begin, end in spans) * len(DUTIES)
-    return round(sum(c.unheld(acts, DUTIES, begin, end, GRAIN) for begin, end in spans) / max(1.0, whole), 5)
+def unheld_share(acts: list[checks.Act], spans: list[tuple[float, float]]) -> float:
+    total = sum(end - begin for begin, end in spans) * len(DUTIES)
+    return round(
+        sum(checks.unheld_ms(acts, DUTIES, begin, end, MIN_GAP_MS) for begin, end in spans) / max(1.0, total),
+        5,
+    )
 
 
-def by_kind(alone: list[c.Failover]) -> dict[str, list[Any]]:
+def failovers_by_kind(isolated_failovers: list[checks.Failover]) -> dict[str, list[Any]]:
     """Count, median and most."""
-    out: dict[str, list[Any]] = {}
-    for kind in sorted({f.fault.kind for f in alone}):
-        took = [f.took for f in alone if f.fault.kind == kind and f.took is not None]
-        out[kind] = [len(took), c.at_share(took, 0.5), c.at_share(took, 1.0)]
-    return out
+    by_kind: dict[str, list[Any]] = {}
+    for kind in sorted({f.fault.kind for f in isolated_failovers}):
+        durations = [
+            f.duration for f in isolated_failovers if f.fault.kind == kind and f.duration is not None
+        ]
+        by_kind[kind] = [len(durations), checks.quantile(durations, 0.5), checks.quantile(durations, 1.0)]
+    return by_kind
 
 
-def leading(fleet: Fleet) -> list[c.Leads]:
+def reported_leaders(fleet: Fleet) -> list[checks.Leadership]:
     return [
-        c.Leads(name, t.status["term"])
-        for name, m in fleet.members.items()
-        for t in m.told
-        if t.status["role"] == "leader"
+        checks.Leadership(name, report.status["term"])
+        for name, member in fleet.members.items()
+        for report in member.reports
+        if report.status["role"] == "leader"
     ]
 
 
-def said(fleet: Fleet) -> list[c.Act]:
+def reported_acts(fleet: Fleet) -> list[checks.Act]:
     """What members told of their acting, within the time in which they were asked."""
     return [
-        c.Act(name, 0, duty, of["acting"], t.begin, t.end)
-        for name, m in fleet.members.items()
-        for t in m.told
-        for duty, of in t.status["duties"].items()
-        if of["acting"]
+        checks.Act(name, 0, duty, duty_status["acting"], report.begin, report.end)
+        for name, member in fleet.members.items()
+        for report in member.reports
+        for duty, duty_status in report.status["duties"].items()
+        if duty_status["acting"]
     ]
--- a/harrieryoke/lab/fleet_checks.py
+++ b/harrieryoke/lab/fleet_checks.py
@@ -12,27 +12,27 @@
 
 import xxhash
 
-FRESH = 150.0  # ms: who acted so shortly before a fault held the duty when it came
+RECENT_ACT_MS = 150.0  # ms: who acted so shortly before a fault held the duty when it came
 
 
 class Act(NamedTuple):
     """At some moment from `begin` to `end` the member was told that it may act on the duty."""
 
     member: str
-    life: int
+    incarnation: int
     duty: str
     token: int
     begin: float
     end: float
 
 
-class Came(NamedTuple):
+class FencedWrite(NamedTuple):
     """What came to a fenced target, in the order in which it came."""
 
     member: str
     duty: str
     token: int
-    taken: bool
+    admitted: bool
 
 
 class Applied(NamedTuple):
@@ -40,45 +40,45 @@
 
     member: str
     duty: str
-    place: int
+    log_index: int
     token: int
     body: str
-    chain: str
+    chain_hash: str
 
 
-class Loaded(NamedTuple):
+class SnapshotLoaded(NamedTuple):
     """A member took a duty's state from a snapshot. An empty chain stands for nothing."""
 
     member: str
     duty: str
-    chain: str
+    chain_hash: str
 
 
-Seen = TypeVar("Seen", Act, Applied)
+Observation = TypeVar("Observation", Act, Applied)
 
 
-class Copy(NamedTuple):
+class StateCopy(NamedTuple):
     """A member's copy of the agreed state, as it told it."""
 
     member: str
-    place: int
+    log_index: int
     digest: str
 
 
-class Leads(NamedTuple):
+class Leadership(NamedTuple):
     member: str
     term: int
 
 
-class Struck(NamedTuple):
+class InjectedFault(NamedTuple):
     """A fault as it happened. `until` is when it was over. `halts`: what its member held must go to another,
     or to its next life."""
 
     kind: str
     member: str
-    at: float
-    until: float
-    halts: bool
+    began_at: float
+    ended_at: float
+    stops_member: bool
 
 
 class Tenure(NamedTuple):
@@ -87,11 +87,11 @@
     duty: str
     token: int
     member: str
-    first: float
-    last: float
+    first_act: float
+    last_act: float
 
 
-def link(chain: str, index: int, token: int, body: str) -> str:
+def next_chain_hash(chain: str, index: int, token: int, body: str) -> str:
     return xxhash.xxh3_64_hexdigest(f"{chain}\0{index}\0{token}\0{body}".encode())
 
 
@@ -101,88 +101,96 @@
 def two_holders(acts: Sequence[Act]) -> list[str]:
     """Tokens only grow: who acts under one after another acted under a higher one acts beside it. Only what
     was over before the other began counts, so that nothing is found that did not happen."""
-    found: dict[tuple[str, int], str] = {}
-    for duty, seen in by_duty(acts).items():
-        ended, upto, newest, owners = sorted(seen, key=lambda a: a.end), 0, seen[0], dict[int, Act]()
+    violations: dict[tuple[str, int], str] = {}
+    for duty, duty_acts in group_by_duty(acts).items():
+        ended, ended_count, newest, owners = (
+            sorted(duty_acts, key=lambda a: a.end),
+            0,
+            duty_acts[0],
+            dict[int, Act](),
+        )
         newest = newest._replace(token=0)
-        for act in sorted(seen, key=lambda a: a.begin):
-            while ended[upto].end < act.begin:
-                newest = max(newest, ended[upto], key=lambda a: a.token)
-                upto += 1
+        for act in sorted(duty_acts, key=lambda a: a.begin):
+            while ended[ended_count].end < act.begin:
+                newest = max(newest, ended[ended_count], key=lambda a: a.token)
+                ended_count += 1
             owner = owners.setdefault(act.token, act)
-            if (owner.member, owner.life) != (act.member, act.life):
-                found[duty, act.token] = f"one token of two: {act} and {owner}"
+            if (owner.member, owner.incarnation) != (act.member, act.incarnation):
+                violations[duty, act.token] = f"one token of two: {act} and {owner}"
             elif newest.token > act.token:
-                found[duty, act.token] = f"{act} after {newest}"
-    return list(found.values())
+                violations[duty, act.token] = f"{act} after {newest}"
+    return list(violations.values())
 
 
-def stale_taken(came: Iterable[Came]) -> list[str]:
+def stale_writes_admitted(writes: Iterable[FencedWrite]) -> list[str]:
     """What a target took though a higher token had come before."""
-    found, highest = list[str](), dict[str, Came]()
-    for one in came:
-        before = highest.setdefault(one.duty, one)
-        if one.token < before.token and one.taken:
-            found.append(f"{one} was taken after {before}")
-        elif one.token > before.token:
-            highest[one.duty] = one
-    return found
-
-
-def agreed_lost(
-    applied: Sequence[Applied], copies: Iterable[Copy] = (), loaded: Iterable[Loaded] = ()
+    violations, highest = list[str](), dict[str, FencedWrite]()
+    for write in writes:
+        newest = highest.setdefault(write.duty, write)
+        if write.token < newest.token and write.admitted:
+            violations.append(f"{write} was taken after {newest}")
+        elif write.token > newest.token:
+            highest[write.duty] = write
+    return violations
+
+
+def lost_commits(
+    applied: Sequence[Applied], copies: Iterable[StateCopy] = (), snapshots: Iterable[SnapshotLoaded] = ()
 ) -> list[str]:
     """What one member applied and another has otherwise, or has no more."""
-    found, said = list[str](), dict[int, Copy]()
-    known = {(one.duty, one.chain) for one in applied}
-    found += [
-        f"a state that nobody applied: {one}"
-        for one in loaded
-        if one.chain and (one.duty, one.chain) not in known
+    violations, first_copies = list[str](), dict[int, StateCopy]()
+    known_states = {(act.duty, act.chain_hash) for act in applied}
+    violations += [
+        f"a state that nobody applied: {act}"
+        for act in snapshots
+        if act.chain_hash and (act.duty, act.chain_hash) not in known_states
     ]
     for copy in copies:
-        before = said.setdefault(copy.place, copy)
-        if before.digest != copy.digest:
-            found.append(f"the state is not the same: {copy} and {before}")
-    for seen in by_duty(applied).values():
-        first: dict[int, Applied] = {}
-        for one in seen:
-            other = first.setdefault(one.place, one)
-            if other[2:] != one[2:]:
-                found.append(f"not the same: {one} and {other}")
-        before_it = None
-        for _, one in sorted(first.items()):
-            if before_it is not None:
-                if one.chain != link(before_it.chain, one.place, one.token, one.body):
-                    found.append(f"gone: {before_it}, or one behind it, is not before {one}")
-                if one.token < before_it.token:
-                    found.append(f"applied under an older token: {one} after {before_it}")
-            before_it = one
-    return found
-
-
-def at_the_end(seen: Sequence[Applied | Loaded], members: Iterable[str]) -> list[str]:
+        reference = first_copies.setdefault(copy.log_index, copy)
+        if reference.digest != copy.digest:
+            violations.append(f"the state is not the same: {copy} and {reference}")
+    for duty_acts in group_by_duty(applied).values():
+        first_by_index: dict[int, Applied] = {}
+        for act in duty_acts:
+            other = first_by_index.setdefault(act.log_index, act)
+            if other[2:] != act[2:]:
+                violations.append(f"not the same: {act} and {other}")
+        previous = None
+        for _, act in sorted(first_by_index.items()):
+            if previous is not None:
+                if act.chain_hash != next_chain_hash(previous.chain_hash, act.log_index, act.token, act.body):
+                    violations.append(f"gone: {previous}, or one behind it, is not before {act}")
+                if act.token < previous.token:
+                    violations.append(f"applied under an older token: {act} after {previous}")
+            previous = act
+    return violations
+
+
+def incomplete_members(events: Sequence[Applied | SnapshotLoaded], members: Iterable[str]) -> list[str]:
     """When all is well again and nothing more comes, each member has all that anybody applied. `seen` in its
     order."""
-    newest, last = dict[str, Applied](), dict[tuple[str, str], Applied | Loaded]()
-    for one in seen:
-        last[one.member, one.duty] = one
-        if isinstance(one, Applied) and (one.duty not in newest or newest[one.duty].place < one.place):
-            newest[one.duty] = one
+    newest, last_events = dict[str, Applied](), dict[tuple[str, str], Applied | SnapshotLoaded]()
+    for event in events:
+        last_events[event.member, event.duty] = event
+        if isinstance(event, Applied) and (
+            event.duty not in newest or newest[event.duty].log_index < event.log_index
+        ):
+            newest[event.duty] = event
     return [
-        f"{member} lacks {most}: its last is {its}"
-        for duty, most in newest.items()
+        f"{member} lacks {newest_act}: its last is {last_event}"
+        for duty, newest_act in newest.items()
         for member in members
-        if (its := last.get((member, duty))) is None or its.chain != most.chain
+        if (last_event := last_events.get((member, duty))) is None
+        or last_event.chain_hash != newest_act.chain_hash
     ]
 
 
-def two_leaders(leads: Iterable[Leads]) -> list[str]:
-    first: dict[int, str] = {}
+def two_leaders(leads: Iterable[Leadership]) -> list[str]:
+    first_leaders: dict[int, str] = {}
     return [
-        f"{one} beside {first[one.term]}"
-        for one in leads
-        if first.setdefault(one.term, one.member) != one.member
+        f"{leadership} beside {first_leaders[leadership.term]}"
+        for leadership in leads
+        if first_leaders.setdefault(leadership.term, leadership.member) != leadership.member
     ]
 
 
@@ -192,86 +200,102 @@
 def tenures(acts: Sequence[Act]) -> dict[str, list[Tenure]]:
     """By duty, in the order of their tokens."""
     spans: dict[tuple[str, int], Tenure] = {}
-    for a in acts:
-        t = spans.get((a.duty, a.token)) or Tenure(a.duty, a.token, a.member, a.begin, a.end)
-        spans[a.duty, a.token] = t._replace(first=min(t.first, a.begin), last=max(t.last, a.end))
-    out: dict[str, list[Tenure]] = defaultdict(list)
+    for act in acts:
+        tenure = spans.get((act.duty, act.token)) or Tenure(
+            act.duty, act.token, act.member, act.begin, act.end
+        )
+        spans[act.duty, act.token] = tenure._replace(
+            first_act=min(tenure.first_act, act.begin), last_act=max(tenure.last_act, act.end)
+        )
+    by_duty: dict[str, list[Tenure]] = defaultdict(list)
     for _, tenure in sorted(spans.items()):
-        out[tenure.duty].append(tenure)
-    return out
+        by_duty[tenure.duty].append(tenure)
+    return by_duty
 
 
 class Failover(NamedTuple):
     """`took` is None where nobody acted after it. `alone`: no other fault came into it."""
 
-    fault: Struck
+    fault: InjectedFault
     duty: str
-    took: float | None
-    alone: bool
+    duration: float | None
+    isolated: bool
 
 
-def by_failure(acts: Sequence[Act], faults: Sequence[Struck], lease: float) -> list[Failover]:
+def failovers(acts: Sequence[Act], faults: Sequence[InjectedFault], lease: float) -> list[Failover]:
     """From a fault at a holder to the next act on the duty by another, or by its next life. A fault that need
     not halt its member counts where the duty did go to another while it lasted, or a lease after that."""
-    out = []
-    for held in tenures(acts).values():
+    found = []
+    for duty_tenures in tenures(acts).values():
         for fault in faults:
-            at = sum(t.first <= fault.at for t in held) - 1
-            last = held[at].last + FRESH if at >= 0 and held[at].member == fault.member else 0.0
-            if last < fault.at or fault.kind == "term":
+            position = sum(tenure.first_act <= fault.began_at for tenure in duty_tenures) - 1
+            recent_until = (
+                duty_tenures[position].last_act + RECENT_ACT_MS
+                if position >= 0 and duty_tenures[position].member == fault.member
+                else 0.0
+            )
+            if recent_until < fault.began_at or fault.kind == "term":
                 continue
-            after = next((t for t in held[at + 1 :] if t.first > fault.at), None)
-            if not fault.halts and (
-                after is None or after.first > fault.until + lease or after.first - held[at].last < FRESH
+            next_tenure = next(
+                (tenure for tenure in duty_tenures[position + 1 :] if tenure.first_act > fault.began_at), None
+            )
+            if not fault.stops_member and (
+                next_tenure is None
+                or next_tenure.first_act > fault.ended_at + lease
+                or next_tenure.first_act - duty_tenures[position].last_act < RECENT_ACT_MS
             ):
                 continue  # it stayed, or went in order
-            end = fault.until if after is None else after.first
-            alone = not any(f.at < end and f.until > fault.at - lease for f in faults if f is not fault)
-            took = None if after is None else after.first - fault.at
-            out.append(Failover(fault, held[at].duty, took, alone))
-    return out
+            end = fault.ended_at if next_tenure is None else next_tenure.first_act
+            isolated = not any(
+                other.began_at < end and other.ended_at > fault.began_at - lease
+                for other in faults
+                if other is not fault
+            )
+            duration = None if next_tenure is None else next_tenure.first_act - fault.began_at
+            found.append(Failover(fault, duty_tenures[position].duty, duration, isolated))
+    return found
 
 
-class Passing(NamedTuple):
+class Handover(NamedTuple):
     old: Tenure
     new: Tenure
     gap: float
 
 
-def in_order(acts: Sequence[Act], faults: Sequence[Struck], lease: float) -> list[Passing]:
+def planned_handovers(acts: Sequence[Act], faults: Sequence[InjectedFault], lease: float) -> list[Handover]:
     """From one holder to the next where nobody was struck: the first was told to end, or a better one is
     there."""
-    out = []
-    for held in tenures(acts).values():
-        for old, new in pairwise(held):
-            begin, end = old.last - lease, new.first
-            struck = [f for f in faults if f.at < end and f.until > begin]
-            if all(f.kind == "term" and f.member == old.member for f in struck):
-                out.append(Passing(old, new, max(0.0, new.first - old.last)))
-    return out
+    found = []
+    for duty_tenures in tenures(acts).values():
+        for old, new in pairwise(duty_tenures):
+            begin, end = old.last_act - lease, new.first_act
+            overlapping = [fault for fault in faults if fault.began_at < end and fault.ended_at > begin]
+            if all(fault.kind == "term" and fault.member == old.member for fault in overlapping):
+                found.append(Handover(old, new, max(0.0, new.first_act - old.last_act)))
+    return found
 
 
-def unheld(acts: Sequence[Act], duties: Sequence[str], begin: float, end: float, grain: float) -> float:
+def unheld_ms(acts: Sequence[Act], duties: Sequence[str], begin: float, end: float, min_gap: float) -> float:
     """Of the duties' time, the ms in which nobody acted. Less than `grain` between two acts is nothing."""
-    lost, seen = 0.0, by_duty(acts)
+    unheld, acts_by_duty = 0.0, group_by_duty(acts)
     for duty in duties:
-        at = begin
-        for act in sorted(seen.get(duty, ()), key=lambda a: a.begin):
+        covered_until = begin
+        for act in sorted(acts_by_duty.get(duty, ()), key=lambda a: a.begin):
             if begin <= act.begin <= end:
-                lost += act.begin - at if act.begin - at > grain else 0.0
-                at = max(at, act.end)
-        lost += end - at if end - at > grain else 0.0
-    return lost
+                unheld += act.begin - covered_until if act.begin - covered_until > min_gap else 0.0
+                covered_until = max(covered_until, act.end)
+        unheld += end - covered_until if end - covered_until > min_gap else 0.0
+    return unheld
 
 
-def at_share(values: Iterable[float], share: float) -> float | None:
+def quantile(values: Iterable[float], share: float) -> float | None:
     """None for none."""
     ordered = sorted(values)
     return round(ordered[round(share * (len(ordered) - 1))], 1) if ordered else None
 
 
-def by_duty(seen: Sequence[Seen]) -> dict[str, list[Seen]]:
-    out: dict[str, list[Seen]] = defaultdict(list)
-    for one in seen:
-        out[one.duty].append(one)
-    return out
+def group_by_duty(observations: Sequence[Observation]) -> dict[str, list[Observation]]:
+    by_duty: dict[str, list[Observation]] = defaultdict(list)
+    for observation in observations:
+        by_duty[observation.duty].append(observation)
+    return by_duty
--- a/harrieryoke/lab/fleet_faults.py
+++ b/harrieryoke/lab/fleet_faults.py
@@ -9,11 +9,11 @@
 import gevent
 
 from ..council.actor import boot_ms
-from .fleet_checks import Struck
-from .fleet_world import DUTIES, LEASE, Fleet, Member
+from .fleet_checks import InjectedFault
+from .fleet_world import DUTIES, LEASE_MS, Fleet, Member
 
 # kind: how often it is drawn
-KINDS = {
+FAULT_WEIGHTS = {
     "kill": 4,  # SIGKILL, started again after a while
     "stall": 4,  # SIGSTOP and SIGCONT
     "term": 4,  # SIGTERM, started again
@@ -30,187 +30,194 @@
     "all": 1,  # all are killed at once
     "clock": 1,  # its Unix clock steps
 }
-ALONE = {"lost", "replace", "all"}  # with another beside them a majority's disks may be lost
-TWO_SHARE = 0.2  # of the rounds have two faults at a time
+EXCLUSIVE_FAULTS = {"lost", "replace", "all"}  # with another beside them a majority's disks may be lost
+TWO_FAULTS_PROBABILITY = 0.2  # of the rounds have two faults at a time
 
 
 @dataclass(frozen=True)
-class Drawn:
+class PlannedFault:
     """`at`: "holder" of `duty`, "leader" or "any": found when it strikes. Times are milliseconds."""
 
     kind: str
-    at: str
+    target: str
     duty: str
-    lasts: float
-    after: float
+    duration: float
+    delay: float
     seed: int
 
 
-def draw(rng: random.Random) -> list[Drawn]:
+def draw_round(rng: random.Random) -> list[PlannedFault]:
     """One round: a fault, or two at a time."""
-    two = rng.random() < TWO_SHARE
-    kinds = [kind for kind in KINDS if not two or kind not in ALONE]
+    two_faults = rng.random() < TWO_FAULTS_PROBABILITY
+    kinds = [kind for kind in FAULT_WEIGHTS if not two_faults or kind not in EXCLUSIVE_FAULTS]
     return [
-        Drawn(
-            rng.choices(kinds, [KINDS[kind] for kind in kinds])[0],
+        PlannedFault(
+            rng.choices(kinds, [FAULT_WEIGHTS[kind] for kind in kinds])[0],
             rng.choices(("holder", "leader", "any"), (2, 1, 1))[0],
             rng.choice(DUTIES),
-            rng.uniform(1.2, 4.0) * LEASE,
-            n * rng.uniform(0, 1) * LEASE,
+            rng.uniform(1.2, 4.0) * LEASE_MS,
+            n * rng.uniform(0, 1) * LEASE_MS,
             rng.getrandbits(32),
         )
-        for n in range(1 + two)
+        for n in range(1 + two_faults)
     ]
 
 
-class Faults:
+class FaultInjector:
     """Strikes a fleet, round after round, each time when all is well again."""
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
         self.fleet, self.rng, self.rounds = fleet, random.Random(seed), 0
-        self.busy: set[str] = set()
+        self.faulty_members: set[str] = set()
 
     def run(self, seconds: float) -> None:
         until = boot_ms() + seconds * 1000
         while boot_ms() < until:
-            gevent.sleep(self.rng.uniform(1.1, 2.0) * LEASE / 1000)
+            gevent.sleep(self.rng.uniform(1.1, 2.0) * LEASE_MS / 1000)
             self.rounds += 1
-            gevent.joinall([gevent.spawn(self.strike, d) for d in draw(self.rng)], raise_error=True)
-            if not self.fleet.wait_well():
+            gevent.joinall(
+                [gevent.spawn(self.inject, planned) for planned in draw_round(self.rng)], raise_error=True
+            )
+            if not self.fleet.wait_healthy():
                 return
 
-    def find(self, d: Drawn) -> Member:
-        name = {"holder": self.fleet.watch.holders.get(d.duty, ("", 0.0))[0], "leader": self.fleet.leader()}
-        wanted = name.get(d.at, "")
-        free = [n for n in self.fleet.names if n not in self.busy]
-        return self.fleet.members[wanted if wanted in free else random.Random(d.seed).choice(free)]
-
-    def strike(self, d: Drawn) -> None:
-        gevent.sleep(d.after / 1000)
-        member, rng = self.find(d), random.Random(d.seed)
-        self.busy.add(member.name)
-        at = boot_ms()
-        member.note(f"fault {d.kind} for {d.lasts:.0f} ms, drawn by {d.seed}")
-        halts = getattr(self, d.kind.replace("-", "_"))(member, d.lasts, rng)
-        struck = Struck(d.kind, member.name, at, boot_ms(), bool(halts))
-        member.note(f"fault {d.kind} is over")
-        names = self.fleet.names if d.kind == "all" else [member.name]
-        self.fleet.faults += [struck._replace(member=name) for name in names]
-        self.busy.discard(member.name)
+    def find_target(self, planned: PlannedFault) -> Member:
+        candidates = {
+            "holder": self.fleet.watch.holders.get(planned.duty, ("", 0.0))[0],
+            "leader": self.fleet.leader(),
+        }
+        wanted = candidates.get(planned.target, "")
+        available = [n for n in self.fleet.names if n not in self.faulty_members]
+        return self.fleet.members[
+            wanted if wanted in available else random.Random(planned.seed).choice(available)
+        ]
+
+    def inject(self, planned: PlannedFault) -> None:
+        gevent.sleep(planned.delay / 1000)
+        member, rng = self.find_target(planned), random.Random(planned.seed)
+        self.faulty_members.add(member.name)
+        began_at = boot_ms()
+        member.write_note(f"fault {planned.kind} for {planned.duration:.0f} ms, drawn by {planned.seed}")
+        stops_member = getattr(self, planned.kind.replace("-", "_"))(member, planned.duration, rng)
+        injected = InjectedFault(planned.kind, member.name, began_at, boot_ms(), bool(stops_member))
+        member.write_note(f"fault {planned.kind} is over")
+        names = self.fleet.names if planned.kind == "all" else [member.name]
+        self.fleet.faults += [injected._replace(member=candidates) for candidates in names]
+        self.faulty_members.discard(member.name)
 
     # each returns whether what the member held had to go to another, or to its next life
 
-    def kill(self, member: Member, lasts: float, rng: random.Random) -> bool:
-        member.down()
-        gevent.sleep(rng.choice((0.0, lasts)) / 1000)
-        member.up()
+    def kill(self, member: Member, duration: float, rng: random.Random) -> bool:
+        member.stop_process()
+        gevent.sleep(rng.choice((0.0, duration)) / 1000)
+        member.start_process()
         return True
 
-    def stall(self, member: Member, lasts: float, rng: random.Random) -> bool:
+    def stall(self, member: Member, duration: float, rng: random.Random) -> bool:
         member.process.send_signal(signal.SIGSTOP)
-        gevent.sleep(lasts / 1000)
+        gevent.sleep(duration / 1000)
         member.process.send_signal(signal.SIGCONT)
-        return lasts > 2.5 * LEASE
+        return duration > 2.5 * LEASE_MS
 
-    def term(self, member: Member, lasts: float, rng: random.Random) -> bool:
-        member.down(signal.SIGTERM)
-        gevent.sleep(rng.choice((0.0, lasts)) / 1000)
-        member.up()
+    def term(self, member: Member, duration: float, rng: random.Random) -> bool:
+        member.stop_process(signal.SIGTERM)
+        gevent.sleep(rng.choice((0.0, duration)) / 1000)
+        member.start_process()
         return True
 
-    def all(self, member: Member, lasts: float, rng: random.Random) -> bool:
+    def all(self, member: Member, duration: float, rng: random.Random) -> bool:
         members = list(self.fleet.members.values())
-        gevent.joinall([gevent.spawn(m.down) for m in members], raise_error=True)
-        gevent.joinall([gevent.spawn(m.up) for m in members], raise_error=True)
+        gevent.joinall([gevent.spawn(m.stop_process) for m in members], raise_error=True)
+        gevent.joinall([gevent.spawn(m.start_process) for m in members], raise_error=True)
         return True
 
-    def lost(self, member: Member, lasts: float, rng: random.Random) -> bool:
-        member.down()
-        member.lose_disk()
-        gevent.sleep(rng.choice((0.0, lasts)) / 1000)
-        member.up()
+    def lost(self, member: Member, duration: float, rng: random.Random) -> bool:
+        member.stop_process()
+        member.delete_council_folder()
+        gevent.sleep(rng.choice((0.0, duration)) / 1000)
+        member.start_process()
         return True
 
-    def full(self, member: Member, lasts: float, rng: random.Random) -> bool:
-        member.limit(rng.choice((0, rng.randrange(1, 300))))
-        gevent.sleep(lasts / 1000)
-        member.limit(-1)
-        return lasts > 2.5 * LEASE
+    def full(self, member: Member, duration: float, rng: random.Random) -> bool:
+        member.limit_file_size(rng.choice((0, rng.randrange(1, 300))))
+        gevent.sleep(duration / 1000)
+        member.limit_file_size(-1)
+        return duration > 2.5 * LEASE_MS
 
-    def clock(self, member: Member, lasts: float, rng: random.Random) -> bool:
+    def clock(self, member: Member, duration: float, rng: random.Random) -> bool:
         member.clock.step(rng.choice((-5.0, 5.0)))
-        gevent.sleep(lasts / 1000)
+        gevent.sleep(duration / 1000)
         member.clock.step(0.0)
         return False
 
-    def replace(self, member: Member, lasts: float, rng: random.Random) -> bool:
+    def replace(self, member: Member, duration: float, rng: random.Random) -> bool:
         fleet = self.fleet
         others = [n for n in fleet.names if n not in fleet.voters]
         if not others:
             return False
-        out = member.name if member.name in fleet.voters else rng.choice(fleet.voters)
-        fleet.voters = [rng.choice(others) if name == out else name for name in fleet.voters]
-        for name, one in fleet.members.items():
-            one.rewrite(fleet.operator(name))
-            one.process.send_signal(signal.SIGHUP)
+        old_voter = member.name if member.name in fleet.voters else rng.choice(fleet.voters)
+        fleet.voters = [rng.choice(others) if name == old_voter else name for name in fleet.voters]
+        for name, each in fleet.members.items():
+            each.write_operator_file(fleet.operator_file(name))
+            each.process.send_signal(signal.SIGHUP)
             gevent.sleep(rng.uniform(0, 0.2))
         return False
 
     # --- links ---
 
-    def links(self, member: Member, out: bool, into: bool) -> list[tuple[str, str]]:
+    def member_links(self, member: Member, out: bool, into: bool) -> list[tuple[str, str]]:
         others = [n for n in self.fleet.names if n != member.name]
         return [(member.name, n) for n in others if out] + [(n, member.name) for n in others if into]
 
-    def cuts(self, pairs: list[tuple[str, str]], lasts: float, rng: random.Random) -> None:
+    def cut_links(self, pairs: list[tuple[str, str]], duration: float, rng: random.Random) -> None:
         proxies = [self.fleet.proxies[pair] for pair in pairs]
         for proxy in proxies:
             proxy.cut()
-        gevent.sleep(lasts / 1000)
+        gevent.sleep(duration / 1000)
         reset = rng.random() < 0.5
         for proxy in proxies:
             proxy.heal(reset)
 
-    def one_pair(self, member: Member, rng: random.Random) -> tuple[str, str]:
+    def pick_link(self, member: Member, rng: random.Random) -> tuple[str, str]:
         """With the leader, where it is another: the link on which something hangs."""
         leader = self.fleet.leader()
         others = [n for n in self.fleet.names if n != member.name]
         other = leader if leader in others else rng.choice(others)
         return (member.name, other) if rng.random() < 0.5 else (other, member.name)
 
-    def cut(self, member: Member, lasts: float, rng: random.Random) -> bool:
-        a, b = self.one_pair(member, rng)
-        self.cuts([(a, b), (b, a)], lasts, rng)
+    def cut(self, member: Member, duration: float, rng: random.Random) -> bool:
+        a, b = self.pick_link(member, rng)
+        self.cut_links([(a, b), (b, a)], duration, rng)
         return False
 
-    def cut_one_way(self, member: Member, lasts: float, rng: random.Random) -> bool:
-        self.cuts([self.one_pair(member, rng)], lasts, rng)
+    def cut_one_way(self, member: Member, duration: float, rng: random.Random) -> bool:
+        self.cut_links([self.pick_link(member, rng)], duration, rng)
         return False
 
-    def island(self, member: Member, lasts: float, rng: random.Random) -> bool:
-        self.cuts(self.links(member, True, True), lasts, rng)
-        return lasts > 2.5 * LEASE
+    def island(self, member: Member, duration: float, rng: random.Random) -> bool:
+        self.cut_links(self.member_links(member, True, True), duration, rng)
+        return duration > 2.5 * LEASE_MS
 
-    def mute(self, member: Member, lasts: float, rng: random.Random) -> bool:
-        self.cuts(self.links(member, True, False), lasts, rng)
-        return lasts > 2.5 * LEASE
+    def mute(self, member: Member, duration: float, rng: random.Random) -> bool:
+        self.cut_links(self.member_links(member, True, False), duration, rng)
+        return duration > 2.5 * LEASE_MS
 
-    def deaf(self, member: Member, lasts: float, rng: random.Random) -> bool:
-        self.cuts(self.links(member, False, True), lasts, rng)
-        return lasts > 2.5 * LEASE
+    def deaf(self, member: Member, duration: float, rng: random.Random) -> bool:
+        self.cut_links(self.member_links(member, False, True), duration, rng)
+        return duration > 2.5 * LEASE_MS
 
-    def slow(self, member: Member, lasts: float, rng: random.Random) -> bool:
-        proxies = [self.fleet.proxies[pair] for pair in self.links(member, True, rng.random() < 0.5)]
+    def slow(self, member: Member, duration: float, rng: random.Random) -> bool:
+        proxies = [self.fleet.proxies[pair] for pair in self.member_links(member, True, rng.random() < 0.5)]
         for proxy in proxies:
-            proxy.late_ms = rng.uniform(20, 200)
-        gevent.sleep(lasts / 1000)
+            proxy.delay_ms = rng.uniform(20, 200)
+        gevent.sleep(duration / 1000)
         for proxy in proxies:
             proxy.heal()
         return False
 
-    def flap(self, member: Member, lasts: float, rng: random.Random) -> bool:
-        proxies = [self.fleet.proxies[pair] for pair in self.links(member, True, rng.random() < 0.5)]
-        until = boot_ms() + lasts
+    def flap(self, member: Member, duration: float, rng: random.Random) -> bool:
+        proxies = [self.fleet.proxies[pair] for pair in self.member_links(member, True, rng.random() < 0.5)]
+        until = boot_ms() + duration
         while boot_ms() < until:
             for proxy in proxies:
                 proxy.cut()
--- a/harrieryoke/lab/fleet_proxy.py
+++ b/harrieryoke/lab/fleet_proxy.py
@@ -10,64 +10,66 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-CHUNK = 65536
+READ_BYTES = 65536
 
 
-class Frames:
+class FrameCounter:
     """Counts frames, each with its length before it, as the bytes come."""
 
     def __init__(self) -> None:
-        self.count = self.left = self.size = self.shift = 0
+        self.count = self.body_left = self.size = self.shift = 0
 
     def feed(self, data: bytes) -> None:
-        at = 0
-        while at < len(data):
-            if self.left:
-                step = min(self.left, len(data) - at)
-                self.left, at = self.left - step, at + step
+        offset = 0
+        while offset < len(data):
+            if self.body_left:
+                step = min(self.body_left, len(data) - offset)
+                self.body_left, offset = self.body_left - step, offset + step
                 continue
-            byte = data[at]
-            at += 1
+            byte = data[offset]
+            offset += 1
             self.size |= (byte & 127) << self.shift
             self.shift += 7
             if byte < 128:
                 self.count += 1
-                self.left, self.size, self.shift = self.size, 0, 0
+                self.body_left, self.size, self.shift = self.size, 0, 0
 
 
-class Proxy:
+class LinkProxy:
     """Takes what `source` dials at an address of the other's host, and dials the other from `source`'s host.
     While it is cut nothing passes, in either direction of its connections, and nothing is refused: what was
     written waits, as it does in TCP. `late_ms`: for how long each chunk is held back."""
 
-    def __init__(self, source: str, to: tuple[str, int]) -> None:
-        self.source, self.to = source, to
-        self.through, self.late_ms = Event(), 0.0
-        self.through.set()
-        self.socks: set[Any] = set()
-        self.bytes = self.dials = 0
-        self.counted = [Frames()]  # by connection and direction; of those that ended the sum is in the first
-        self.server = StreamServer((to[0], 0), self.serve)
+    def __init__(self, source: str, destination: tuple[str, int]) -> None:
+        self.source, self.destination = source, destination
+        self.flowing, self.delay_ms = Event(), 0.0
+        self.flowing.set()
+        self.sockets: set[Any] = set()
+        self.byte_count = self.dials = 0
+        self.counters = [
+            FrameCounter()
+        ]  # by connection and direction; of those that ended the sum is in the first
+        self.server = StreamServer((destination[0], 0), self.serve)
         self.server.start()
 
     def address(self) -> str:
-        return f"{self.to[0]}:{self.server.server_port}"
+        return f"{self.destination[0]}:{self.server.server_port}"
 
-    def frames(self) -> int:
-        return sum(f.count for f in self.counted)
+    def frame_count(self) -> int:
+        return sum(f.count for f in self.counters)
 
     def cut(self) -> None:
-        self.through.clear()
+        self.flowing.clear()
 
     def heal(self, reset: bool = False) -> None:
         """`reset`: the connections of before do not come back."""
         if reset:
             self.reset()
-        self.late_ms = 0.0
-        self.through.set()
+        self.delay_ms = 0.0
+        self.flowing.set()
 
     def reset(self) -> None:
-        for sock in list(self.socks):
+        for sock in list(self.sockets):
             with suppress(OSError):  # it had ended
                 sock.shutdown(socket.SHUT_RDWR)
 
@@ -77,37 +79,37 @@
 
     def serve(self, near: Any, _: Any) -> None:
         self.dials += 1
-        self.through.wait()
+        self.flowing.wait()
         far: Any = socket.socket()
-        self.socks |= {near, far}
+        self.sockets |= {near, far}
         try:
             far.bind((self.source, 0))
-            far.connect(self.to)
+            far.connect(self.destination)
             for sock in (near, far):
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            back = gevent.spawn(self.pump, far, near)
+            backward = gevent.spawn(self.pump, far, near)
             self.pump(near, far)
-            back.join()
+            backward.join()
         except OSError:
             pass  # nobody listens there: as a dial that is refused
         finally:
-            self.socks -= {near, far}
+            self.sockets -= {near, far}
             near.close()
             far.close()
 
-    def pump(self, one: Any, other: Any) -> None:
-        counted = Frames()
-        self.counted.append(counted)
+    def pump(self, source: Any, destination: Any) -> None:
+        counter = FrameCounter()
+        self.counters.append(counter)
         with suppress(OSError):  # either side has ended
-            while data := one.recv(CHUNK):
-                if self.late_ms:
-                    gevent.sleep(self.late_ms / 1000)
-                self.through.wait()
-                other.sendall(data)
-                self.bytes += len(data)
-                counted.feed(data)
-        for sock in (one, other):
+            while data := source.recv(READ_BYTES):
+                if self.delay_ms:
+                    gevent.sleep(self.delay_ms / 1000)
+                self.flowing.wait()
+                destination.sendall(data)
+                self.byte_count += len(data)
+                counter.feed(data)
+        for sock in (source, destination):
             with suppress(OSError):  # it had ended
                 sock.shutdown(socket.SHUT_RDWR)
-        self.counted.remove(counted)
-        self.counted[0].count += counted.count
+        self.counters.remove(counter)
+        self.counters[0].count += counter.count
--- a/harrieryoke/lab/fleet_watch.py
+++ b/harrieryoke/lab/fleet_watch.py
@@ -23,79 +23,85 @@
 
 from ..council.actor import boot_ms
 from ..council.decide.lease import Fence
-from . import fleet_checks as c
+from . import fleet_checks as checks
 
-EACH_S = 0.01  # how often a hand asks
-AGREES_S = 0.1  # how often it has something agreed
-MOST = 100_000  # bytes of a datagram
+ACT_INTERVAL_S = 0.01  # how often a hand asks
+PROPOSE_INTERVAL_S = 0.1  # how often it has something agreed
+MAX_DATAGRAM_BYTES = 100_000  # bytes of a datagram
 
 
-class Watch:
+class Observer:
     """The target, at a Unix socket: what waits there is not lost, and who finds it full waits."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         self.sock.bind(str(path))
-        self.acts: list[c.Act] = []
-        self.came: list[c.Came] = []
-        self.applied: list[c.Applied | c.Loaded] = []  # in their order
-        self.copies: list[c.Copy] = []
+        self.acts: list[checks.Act] = []
+        self.writes: list[checks.FencedWrite] = []
+        self.applied: list[checks.Applied | checks.SnapshotLoaded] = []  # in their order
+        self.state_copies: list[checks.StateCopy] = []
         self.fences: dict[str, Fence] = {}
         self.holders: dict[str, tuple[str, float]] = {}  # by duty: who acted last, and when
         self.greenlet = gevent.spawn(self.run)
 
     def run(self) -> None:
         while True:
-            what, *told = msgspec.msgpack.decode(self.sock.recv(MOST))
-            if what == "acts":
-                member, life, begin, end, tokens = told
+            kind, *fields = msgspec.msgpack.decode(self.sock.recv(MAX_DATAGRAM_BYTES))
+            if kind == "acts":
+                member, life, begin, end, tokens = fields
                 for duty, token in tokens.items():
-                    self.acts.append(c.Act(member, life, duty, token, begin, end))
+                    self.acts.append(checks.Act(member, life, duty, token, begin, end))
                     self.holders[duty] = member, end
-            elif what == "write":
-                member, duty, token = told
-                taken = self.fences.setdefault(duty, Fence()).admit(token)
-                self.came.append(c.Came(member, duty, token, taken))
-            elif what == "copy":
-                self.copies.append(c.Copy(*told))
+            elif kind == "write":
+                member, duty, token = fields
+                admitted = self.fences.setdefault(duty, Fence()).admit(token)
+                self.writes.append(checks.FencedWrite(member, duty, token, admitted))
+            elif kind == "copy":
+                self.state_copies.append(checks.StateCopy(*fields))
             else:
-                self.applied.append(c.Applied(*told) if what == "applied" else c.Loaded(*told))
+                self.applied.append(
+                    checks.Applied(*fields) if kind == "applied" else checks.SnapshotLoaded(*fields)
+                )
 
-    def holds(self, member: str, now: float) -> list[str]:
+    def held_duties(self, member: str, now: float) -> list[str]:
         """The duties that it acted on just now."""
-        return [d for d, (who, at) in self.holders.items() if who == member and now - at < c.FRESH]
+        return [
+            duty
+            for duty, (holder, acted_at) in self.holders.items()
+            if holder == member and now - acted_at < checks.RECENT_ACT_MS
+        ]
 
     def stop(self) -> None:
         self.greenlet.kill()
         self.sock.close()
 
 
-class Told:
+class RecordingMachine:
     """A duty's machine: it keeps a chain of all acts that were applied, and tells each."""
 
-    def __init__(self, member: str, duty: str, tell: Any) -> None:
-        self.member, self.duty, self.tell = member, duty, tell
-        self.chain = ""
+    def __init__(self, member: str, duty: str, report: Any) -> None:
+        self.member, self.duty, self.report = member, duty, report
+        self.chain_hash = ""
 
     def apply(self, index: int, token: int, body: bytes) -> bool:
-        told = body.decode()
-        self.chain = c.link(self.chain, index, token, told)
-        self.tell(["applied", self.member, self.duty, index, token, told, self.chain])
+        text = body.decode()
+        self.chain_hash = checks.next_chain_hash(self.chain_hash, index, token, text)
+        self.report(["applied", self.member, self.duty, index, token, text, self.chain_hash])
         return True
 
     def apply_unfenced(self, index: int, body: bytes) -> bool:
         return False
 
     def dump(self) -> bytes:
-        return self.chain.encode()
+        return self.chain_hash.encode()
 
     def load(self, data: bytes) -> None:
-        self.chain = data.decode()
-        self.tell(["loaded", self.member, self.duty, self.chain])
+        self.chain_hash = data.decode()
+        self.report(["loaded", self.member, self.duty, self.chain_hash])
 
 
-class Hand:
+class ObservationAgent:
     """In the invoker's own process."""
 
     def __init__(self, council: Any, member: str, path: str, duties: list[str], seed: int) -> None:
@@ -104,61 +110,63 @@
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         self.path = path
         self.queue: deque[bytes] = deque()
-        self.filled = Event()
-        self.said = 0
+        self.not_empty = Event()
+        self.proposals = 0
         for duty in duties:
-            council.add_machine(duty, Told(member, duty, self.tell))
-        council.watch(self.copy)
+            council.add_machine(duty, RecordingMachine(member, duty, self.report))
+        council.watch(self.report_state)
 
     def start(self) -> None:
-        for run in (self.send, self.act, self.agree):
+        for run in (self.send_reports, self.report_acting, self.propose_regularly):
             gevent.spawn(run)
 
-    def tell(self, what: list[Any]) -> None:
-        self.queue.append(msgspec.msgpack.encode(what))
-        self.filled.set()
+    def report(self, message: list[Any]) -> None:
+        self.queue.append(msgspec.msgpack.encode(message))
+        self.not_empty.set()
 
-    def copy(self) -> None:
+    def report_state(self) -> None:
         """All that was agreed, as this member has it now."""
         actor = self.council.actor
         digest = xxhash.xxh3_64_hexdigest(actor.state.dump())
-        self.tell(["copy", self.member, actor.raft.last_applied, digest])
+        self.report(["copy", self.member, actor.raft.last_applied, digest])
 
-    def send(self) -> None:
+    def send_reports(self) -> None:
         self.sock.connect(self.path)
         while True:
-            self.filled.wait()
+            self.not_empty.wait()
             while self.queue:
                 self.sock.send(self.queue.popleft())
-            self.filled.clear()
+            self.not_empty.clear()
 
-    def act(self) -> None:
+    def report_acting(self) -> None:
         while getattr(self.council, "actor", None) is None:
-            gevent.sleep(EACH_S)  # its folder is not read yet
-        life, watched, parent = os.getpid(), [*self.duties, "reconcile"], os.getppid()
+            gevent.sleep(ACT_INTERVAL_S)  # its folder is not read yet
+        incarnation, duties, parent = os.getpid(), [*self.duties, "reconcile"], os.getppid()
         while os.getppid() == parent:
             begin = boot_ms()
-            acting = {duty: token for duty in watched if (token := self.council.acting(duty))}
+            acting = {duty: token for duty in duties if (token := self.council.acting(duty))}
             if acting:
-                self.tell(["acts", self.member, life, begin, boot_ms(), acting])
+                self.report(["acts", self.member, incarnation, begin, boot_ms(), acting])
                 duty, late_s = self.rng.choice(sorted(acting)), self.rng.choice((0.0, self.rng.uniform(0, 3)))
-                gevent.spawn_later(late_s, self.write, duty, acting[duty])
-            gevent.sleep(EACH_S)
+                gevent.spawn_later(late_s, self.write_to_target, duty, acting[duty])
+            gevent.sleep(ACT_INTERVAL_S)
         os._exit(1)  # guards against an invoker that outlives the laboratory
 
-    def write(self, duty: str, token: int) -> None:
+    def write_to_target(self, duty: str, token: int) -> None:
         """Late, as what was on its way while the process stood still: this is what the fence is for."""
-        self.tell(["write", self.member, duty, token])
+        self.report(["write", self.member, duty, token])
 
-    def agree(self) -> None:
+    def propose_regularly(self) -> None:
         """While there is a file that says so: an idle council can be looked at, and the end be waited for."""
-        go = Path(self.path).with_name("go")
+        proposals_flag = Path(self.path).with_name("go")
         while True:
-            gevent.sleep(AGREES_S)
-            for duty in self.duties if go.exists() else ():
+            gevent.sleep(PROPOSE_INTERVAL_S)
+            for duty in self.duties if proposals_flag.exists() else ():
                 if token := self.council.acting(duty):
-                    self.said += 1
-                    self.council.propose(duty, token, f"{self.member}.{os.getpid()}.{self.said}".encode())
+                    self.proposals += 1
+                    self.council.propose(
+                        duty, token, f"{self.member}.{os.getpid()}.{self.proposals}".encode()
+                    )
 
 
 def main() -> None:
@@ -170,11 +178,13 @@
     from ..service import Service
 
     config = load_config(operator)
-    make = Log if config.operator is None else config.operator.make_log
-    service = Service(config, make(config.name, config.limits.log_lines_per_s), lambda: load_config(operator))
-    parts: Any = service.parts
-    hand = Hand(parts.council, config.name, path, duties.split(","), int(seed))
-    hand.start()
+    make_log = Log if config.operator is None else config.operator.make_log
+    service = Service(
+        config, make_log(config.name, config.limits.log_lines_per_s), lambda: load_config(operator)
+    )
+    components: Any = service.parts
+    agent = ObservationAgent(components.council, config.name, path, duties.split(","), int(seed))
+    agent.start()
     sys.exit(service.run())
 
 
--- a/harrieryoke/lab/fleet_world.py
+++ b/harrieryoke/lab/fleet_world.py
@@ -17,15 +17,15 @@
 import gevent
 
 from ..council.actor import boot_ms
-from . import fleet_checks as c
+from . import fleet_checks as checks
 from .collector import EmulatedCollector
-from .fleet_proxy import Proxy
-from .fleet_watch import Watch
-from .world import ROOT, World, free_port
+from .fleet_proxy import LinkProxy
+from .fleet_watch import Observer
+from .world import ROOT, Testbed, free_port
 
-LEASE = 1000.0
+LEASE_MS = 1000.0
 DUTIES = [f"lab-{n}" for n in range(6)]
-OPERATOR = """
+OPERATOR_TEMPLATE = """
 [store]
 folder = "store"
 segment_mb = 0.25
@@ -60,12 +60,12 @@
 [council.members]
 {members}
 """
-WELL_MS = 25 * LEASE  # with nothing broken any more all must be well by then
-STOP_S = 15.0
+RECOVERY_TIMEOUT_MS = 25 * LEASE_MS  # with nothing broken any more all must be well by then
+STOP_TIMEOUT_S = 15.0
 
 
 @dataclass
-class Told:
+class StatusReport:
     """What a member said of itself, and when it was asked and had answered."""
 
     begin: float
@@ -73,15 +73,15 @@
     status: dict[str, Any]
 
 
-class Member(World):
+class Member(Testbed):
     """One invoker with its own hosts and clients. Its log goes through a pipe: its disk may be full."""
 
     def __init__(self, fleet: Fleet, folder: Path, seed: int, rate: float, name: str, operator: str) -> None:
-        self.fleet, self.seed, self.wanted_up = fleet, seed, True
+        self.fleet, self.seed, self.should_run = fleet, seed, True
         folder.mkdir(exist_ok=True)
         super().__init__(folder, seed, rate, operator, 3, name=name)
         self.name = name
-        self.told: list[Told] = []
+        self.reports: list[StatusReport] = []
 
     def launch(self) -> subprocess.Popen[bytes]:
         operator = str(self.folder / "operator.toml")
@@ -110,63 +110,65 @@
             for line in process.stderr:
                 self.log.write(line)
                 self.log.flush()
-                self.fleet.logged.update(line.decode(errors="replace").split(" ")[2:3])
+                self.fleet.log_counts.update(line.decode(errors="replace").split(" ")[2:3])
                 if b"greenlet-died" in line or b"Traceback" in line:
-                    self.fleet.found.append(f"{boot_ms():.0f} {line.decode()[:1500]}")
+                    self.fleet.findings.append(f"{boot_ms():.0f} {line.decode()[:1500]}")
 
-    def rewrite(self, operator: str) -> None:
+    def write_operator_file(self, operator: str) -> None:
         """Its operator's file, which it reads at SIGHUP or when it starts."""
         (self.folder / "operator.toml").write_text(operator + f'\n[ops]\nlisten = "{self.ops}"\n')
 
-    def note(self, what: str) -> None:
+    def write_note(self, text: str) -> None:
         """Into its log, beside its own lines."""
-        self.log.write(f"--- {boot_ms():.0f} {what}\n".encode())
+        self.log.write(f"--- {boot_ms():.0f} {text}\n".encode())
         self.log.flush()
 
     # --- faults ---
 
-    def down(self, number: int = signal.SIGKILL) -> None:
-        self.note(f"signal {number}")
-        self.wanted_up = False
-        self.process.send_signal(number)
+    def stop_process(self, signal_number: int = signal.SIGKILL) -> None:
+        self.write_note(f"signal {signal_number}")
+        self.should_run = False
+        self.process.send_signal(signal_number)
         try:
-            self.process.wait(STOP_S)
+            self.process.wait(STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
-            self.note("did not end")
+            self.write_note("did not end")
             self.process.kill()
             self.process.wait()
-            self.fleet.found.append(f"{self.name} did not end within {STOP_S} s of signal {number}")
+            self.fleet.findings.append(
+                f"{self.name} did not end within {STOP_TIMEOUT_S} s of signal {signal_number}"
+            )
 
-    def up(self) -> None:
-        self.note("start")
+    def start_process(self) -> None:
+        self.write_note("start")
         self.process = self.launch()
         try:
             self.wait_up()
         except RuntimeError as error:
-            self.fleet.found.append(f"{self.name}: {error}")
-        self.wanted_up = True
+            self.fleet.findings.append(f"{self.name}: {error}")
+        self.should_run = True
 
-    def lose_disk(self) -> None:
+    def delete_council_folder(self) -> None:
         """While the process is down."""
-        self.note("its disk is lost")
+        self.write_note("its disk is lost")
         shutil.rmtree(self.folder / "council")
 
-    def limit(self, size: int) -> None:
+    def limit_file_size(self, size: int) -> None:
         """From now on no file of it grows beyond so many bytes: as a disk that is full. -1: all is well."""
         resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (size, resource.RLIM_INFINITY))
 
     # --- what it says ---
 
-    def ask(self) -> None:
+    def poll_status(self) -> None:
         begin = boot_ms()
-        status = self.status("/council")
+        status = self.fetch_status("/council")
         if "role" in status:
-            self.told.append(Told(begin, boot_ms(), status))
+            self.reports.append(StatusReport(begin, boot_ms(), status))
 
-    def newest(self) -> dict[str, Any]:
+    def latest_status(self) -> dict[str, Any]:
         """Nothing where it has said nothing for a while."""
-        fresh = self.told and self.told[-1].begin > boot_ms() - 1000
-        return self.told[-1].status if fresh else {}
+        is_recent = self.reports and self.reports[-1].begin > boot_ms() - 1000
+        return self.reports[-1].status if is_recent else {}
 
 
 @dataclass
@@ -182,30 +184,33 @@
     def __init__(
         self, folder: Path, seed: int, voters: int, members: int, rate: float, collector: EmulatedCollector
     ) -> None:
-        self.folder, self.found = folder, list[str]()
-        self.logged: Counter[str] = Counter()  # log lines by kind
+        self.folder, self.findings = folder, list[str]()
+        self.log_counts: Counter[str] = Counter()  # log lines by kind
         self.names = [f"inv-{n + 1}" for n in range(members)]
         self.voters = self.names[:voters]
         self.collector = collector
-        self.watch = Watch(folder / "watch")
-        self.faults: list[c.Struck] = []
+        self.watch = Observer(folder / "watch")
+        self.faults: list[checks.InjectedFault] = []
         hosts = {name: f"127.0.1.{n + 1}" for n, name in enumerate(self.names)}
-        self.real = {name: (hosts[name], free_port()) for name in self.names}
+        self.member_addresses = {name: (hosts[name], free_port()) for name in self.names}
         self.proxies = {
-            (a, b): Proxy(hosts[a], self.real[b]) for a in self.names for b in self.names if a != b
+            (a, b): LinkProxy(hosts[a], self.member_addresses[b])
+            for a in self.names
+            for b in self.names
+            if a != b
         }
         self.members: dict[str, Member] = {}
         for n, name in reversed(list(enumerate(self.names))):
             if not n:
                 self.found_council(name)  # the others knock by now
-            self.members[name] = Member(self, folder / name, seed + n, rate, name, self.operator(name))
-        self.greenlets = [gevent.spawn(self.poll, m) for m in self.members.values()]
+            self.members[name] = Member(self, folder / name, seed + n, rate, name, self.operator_file(name))
+        self.greenlets = [gevent.spawn(self.poll_member, m) for m in self.members.values()]
 
     def found_council(self, name: str) -> None:
         folder = self.folder / name
         folder.mkdir()
-        (folder / "operator.toml").write_text(self.operator(name))
-        done = subprocess.run(
+        (folder / "operator.toml").write_text(self.operator_file(name))
+        completed = subprocess.run(
             [
                 sys.executable,
                 "-B",
@@ -222,63 +227,75 @@
             text=True,
             check=False,
         )
-        if done.returncode:
-            raise RuntimeError(f"no council was founded: {done.stdout}{done.stderr}")
+        if completed.returncode:
+            raise RuntimeError(f"no council was founded: {completed.stdout}{completed.stderr}")
 
-    def operator(self, name: str) -> str:
+    def operator_file(self, name: str) -> str:
         """Another member's address is that of the proxy on the way to it."""
         address = {other: self.proxies[name, other].address() for other in self.names if other != name}
-        address[name] = "{}:{}".format(*self.real[name])
-        return OPERATOR.format(
+        address[name] = "{}:{}".format(*self.member_addresses[name])
+        return OPERATOR_TEMPLATE.format(
             name=name,
             collector=self.collector.address(),
             voters=self.voters,
             duties=[*DUTIES, "reconcile"],
-            lease=LEASE,
+            lease=LEASE_MS,
             members="\n".join(f'"{other}" = "{where}"' for other, where in sorted(address.items())),
         )
 
-    def poll(self, member: Member) -> None:
+    def poll_member(self, member: Member) -> None:
         while True:
-            if member.wanted_up:
-                member.ask()
+            if member.should_run:
+                member.poll_status()
             gevent.sleep(0.1)
 
     # --- how it is ---
 
     def leader(self) -> str:
         """Who leads in the highest term, or nobody."""
-        leads = [(t["term"], n) for n, m in self.members.items() if (t := m.newest()).get("role") == "leader"]
-        return max(leads, default=(0, ""))[1]
-
-    def unwell(self) -> str:
+        leaders = [
+            (status["term"], name)
+            for name, member in self.members.items()
+            if (status := member.latest_status()).get("role") == "leader"
+        ]
+        return max(leaders, default=(0, ""))[1]
+
+    def unhealthy_reason(self) -> str:
         """What is not as it should be when nothing is broken, or nothing."""
         now, leader = boot_ms(), self.leader()
         if not leader:
             return "nobody leads"
-        voters = self.members[leader].newest().get("voters")
+        voters = self.members[leader].latest_status().get("voters")
         if sorted(voters or []) != sorted(self.voters):
             return f"{voters} vote and not {self.voters}"
-        unheld = [d for d in DUTIES if now - self.watch.holders.get(d, ("", 0.0))[1] > 2 * c.FRESH]
+        unheld = [
+            duty
+            for duty in DUTIES
+            if now - self.watch.holders.get(duty, ("", 0.0))[1] > 2 * checks.RECENT_ACT_MS
+        ]
         return f"nobody holds {unheld}" if unheld else ""
 
-    def wait_well(self) -> bool:
-        until = boot_ms() + WELL_MS
-        while why := self.unwell():
-            if boot_ms() > until:
-                self.found.append(f"{boot_ms():.0f} not well though nothing is broken: {why}")
+    def wait_healthy(self) -> bool:
+        deadline = boot_ms() + RECOVERY_TIMEOUT_MS
+        while reason := self.unhealthy_reason():
+            if boot_ms() > deadline:
+                self.findings.append(f"{boot_ms():.0f} not well though nothing is broken: {reason}")
                 return False
             gevent.sleep(0.05)
         return True
 
     def traffic(self) -> Traffic:
-        all = self.proxies.values()
-        return Traffic(boot_ms(), sum(p.bytes for p in all), sum(p.frames() for p in all))
+        proxies = self.proxies.values()
+        return Traffic(
+            boot_ms(),
+            sum(proxy.byte_count for proxy in proxies),
+            sum(proxy.frame_count() for proxy in proxies),
+        )
 
-    def agree(self, wanted: bool) -> None:
+    def enable_proposals(self, enabled: bool) -> None:
         """Whether hands have something agreed from now on."""
-        go = self.watch.path.with_name("go")
-        go.touch() if wanted else go.unlink()
+        proposals_flag = self.watch.path.with_name("go")
+        proposals_flag.touch() if enabled else proposals_flag.unlink()
 
     def close(self) -> list[int]:
         codes = [member.close() for member in self.members.values()]
--- a/harrieryoke/lab/hosts.py
+++ b/harrieryoke/lab/hosts.py
@@ -20,39 +20,39 @@
 
 
 @dataclass(slots=True)
-class Arrived:
+class ReceivedFrame:
     """One whole frame that reached a host."""
 
-    at: float
+    received_at: float
     host: str
     code: int
-    id: int
+    request_id: int
     function: str
     copies: int = 0
 
 
 @dataclass(slots=True)
-class Shape:
+class HostSettings:
     """How a host works. Times are milliseconds."""
 
-    work: float = 25.0
-    load: float = 400.0
-    keep: float = 8100.0
-    lanes: int = 4
-    room: int = 40  # copies
-    queue: int = 64
+    service_time: float = 25.0
+    load_time: float = 400.0
+    keep_alive: float = 8100.0
+    slots: int = 4
+    capacity: int = 40  # copies
+    queue_limit: int = 64
     cores: int = 0  # calls at work beyond them slow each other down; 0: they do not
-    steady: bool = False  # each call takes just `work`; else that is the mean
+    fixed_service_time: bool = False  # each call takes just `work`; else that is the mean
 
 
 @dataclass(slots=True)
-class Copies:
+class FunctionCopies:
     """Loaded copies of one function."""
 
     count: int = 0
     loading: int = 0
     busy: int = 0
-    used: float = 0.0
+    last_used: float = 0.0
     waiting: deque[Event] = field(default_factory=deque)
 
 
@@ -60,14 +60,14 @@
     """One model host: answers `miss` without a copy, loads on order, runs a few calls a copy at a time."""
 
     def __init__(
-        self, name: str, zone: str, rng: random.Random, arrived: list[Arrived], shape: Shape
+        self, name: str, zone: str, rng: random.Random, received: list[ReceivedFrame], settings: HostSettings
     ) -> None:
-        self.name, self.zone, self.rng, self.arrived, self.shape = name, zone, rng, arrived, shape
-        self.state, self.started = "active", 0.0
-        self.told: list[tuple[float, str]] = []  # when the bus told which state
-        self.links: set[Any] = set()
-        self.life = self.at_work = 0
-        self.copies: dict[str, Copies] = defaultdict(Copies)
+        self.name, self.zone, self.rng, self.received, self.settings = name, zone, rng, received, settings
+        self.state, self.started_at = "active", 0.0
+        self.announcements: list[tuple[float, str]] = []  # when the bus told which state
+        self.connections: set[Any] = set()
+        self.incarnation = self.active_requests = 0
+        self.copies: dict[str, FunctionCopies] = defaultdict(FunctionCopies)
         self.server: StreamServer | None = None
         self.port = 0
         self.listen()
@@ -77,7 +77,7 @@
         self.server.start()
         self.port = self.server.server_port
 
-    def entry(self) -> dict[str, Any]:
+    def list_entry(self) -> dict[str, Any]:
         return {
             "id": self.name,
             "addr": f"127.0.0.1:{self.port}",
@@ -86,121 +86,128 @@
             "cell": 0,
             "state": self.state,
             "weight": 1,
-            "started_ms": self.started,  # on the wall clock, as of another machine
+            "started_ms": self.started_at,  # on the wall clock, as of another machine
         }
 
     # --- troubles ---
 
-    def reset(self) -> None:
+    def reset_connections(self) -> None:
         """All its connections break; the process lives on."""
-        for sock in list(self.links):
+        for sock in list(self.connections):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             sock.close()
-        self.links.clear()
+        self.connections.clear()
 
     def stop(self) -> None:
-        self.life += 1
+        self.incarnation += 1
         if self.server is not None:
             self.server.stop(timeout=0)
             self.server = None
-        self.reset()
+        self.reset_connections()
         self.copies.clear()
 
     def restart(self) -> None:
         """It comes back at the same address, cold and empty."""
         self.stop()
-        self.started = wall_ms()
+        self.started_at = wall_ms()
         self.listen()
 
     # --- its work ---
 
     def serve(self, sock: Any, peer: Any) -> None:
-        self.links.add(sock)
+        self.connections.add(sock)
         decoder = frames.Decoder(1 << 20, frames.TO_HOST)
         try:
             while data := sock.recv(65536):
                 for frame in decoder.feed(data):
-                    self.take(sock, frame)
+                    self.handle_frame(sock, frame)
         except (OSError, frames.FrameError):
             pass
         finally:
-            self.links.discard(sock)
+            self.connections.discard(sock)
 
-    def take(self, sock: Any, frame: frames.Frame) -> None:
+    def handle_frame(self, sock: Any, frame: frames.Frame) -> None:
         function = frame.fields.get("asset", "")
         copies = int(frame.fields.get("pods", "0"))
-        self.arrived.append(Arrived(now_ms(), self.name, frame.code, frame.id, function, copies))
+        self.received.append(ReceivedFrame(now_ms(), self.name, frame.code, frame.id, function, copies))
         if frame.code == frames.REQUEST:
-            gevent.spawn(self.run, sock, frame, function, self.life)
+            gevent.spawn(self.run_request, sock, frame, function, self.incarnation)
         elif frame.code == frames.HOLD:
-            gevent.spawn(self.hold, sock, frame, function, copies, self.life)
+            gevent.spawn(self.load_copies, sock, frame, function, copies, self.incarnation)
         elif frame.code == frames.UNLOAD:
-            held = self.copies.get(f"{frame.id:016x}")
-            if held is not None and not held.busy:
-                held.count = 0
+            loaded = self.copies.get(f"{frame.id:016x}")
+            if loaded is not None and not loaded.busy:
+                loaded.count = 0
         elif frame.code == frames.PROBE_LOAD:
-            self.say(sock, frames.HEALTHY if self.state == "active" else frames.SICK, frame.id)
+            self.reply(sock, frames.HEALTHY if self.state == "active" else frames.SICK, frame.id)
 
-    def say(
+    def reply(
         self, sock: Any, code: int, id: int, fields: dict[str, str] | None = None, body: bytes = b""
     ) -> None:
         with contextlib.suppress(OSError):
             sock.sendall(frames.encode(code, id, fields, body, frames.FROM_HOST))
 
-    def run(self, sock: Any, frame: frames.Frame, function: str, life: int) -> None:
-        held = self.copies[function]
-        if held.count and not held.busy and now_ms() - held.used > self.shape.keep:
-            held.count = 0
-        depth = held.busy + len(held.waiting)
+    def run_request(self, sock: Any, frame: frames.Frame, function: str, incarnation: int) -> None:
+        loaded = self.copies[function]
+        if loaded.count and not loaded.busy and now_ms() - loaded.last_used > self.settings.keep_alive:
+            loaded.count = 0
+        depth = loaded.busy + len(loaded.waiting)
         if self.state != "active":
-            return self.say(sock, frames.FULL, frame.id)
-        if not held.count and not held.loading:
-            return self.say(sock, frames.MISS, frame.id)
-        if len(held.waiting) >= self.shape.queue:
-            return self.say(sock, frames.FULL, frame.id)
-        note = "w" if held.count else "j"
-        patience = float(frame.fields.get("patience", "1000")) / 1000
-        if held.busy >= held.count * self.shape.lanes:
-            turn = Event()
-            held.waiting.append(turn)
-            if not turn.wait(patience):
-                if turn in held.waiting:
-                    held.waiting.remove(turn)
-                return self.say(sock, frames.OVER, frame.id)
-        held.busy += 1
-        self.at_work += 1
-        slow = max(1.0, self.at_work / self.shape.cores) if self.shape.cores else 1.0
-        drawn = 1.0 if self.shape.steady else self.rng.expovariate(1.0)
-        gevent.sleep(slow * drawn * self.shape.work / 1000)
-        self.at_work -= 1
-        held.busy -= 1
-        held.used = now_ms()
-        self.wake(held)
-        if life == self.life:
-            self.say(sock, frames.OK, frame.id, {"n": note, "depth": str(depth)}, b"by " + self.name.encode())
-
-    def wake(self, held: Copies) -> None:
-        free = held.count * self.shape.lanes - held.busy
-        while held.waiting and free > 0:
-            held.waiting.popleft().set()
-            free -= 1
-
-    def hold(self, sock: Any, frame: frames.Frame, function: str, copies: int, life: int) -> None:
-        held = self.copies[function]
-        wanted = copies - held.count - held.loading
+            return self.reply(sock, frames.FULL, frame.id)
+        if not loaded.count and not loaded.loading:
+            return self.reply(sock, frames.MISS, frame.id)
+        if len(loaded.waiting) >= self.settings.queue_limit:
+            return self.reply(sock, frames.FULL, frame.id)
+        lookup = "w" if loaded.count else "j"
+        patience_s = float(frame.fields.get("patience", "1000")) / 1000
+        if loaded.busy >= loaded.count * self.settings.slots:
+            free_slot = Event()
+            loaded.waiting.append(free_slot)
+            if not free_slot.wait(patience_s):
+                if free_slot in loaded.waiting:
+                    loaded.waiting.remove(free_slot)
+                return self.reply(sock, frames.OVER, frame.id)
+        loaded.busy += 1
+        self.active_requests += 1
+        slowdown = max(1.0, self.active_requests / self.settings.cores) if self.settings.cores else 1.0
+        variation = 1.0 if self.settings.fixed_service_time else self.rng.expovariate(1.0)
+        gevent.sleep(slowdown * variation * self.settings.service_time / 1000)
+        self.active_requests -= 1
+        loaded.busy -= 1
+        loaded.last_used = now_ms()
+        self.wake_waiting(loaded)
+        if incarnation == self.incarnation:
+            self.reply(
+                sock, frames.OK, frame.id, {"n": lookup, "depth": str(depth)}, b"by " + self.name.encode()
+            )
+
+    def wake_waiting(self, loaded: FunctionCopies) -> None:
+        free_slots = loaded.count * self.settings.slots - loaded.busy
+        while loaded.waiting and free_slots > 0:
+            loaded.waiting.popleft().set()
+            free_slots -= 1
+
+    def load_copies(
+        self, sock: Any, frame: frames.Frame, function: str, copies: int, incarnation: int
+    ) -> None:
+        loaded = self.copies[function]
+        wanted = copies - loaded.count - loaded.loading
         if wanted > 0 and self.state != "active":  # copies that stand are confirmed, also while it drains
-            return self.say(sock, frames.FULL, frame.id, {"pods": "0"})
-        if wanted > 0 and sum(c.count + c.loading for c in self.copies.values()) + wanted > self.shape.room:
-            return self.say(sock, frames.FULL, frame.id, {"pods": str(held.count)})
+            return self.reply(sock, frames.FULL, frame.id, {"pods": "0"})
+        if (
+            wanted > 0
+            and sum(c.count + c.loading for c in self.copies.values()) + wanted > self.settings.capacity
+        ):
+            return self.reply(sock, frames.FULL, frame.id, {"pods": str(loaded.count)})
         if wanted > 0:
-            held.loading += wanted
-            gevent.sleep(self.rng.uniform(0.7, 1.3) * self.shape.load / 1000)
-            held.loading -= wanted
-            held.count += wanted
-        held.used = now_ms()
-        self.wake(held)
-        if life == self.life:
-            self.say(sock, frames.OK, frame.id, {"pods": str(held.count)})
+            loaded.loading += wanted
+            gevent.sleep(self.rng.uniform(0.7, 1.3) * self.settings.load_time / 1000)
+            loaded.loading -= wanted
+            loaded.count += wanted
+        loaded.last_used = now_ms()
+        self.wake_waiting(loaded)
+        if incarnation == self.incarnation:
+            self.reply(sock, frames.OK, frame.id, {"pods": str(loaded.count)})
 
 
 class Outage(Enum):
@@ -227,21 +234,21 @@
     def address(self) -> str:
         return f"127.0.0.1:{self.server.server_port}"
 
-    def known(self, entries: list[dict[str, Any]]) -> dict[str, Any]:
+    def initial_events(self, entries: list[dict[str, Any]]) -> dict[str, Any]:
         """The first event, which the configuration holds."""
         first = {"offset": 1, "topology": {"version": 1, "full": True, "servers": entries}}
         self.events.append(msgspec.json.encode(first))
         return {"offset": 1, "batch": [first]}
 
-    def tell(self, hosts: list[EmulatedHost]) -> None:
+    def publish(self, hosts: list[EmulatedHost]) -> None:
         number = len(self.events) + 1
         event = {
             "offset": number,
-            "topology": {"version": number, "full": False, "servers": [h.entry() for h in hosts]},
+            "topology": {"version": number, "full": False, "servers": [h.list_entry() for h in hosts]},
         }
         self.events.append(msgspec.json.encode(event))
         for host in hosts:
-            host.told.append((now_ms(), host.state))
+            host.announcements.append((now_ms(), host.state))
 
     def begin_outage(self, outage: Outage) -> None:
         """Events are still numbered from here on; nobody hears of them until `end_outage`."""
@@ -259,21 +266,21 @@
     def serve(self, sock: Any, peer: Any) -> None:
         try:
             line = sock.makefile("rb").readline()
-            at = int(line.split()[1])
+            offset = int(line.split()[1])
             heartbeat_at = now_ms()
             while True:
                 while self.outage is Outage.SILENT:
                     gevent.sleep(0.02)
                 if self.outage is not None:
                     if self.outage is Outage.EVENTS_MISSING:
-                        sock.sendall(b'{"offset":%d}\n' % (at + 1))
+                        sock.sendall(b'{"offset":%d}\n' % (offset + 1))
                     sock.close()
                     return
-                for event in self.events[at:]:
+                for event in self.events[offset:]:
                     sock.sendall(event + b"\n")
-                    at += 1
+                    offset += 1
                 if now_ms() >= heartbeat_at:
-                    sock.sendall(b'{"offset":%d}\n' % at)
+                    sock.sendall(b'{"offset":%d}\n' % offset)
                     heartbeat_at += HEARTBEAT_MS
                 gevent.sleep(0.02)
         except (OSError, ValueError, IndexError):
--- a/harrieryoke/lab/rounds.py
+++ b/harrieryoke/lab/rounds.py
@@ -40,10 +40,10 @@
     reports_copy_lookup=True,
     reports_concurrent_requests=True,
 )
-START = 1_700_000_000_000.0
+START_MS = 1_700_000_000_000.0
 
 
-class Silent:
+class CountingFront:
     """A front that hears its answers and counts them."""
 
     def __init__(self) -> None:
@@ -59,26 +59,26 @@
         self.answers += 1
 
 
-class Port:
+class EmulatedPort:
     """An emulated host's mailbox: what is begun ends later, unless it is revoked."""
 
-    def __init__(self, world: Rounds) -> None:
-        self.world, self.copies = world, set[str]()
+    def __init__(self, simulation: RoundSimulation) -> None:
+        self.simulation, self.copies = simulation, set[str]()
 
     def start_task(self, task: Task) -> bool:
         task.write_started = True
-        world = self.world
+        simulation = self.simulation
         if isinstance(task, OrderTask):
             self.copies.add(task.function)
-            ended = TaskEnded(task, i.Outcome.OK, copies=1)
-            took = 400.0
+            result = TaskEnded(task, i.Outcome.OK, copies=1)
+            duration = 400.0
         elif isinstance(task, AttemptTask) and task.call.function in self.copies:
-            ended = TaskEnded(task, i.Outcome.OK, b"x", i.CopyLookup.LOADED, concurrent_requests=0)
-            took = world.rng.expovariate(1 / world.work)
+            result = TaskEnded(task, i.Outcome.OK, b"x", i.CopyLookup.LOADED, concurrent_requests=0)
+            duration = simulation.rng.expovariate(1 / simulation.service_time)
         else:
-            ended, took = TaskEnded(task, i.Outcome.MISS), 3.0
-        world.due += 1
-        heappush(world.ends, (world.now + took, world.due, ended))
+            result, duration = TaskEnded(task, i.Outcome.MISS), 3.0
+        simulation.sequence += 1
+        heappush(simulation.pending_ends, (simulation.now + duration, simulation.sequence, result))
         return True
 
     def cancel_task(self, task: Task) -> None:
@@ -88,66 +88,86 @@
         self.copies.discard(function)
 
 
-class Rounds:
+class RoundSimulation:
     """One module actor with everything round it in simulated time."""
 
     def __init__(self, seed: int, rate: float, work: float = 200.0, hosts: int = 24) -> None:
-        self.rng, self.rate, self.work, self.now, self.due = random.Random(seed), rate, work, START, 0
-        self.ends: list[tuple[float, int, TaskEnded]] = []
+        self.rng, self.rate, self.service_time, self.now, self.sequence = (
+            random.Random(seed),
+            rate,
+            work,
+            START_MS,
+            0,
+        )
+        self.pending_ends: list[tuple[float, int, TaskEnded]] = []
         self.actor = ModuleActor(SETTINGS, seed, Limits(), Log(), lambda: self.now)
         entries = tuple(i.WorkerEntry(n, cell=n // 2) for n in range(hosts))
-        ports: dict[int, Any] = {n: Port(self) for n in range(hosts)}
+        ports: dict[int, Any] = {n: EmulatedPort(self) for n in range(hosts)}
         self.actor.step(self.now, [WorkersChanged(i.WorkersListed(i.ListScope.REMEMBERED, entries), ports)])
-        self.front, self.calls, self.rounds, self.most_open = Silent(), 0, 0, 0
+        self.front, self.calls, self.rounds, self.max_open = CountingFront(), 0, 0, 0
 
-    def call(self) -> CallReceived:
+    def new_call(self) -> CallReceived:
         self.calls += 1
-        kind = int(self.rng.random() < 0.21)
+        class_index = int(self.rng.random() < 0.21)
         function = f"{min(int(self.rng.paretovariate(0.8)), 150):016x}"
-        due = self.now + SETTINGS.classes[kind].deadline * self.rng.uniform(0.5, 1.0)
+        deadline = self.now + SETTINGS.classes[class_index].deadline * self.rng.uniform(0.5, 1.0)
         return CallReceived(
             Call(
-                f"{self.calls:016x}", kind, function, due, b"", f"k{self.calls}", None, 400, 4, 400, self.now
+                f"{self.calls:016x}",
+                class_index,
+                function,
+                deadline,
+                b"",
+                f"k{self.calls}",
+                None,
+                400,
+                4,
+                400,
+                self.now,
             ),
             self.front,
         )
 
     def run(self, seconds: float) -> float:
         """Processor seconds that the rounds took."""
-        until, next_call, spent = self.now + seconds * 1000, self.now, 0.0
+        until, next_call, cpu_seconds = self.now + seconds * 1000, self.now, 0.0
         while self.now < until:
-            wake = min(next_call, self.ends[0][0] if self.ends else until, self.actor.next_wake_time())
+            wake = min(
+                next_call,
+                self.pending_ends[0][0] if self.pending_ends else until,
+                self.actor.next_wake_time(),
+            )
             self.now = max(self.now + SETTINGS.tick, wake)
             messages: list[Any] = []
             while next_call <= self.now:
-                messages.append(self.call())
+                messages.append(self.new_call())
                 next_call += self.rng.expovariate(self.rate) * 1000
-            while self.ends and self.ends[0][0] <= self.now:
-                messages.append(heappop(self.ends)[2])
-            began = time.process_time()
+            while self.pending_ends and self.pending_ends[0][0] <= self.now:
+                messages.append(heappop(self.pending_ends)[2])
+            begin = time.process_time()
             self.actor.step(self.now, messages)
             self.actor.next_wake_time()
-            spent += time.process_time() - began
+            cpu_seconds += time.process_time() - begin
             self.rounds += 1
-            self.most_open = max(self.most_open, len(self.actor.table.entries))
-        return spent
+            self.max_open = max(self.max_open, len(self.actor.table.entries))
+        return cpu_seconds
 
 
-def play(seed: int, seconds: float, rate: float) -> dict[str, Any]:
-    world = Rounds(seed, rate)
-    world.run(5.0)
-    calls, rounds = world.calls, world.rounds
-    spent = world.run(seconds)
-    calls, rounds = world.calls - calls, world.rounds - rounds
-    counts = world.actor.table.counts
+def run_case(seed: int, seconds: float, rate: float) -> dict[str, Any]:
+    simulation = RoundSimulation(seed, rate)
+    simulation.run(5.0)
+    calls, rounds = simulation.calls, simulation.rounds
+    cpu_seconds = simulation.run(seconds)
+    calls, rounds = simulation.calls - calls, simulation.rounds - rounds
+    counts = simulation.actor.table.counts
     return {
         "case": f"rounds-{rate:g}",
         "calls": calls,
         "rounds": rounds,
-        "most_open": world.most_open,
-        "us_per_round": round(1e6 * spent / rounds, 2),
-        "us_per_call": round(1e6 * spent / calls, 2),
-        "core_share": round(spent / seconds, 4),
+        "most_open": simulation.max_open,
+        "us_per_round": round(1e6 * cpu_seconds / rounds, 2),
+        "us_per_call": round(1e6 * cpu_seconds / calls, 2),
+        "core_share": round(cpu_seconds / seconds, 4),
         "served": counts["served"],
         "refused": counts["refused"],
         "failed": counts["failed"],
--- a/harrieryoke/lab/storage.py
+++ b/harrieryoke/lab/storage.py
@@ -13,106 +13,111 @@
 from ..store.settings import StoreSettings
 from ..store.store import Store, StoreReader
 
-GROUP = 100  # records that wait for one sync, as at some thousand calls a second
-MANY = 1_000_000
+GROUP_RECORDS = 100  # records that wait for one sync, as at some thousand calls a second
+RECOVERY_RECORDS = 1_000_000
 ENTRY_BYTES = 115  # of an entry on its way to the collector
 
 
-def append(folder: Path, count: int, payload: bytes) -> float:
+def measure_append(folder: Path, count: int, payload: bytes) -> float:
     """Entries a second, each group durable before the next."""
     store = Store(DiskDirectory(str(folder)), StoreSettings(str(folder)), 0.0)
-    began = time.perf_counter()
+    begin_at = time.perf_counter()
     for n in range(count):
         store.append(float(n), 1, b"%x" % n, payload)
-        if n % GROUP == GROUP - 1:
+        if n % GROUP_RECORDS == GROUP_RECORDS - 1:
             store.flush(0.0)
     store.flush(0.0)
-    took = time.perf_counter() - began
+    duration = time.perf_counter() - begin_at
     store.close(0.0)
-    return count / took
+    return count / duration
 
 
-def append_sqlite(path: Path, count: int, payload: bytes) -> float:
+def measure_sqlite_append(path: Path, count: int, payload: bytes) -> float:
     """The same by sqlite3 in WAL mode with full syncs, a transaction a group."""
-    made = sqlite3.connect(path, isolation_level=None)
-    made.execute("pragma journal_mode = wal")
-    made.execute("pragma synchronous = full")
+    database = sqlite3.connect(path, isolation_level=None)
+    database.execute("pragma journal_mode = wal")
+    database.execute("pragma synchronous = full")
 
     columns = "seq integer primary key, at integer, kind integer, key blob, payload blob"
-    made.execute(f"create table entries ({columns})")
-    made.execute("create index by_key on entries (key)")
-    began = time.perf_counter()
-    for begin in range(0, count, GROUP):
-        made.execute("begin")
-        made.executemany(
+    database.execute(f"create table entries ({columns})")
+    database.execute("create index by_key on entries (key)")
+    begin_at = time.perf_counter()
+    for begin in range(0, count, GROUP_RECORDS):
+        database.execute("begin")
+        database.executemany(
             "insert into entries values (?, ?, 1, ?, ?)",
-            [(n + 1, n, b"%x" % n, payload) for n in range(begin, min(count, begin + GROUP))],
+            [(n + 1, n, b"%x" % n, payload) for n in range(begin, min(count, begin + GROUP_RECORDS))],
         )
-        made.execute("commit")
-    took = time.perf_counter() - began
-    made.close()
-    return count / took
+        database.execute("commit")
+    duration = time.perf_counter() - begin_at
+    database.close()
+    return count / duration
 
 
-def reconciled(seed: int, size: int, differ: int) -> dict[str, Any]:
+def measure_reconcile(seed: int, size: int, differ: int) -> dict[str, Any]:
     """Bytes of all messages until both sides know what differs, against the ids of all and the entries of
     all."""
     rng = random.Random(seed)
     common = {rng.getrandbits(64) for _ in range(size)}
-    theirs = set(rng.sample(sorted(common), size - differ))
-    one, other = ReconcileSession(common, seed), ReconcileSession(theirs, seed)
-    began = time.perf_counter()
-    cells = one.cells_needed(other.encode_strata())
-    found = one.resolve(other.encode_table(cells))
-    while found is None and one.cells:
-        found = one.resolve(other.encode_table(one.cells))
-    took = time.perf_counter() - began
-    assert found is not None and found.only_here == common - theirs
+    sqlite_rate = set(rng.sample(sorted(common), size - differ))
+    local, remote = ReconcileSession(common, seed), ReconcileSession(sqlite_rate, seed)
+    begin_at = time.perf_counter()
+    cells = local.cells_needed(remote.encode_strata())
+    differences = local.resolve(remote.encode_table(cells))
+    while differences is None and local.cells:
+        differences = local.resolve(remote.encode_table(local.cells))
+    duration = time.perf_counter() - begin_at
+    assert differences is not None and differences.only_here == common - sqlite_rate
     return {
         "case": f"reconcile-{size}-{differ}",
-        "reconcile_bytes": one.transferred_bytes,
-        "bytes_of_all_ids": 8 * len(theirs),
-        "bytes_of_all_entries": ENTRY_BYTES * len(theirs),
-        "ratio_to_ids": round(one.transferred_bytes / (8 * len(theirs)), 4),
-        "seconds": round(took, 2),
+        "reconcile_bytes": local.transferred_bytes,
+        "bytes_of_all_ids": 8 * len(sqlite_rate),
+        "bytes_of_all_entries": ENTRY_BYTES * len(sqlite_rate),
+        "ratio_to_ids": round(local.transferred_bytes / (8 * len(sqlite_rate)), 4),
+        "seconds": round(duration, 2),
     }
 
 
-def play(seed: int, folder: Path) -> dict[str, Any]:
+def run_case(seed: int, folder: Path) -> dict[str, Any]:
     rng = random.Random(seed)
     payload = rng.randbytes(120)
-    pairs = [
-        (append(folder / f"s{n}", 100_000, payload), append_sqlite(folder / f"q{n}.db", 100_000, payload))
+    rates = [
+        (
+            measure_append(folder / f"s{n}", 100_000, payload),
+            measure_sqlite_append(folder / f"q{n}.db", 100_000, payload),
+        )
         for n in range(3)
     ]
-    ours, theirs = sorted(p[0] for p in pairs)[1], sorted(p[1] for p in pairs)[1]
-    big = folder / "big"
-    append(big, MANY, payload)
-    began = time.perf_counter()
-    store = Store(DiskDirectory(str(big)), StoreSettings(str(big)), 0.0, lambda record: None)
-    recovery = time.perf_counter() - began
-    assert store.recovery.records >= MANY
+    store_rate, sqlite_rate = sorted(p[0] for p in rates)[1], sorted(p[1] for p in rates)[1]
+    large_folder = folder / "big"
+    measure_append(large_folder, RECOVERY_RECORDS, payload)
+    begin_at = time.perf_counter()
+    store = Store(
+        DiskDirectory(str(large_folder)), StoreSettings(str(large_folder)), 0.0, lambda record: None
+    )
+    recovery = time.perf_counter() - begin_at
+    assert store.recovery.records >= RECOVERY_RECORDS
     store.close(0.0)
-    reader = StoreReader(DiskDirectory(str(big)))
-    wanted = [rng.randrange(1, MANY) for _ in range(200)]
-    began = time.perf_counter()
-    for seq in wanted:
+    reader = StoreReader(DiskDirectory(str(large_folder)))
+    sequence_numbers = [rng.randrange(1, RECOVERY_RECORDS) for _ in range(200)]
+    begin_at = time.perf_counter()
+    for seq in sequence_numbers:
         assert next(reader.records_from_seq(seq)).seq == seq
-    by_seq = (time.perf_counter() - began) / len(wanted)
+    by_seq = (time.perf_counter() - begin_at) / len(sequence_numbers)
     assert not list(reader.records_with_key(b"none"))  # sorts the tables, once
-    began = time.perf_counter()
-    for seq in wanted:
+    begin_at = time.perf_counter()
+    for seq in sequence_numbers:
         assert next(reader.records_with_key(b"%x" % (seq - 1))).seq == seq
-    by_key = (time.perf_counter() - began) / len(wanted)
-    began = time.perf_counter()
-    assert next(r for r in reader.records_from_seq(1) if r.seq == MANY // 2)
-    scan = time.perf_counter() - began
+    by_key = (time.perf_counter() - begin_at) / len(sequence_numbers)
+    begin_at = time.perf_counter()
+    assert next(r for r in reader.records_from_seq(1) if r.seq == RECOVERY_RECORDS // 2)
+    scan = time.perf_counter() - begin_at
     return {
         "case": "storage",
-        "reconcile": [reconciled(seed, 100_000, differ) for differ in (0, 10, 1000, 10_000)],
-        "append_per_s": round(ours),
-        "sqlite_wal_per_s": round(theirs),
-        "ratio": round(ours / theirs, 2),
+        "reconcile": [measure_reconcile(seed, 100_000, differ) for differ in (0, 10, 1000, 10_000)],
+        "append_per_s": round(store_rate),
+        "sqlite_wal_per_s": round(sqlite_rate),
+        "ratio": round(store_rate / sqlite_rate, 2),
         "recovery_of_1e6_s": round(recovery, 2),
         "seek_by_number_us": round(1e6 * by_seq, 1),
         "seek_by_key_us": round(1e6 * by_key, 1),
--- a/harrieryoke/lab/structures.py
+++ b/harrieryoke/lab/structures.py
@@ -16,50 +16,54 @@
 IDS, WAITING, OPS = 1_000_000, 1000, 100_000
 
 
-def speed(step: Callable[[int], object], ops: int = OPS) -> int:
+def operations_per_s(step: Callable[[int], object], ops: int = OPS) -> int:
     """Operations a second of this process's own time; the best of three."""
     best = 0.0
     for _ in range(3):
-        began = time.process_time()
+        begin = time.process_time()
         for n in range(ops):
             step(n)
-        best = max(best, ops / max(1e-9, time.process_time() - began))
+        best = max(best, ops / max(1e-9, time.process_time() - begin))
     return round(best)
 
 
-def schedulers(rng: random.Random) -> dict[str, int]:
+def measure_schedulers(rng: random.Random) -> dict[str, int]:
     """One add and one take with 1000 waiting: fair queues, a FIFO, a heap by worth."""
-    shares = {t.name: t.part for t in TENANTS}
+    shares = {t.name: t.share for t in TENANTS}
     names, clients = [rng.choices(list(shares), list(shares.values()))[0] for _ in range(997)], 50
     queue, fifo = FairQueue(shares, 10 * WAITING, 1), deque[QueuedCall]()
     heap = list[tuple[float, float, QueuedCall]]()
 
-    def made(n: int) -> QueuedCall:
+    def make_call(n: int) -> QueuedCall:
         return QueuedCall(n, names[n % 997], f"c{n % clients}", 1.0 + n % 3, 1.0, 1e9)
 
     serial = 0
 
-    def fair(n: int) -> None:
+    def step_fair(n: int) -> None:
         nonlocal serial
         serial += 1
-        queue.add(made(serial), 0.0)
+        queue.add(make_call(serial), 0.0)
         if len(queue) > WAITING:
             queue.pop()
 
-    def plain(n: int) -> None:
-        fifo.append(made(n))
+    def step_fifo(n: int) -> None:
+        fifo.append(make_call(n))
         if len(fifo) > WAITING:
             fifo.popleft()
 
-    def heaped(n: int) -> None:
-        heappush(heap, (-(n % 7), len(heap) + rng.random(), made(n)))
+    def step_heap(n: int) -> None:
+        heappush(heap, (-(n % 7), len(heap) + rng.random(), make_call(n)))
         if len(heap) > WAITING:
             heappop(heap)
 
-    return {"fair_per_s": speed(fair), "fifo_per_s": speed(plain), "heap_per_s": speed(heaped)}
+    return {
+        "fair_per_s": operations_per_s(step_fair),
+        "fifo_per_s": operations_per_s(step_fifo),
+        "heap_per_s": operations_per_s(step_heap),
+    }
 
 
-def timers(rng: random.Random) -> dict[str, int]:
+def measure_timers(rng: random.Random) -> dict[str, int]:
     """Schedule one, cancel one, ask for the next time and for what is due, with 1000 waiting: the wheel, a
     heap that must be built anew for a cancel, and a plain dict that is scanned."""
     delays = [rng.uniform(500, 4000) for _ in range(997)]
@@ -70,53 +74,53 @@
         heap.append((delays[n % 997], n))
     heapify(heap)
 
-    def wheeled(n: int) -> None:
+    def step_wheel(n: int) -> None:
         now = n * 0.01
         wheel.schedule(n + WAITING, now + delays[n % 997])
         wheel.cancel(n)
         wheel.next_time()
         wheel.expired(now)
 
-    def scanned(n: int) -> None:
+    def step_scan(n: int) -> None:
         now = n * 0.01
         plain[n + WAITING] = now + delays[n % 997]
         plain.pop(n, None)
         min(plain.values())
         [k for k, at in plain.items() if at <= now]
 
-    def heaped(n: int) -> None:
+    def step_heap(n: int) -> None:
         nonlocal heap
         now = n * 0.01
         heappush(heap, (now + delays[n % 997], n + WAITING))
-        heap = [each for each in heap if each[1] != n]
+        heap = [entry for entry in heap if entry[1] != n]
         heapify(heap)
 
     return {
-        "wheel_per_s": speed(wheeled, 50_000),
-        "scan_per_s": speed(scanned, 2000),
-        "heap_rebuilt_per_s": speed(heaped, 2000),
+        "wheel_per_s": operations_per_s(step_wheel, 50_000),
+        "scan_per_s": operations_per_s(step_scan, 2000),
+        "heap_rebuilt_per_s": operations_per_s(step_heap, 2000),
     }
 
 
-def million_ids(pid: int) -> list[float]:
+def memory_by_quarter(pid: int) -> list[float]:
     """Resident MB of this process after each quarter of a million ids, each with one call."""
-    queue, held = FairQueue({t.name: t.part for t in TENANTS}, 1000, 7), list[float]()
+    queue, samples = FairQueue({t.name: t.share for t in TENANTS}, 1000, 7), list[float]()
     for n in range(IDS):
         queue.add(QueuedCall(n, TENANTS[n % 5].name, f"id-{n:x}", 1.0, 1.0, 1e9), n * 3.6)
         if n % 2:
             queue.pop()
             queue.pop()
         if n % (IDS // 4) == IDS // 4 - 1:
-            held.append(round(resident_mb(pid), 1))
-    return held
+            samples.append(round(resident_mb(pid), 1))
+    return samples
 
 
-def play(seed: int) -> dict[str, Any]:
+def run_case(seed: int) -> dict[str, Any]:
     import os
 
     rng = random.Random(seed)
     return (
-        {"case": "structures", "memory_mb_by_quarter": million_ids(os.getpid())}
-        | schedulers(rng)
-        | timers(rng)
+        {"case": "structures", "memory_mb_by_quarter": memory_by_quarter(os.getpid())}
+        | measure_schedulers(rng)
+        | measure_timers(rng)
     )
--- a/harrieryoke/lab/world.py
+++ b/harrieryoke/lab/world.py
@@ -17,11 +17,11 @@
 
 from ..core.clock import now_ms, wall_ms
 from . import audit
-from .clients import Load, Sent, Tenant
-from .hosts import Arrived, EmulatedBus, EmulatedHost, Shape
+from .clients import LoadGenerator, SentCall, Tenant
+from .hosts import EmulatedBus, EmulatedHost, HostSettings, ReceivedFrame
 
 ROOT = Path(__file__).parent.parent.parent
-WINDOW, FLOOR, SHARE, GRACE = 5000.0, 6.0, 0.3, 1000.0
+ORDER_WINDOW_MS, ORDER_FLOOR, ORDER_SHARE, DRAIN_GRACE_MS = 5000.0, 6.0, 0.3, 1000.0
 TENANTS = [
     Tenant("tenant-b", 0.49),
     Tenant("tenant-c", 0.21),
@@ -55,7 +55,7 @@
         "answer-slack": 8,
         "cold": 14000,
         "cold-share": 0.15,
-        "drain-grace": GRACE,
+        "drain-grace": DRAIN_GRACE_MS,
         "fall-multiple": 4,
         "overload-for": 3000,
     },
@@ -63,14 +63,14 @@
         "orders": True,
         "stays-loaded": 8100,
         "order-limit": 10000,
-        "load-window": WINDOW,
-        "load-floor": FLOOR,
-        "load-share": SHARE,
+        "load-window": ORDER_WINDOW_MS,
+        "load-floor": ORDER_FLOOR,
+        "load-share": ORDER_SHARE,
         "kind-memory-mb": [16000],
         "warm-notes": True,
         "says-company": True,
     },
-    "realms": [{"name": t.name, "allowance-per-s": 1000 * t.part} for t in TENANTS],
+    "realms": [{"name": t.name, "allowance-per-s": 1000 * t.share} for t in TENANTS],
     "flavors": ["kind-a"],
     "zones": ["zone-a", "zone-b"],
     "period": 2,
@@ -83,7 +83,7 @@
     """The invoker's Unix clock, which can be made to step. The process starts with a module of ours that adds
     what stands in a file of eight bytes to each reading of `time.time`."""
 
-    MODULE = """import mmap, os, struct, time
+    SITECUSTOMIZE = """import mmap, os, struct, time
 with open(os.environ["LAB_CLOCK"], "r+b") as told:
     shift = mmap.mmap(told.fileno(), 8)
 real, read = time.time, struct.Struct("d").unpack_from
@@ -94,7 +94,7 @@
         self.folder, self.file = folder / "clock", folder / "clock" / "shift"
         self.folder.mkdir()
         self.step(0.0)
-        (self.folder / "sitecustomize.py").write_text(self.MODULE)
+        (self.folder / "sitecustomize.py").write_text(self.SITECUSTOMIZE)
 
     def env(self) -> dict[str, str]:
         return {"PYTHONPATH": str(self.folder), "LAB_CLOCK": str(self.file)}
@@ -116,7 +116,7 @@
             continue  # taken
 
 
-class World:
+class Testbed:
     """Everything of one run. `close` ends the invoker and all that this started."""
 
     def __init__(
@@ -127,28 +127,28 @@
         operator: str = "",
         hosts: int = 8,
         tenants: list[Tenant] | None = None,
-        shape: Shape | None = None,
-        most_backoff: float = 500.0,
-        sockets: int = 1024,
+        host_settings: HostSettings | None = None,
+        max_backoff: float = 500.0,
+        max_sockets: int = 1024,
         name: str = "lab",
     ) -> None:
-        self.shape = shape or Shape()
+        self.host_settings = host_settings or HostSettings()
         self.folder, self.rng = folder, random.Random(seed)
-        self.arrived: list[Arrived] = []
-        self.made = 0
-        self.hosts = [self.host() for _ in range(hosts)]
+        self.received: list[ReceivedFrame] = []
+        self.host_count = 0
+        self.hosts = [self.new_host() for _ in range(hosts)]
         self.bus = EmulatedBus()
-        known = self.bus.known([h.entry() for h in self.hosts])
+        initial_events = self.bus.initial_events([h.list_entry() for h in self.hosts])
         self.listen = ("127.0.0.1", free_port())
         self.ops = f"127.0.0.1:{free_port()}"
         config = {
             "name": name,
             "listen": f"127.0.0.1:{self.listen[1]}",
             "seed": f"{seed:x}",
-            "limits": {"memory_mb": 1024, "sockets": sockets},
+            "limits": {"memory_mb": 1024, "sockets": max_sockets},
             "bus": self.bus.address(),
-            "known": known,
-            "settings": SETTINGS | {"ceilings": SETTINGS["ceilings"] | {"max-retry-after": most_backoff}},
+            "known": initial_events,
+            "settings": SETTINGS | {"ceilings": SETTINGS["ceilings"] | {"max-retry-after": max_backoff}},
         }
         (folder / "config.json").write_bytes(msgspec.json.encode(config))
         (folder / "operator.toml").write_text(operator + f'\n[ops]\nlisten = "{self.ops}"\n')
@@ -156,8 +156,8 @@
         self.clock = SteppedClock(folder)
         self.process = self.launch()
         self.wait_up()
-        self.load = Load(self.listen, rate, tenants or TENANTS, self.rng)
-        self.resident: list[float] = []
+        self.load = LoadGenerator(self.listen, rate, tenants or TENANTS, self.rng)
+        self.resident_samples: list[float] = []
 
     def launch(self) -> subprocess.Popen[bytes]:
         return subprocess.Popen(
@@ -180,25 +180,25 @@
         """SIGKILL, and the same invoker again; how long until it takes connections, in ms."""
         self.process.kill()
         self.process.wait()
-        began = now_ms()
+        begin = now_ms()
         self.process = self.launch()
         self.wait_up()
-        return now_ms() - began
+        return now_ms() - begin
 
-    def host(self) -> EmulatedHost:
+    def new_host(self) -> EmulatedHost:
         """A new one, in each hall in turn."""
-        self.made += 1
+        self.host_count += 1
         return EmulatedHost(
             f"mh-{self.rng.getrandbits(24):06x}",
-            f"zone-{'ab'[self.made % 2]}",
+            f"zone-{'ab'[self.host_count % 2]}",
             self.rng,
-            self.arrived,
-            self.shape,
+            self.received,
+            self.host_settings,
         )
 
     def wait_up(self) -> None:
-        until = now_ms() + 30_000
-        while now_ms() < until:
+        deadline = now_ms() + 30_000
+        while now_ms() < deadline:
             try:
                 socket.create_connection(self.listen, 1).close()
                 return
@@ -210,28 +210,28 @@
 
     # --- troubles ---
 
-    def trouble(self, every: float) -> None:
+    def inject_faults(self, interval_s: float) -> None:
         """Drains with a new host for the old one, cold restarts and resets, in turn, until it is killed."""
         turn = 0
         while True:
-            gevent.sleep(every)
-            up = [h for h in self.hosts if h.state == "active"]
-            host = self.rng.choice(up)
+            gevent.sleep(interval_s)
+            active = [h for h in self.hosts if h.state == "active"]
+            host = self.rng.choice(active)
             (self.drain, self.restart, self.reset)[turn % 3](host)
             turn += 1
 
     def drain(self, host: EmulatedHost) -> None:
         """It drains, goes, and another stands in for it."""
         host.state = "leaving"
-        fresh = self.host()
-        fresh.started = wall_ms()
-        self.hosts.append(fresh)
-        self.bus.tell([host, fresh])
+        replacement = self.new_host()
+        replacement.started_at = wall_ms()
+        self.hosts.append(replacement)
+        self.bus.publish([host, replacement])
 
         def leave() -> None:
             gevent.sleep(3.0)
             host.state = "left"
-            self.bus.tell([host])
+            self.bus.publish([host])
             gevent.sleep(1.0)
             host.stop()
 
@@ -239,21 +239,21 @@
 
     def restart(self, host: EmulatedHost) -> None:
         host.restart()
-        self.bus.tell([host])
+        self.bus.publish([host])
 
     def reset(self, host: EmulatedHost) -> None:
-        host.reset()
+        host.reset_connections()
 
-    def gone(self, seconds: float) -> None:
+    def stop_all_hosts(self, seconds: float) -> None:
         """All hosts are gone for so long and come back at their addresses, cold."""
         for host in self.hosts:
             host.stop()
         gevent.sleep(seconds)
         for host in self.hosts:
             host.restart()
-        self.bus.tell(self.hosts)
+        self.bus.publish(self.hosts)
 
-    def steps(self, pause: float) -> None:
+    def step_clock(self, pause: float) -> None:
         """The invoker's clock steps by 5 s forth and back, and back and forth."""
         for shift in (5.0, 0.0, -5.0, 0.0):
             gevent.sleep(pause)
@@ -261,59 +261,63 @@
 
     # --- the run ---
 
-    def run(self, seconds: float, trouble_every: float = 2.5) -> None:
-        self.cpu_before = self.cpu()
-        greenlets = [gevent.spawn(self.watch_memory, max(0.5, seconds / 40))]
-        if trouble_every:
-            greenlets.append(gevent.spawn(self.trouble, trouble_every))
+    def run(self, seconds: float, fault_interval_s: float = 2.5) -> None:
+        self.cpu_at_start = self.cpu_seconds()
+        greenlets = [gevent.spawn(self.sample_memory, max(0.5, seconds / 40))]
+        if fault_interval_s:
+            greenlets.append(gevent.spawn(self.inject_faults, fault_interval_s))
         self.load.run(seconds)
-        self.cpu_after = self.cpu()
+        self.cpu_at_end = self.cpu_seconds()
         for greenlet in greenlets:
             greenlet.kill()
 
-    def watch_memory(self, every: float) -> None:
+    def sample_memory(self, interval_s: float) -> None:
         while True:
-            gevent.sleep(every)
-            self.resident.append(resident_mb(self.process.pid))
+            gevent.sleep(interval_s)
+            self.resident_samples.append(resident_mb(self.process.pid))
 
-    def cpu(self) -> float:
+    def cpu_seconds(self) -> float:
         """Seconds of the invoker and of its children so far, ended ones included."""
-        pids = [self.process.pid, *children(self.process.pid)]
-        return sum(cpu_seconds(pid) for pid in pids)
+        pids = [self.process.pid, *child_pids(self.process.pid)]
+        return sum(process_cpu_seconds(pid) for pid in pids)
 
-    def status(self, path: str = "/plugins") -> dict[str, Any]:
+    def fetch_status(self, path: str = "/plugins") -> dict[str, Any]:
         """What the invoker says of its plug-ins, or of its door."""
         import http.client
 
         connection = http.client.HTTPConnection(self.ops, timeout=5)
         try:
             connection.request("GET", path)
-            told: dict[str, Any] = msgspec.json.decode(connection.getresponse().read())
-            return told
+            status: dict[str, Any] = msgspec.json.decode(connection.getresponse().read())
+            return status
         except (OSError, msgspec.MsgspecError, http.client.HTTPException):
             return {}
         finally:
             connection.close()
 
     def figures(self) -> dict[str, Any]:
-        calls: list[Sent] = self.load.calls
-        spent = self.cpu_after - self.cpu_before
-        return audit.merged(
-            audit.answers(calls),
+        calls: list[SentCall] = self.load.calls
+        cpu_seconds = self.cpu_at_end - self.cpu_at_start
+        return audit.merge_figures(
+            audit.answer_counts(calls),
             {
-                "orders_over_budget": audit.orders_over_budget(calls, self.arrived, WINDOW, FLOOR, SHARE),
-                "sends_after_drain": audit.sends_after_drain(self.arrived, self.hosts, GRACE),
+                "orders_over_budget": audit.orders_over_budget(
+                    calls, self.received, ORDER_WINDOW_MS, ORDER_FLOOR, ORDER_SHARE
+                ),
+                "sends_after_drain": audit.sends_after_drain(self.received, self.hosts, DRAIN_GRACE_MS),
                 "served_share": round(audit.served_share(calls, lambda c: True), 4),
-                "cpu_ms_per_call": round(1000 * spent / max(1, len(calls)), 4),
-                "memory_mb": [round(m, 1) for m in quarters(self.resident)],
+                "cpu_ms_per_call": round(1000 * cpu_seconds / max(1, len(calls)), 4),
+                "memory_mb": [round(m, 1) for m in quartiles(self.resident_samples)],
             },
         )
 
-    def latency(self, share: float, after: float = 0.0) -> float:
+    def latency(self, share: float, warm_up: float = 0.0) -> float:
         """Of the answers, in ms, of the calls later than so many ms from the first."""
         calls = self.load.calls
-        took = sorted(c.answered - c.sent for c in calls if c.answers and c.sent >= calls[0].sent + after)
-        return round(took[int(share * (len(took) - 1))], 2) if took else 0.0
+        latencies = sorted(
+            c.answered_at - c.sent_at for c in calls if c.answers and c.sent_at >= calls[0].sent_at + warm_up
+        )
+        return round(latencies[int(share * (len(latencies) - 1))], 2) if latencies else 0.0
 
     def close(self) -> int:
         """SIGTERM, and its exit code."""
@@ -330,7 +334,7 @@
         return code
 
 
-def quarters(values: list[float]) -> list[float]:
+def quartiles(values: list[float]) -> list[float]:
     return [values[int(q * (len(values) - 1))] for q in (0.25, 0.5, 0.75, 1.0)] if values else []
 
 
@@ -342,7 +346,7 @@
         return 0.0
 
 
-def cpu_seconds(pid: int) -> float:
+def process_cpu_seconds(pid: int) -> float:
     try:
         with open(f"/proc/{pid}/stat") as stat:
             fields = stat.read().rpartition(")")[2].split()
@@ -351,9 +355,9 @@
         return 0.0
 
 
-def children(pid: int) -> list[int]:
+def child_pids(pid: int) -> list[int]:
     try:
-        with open(f"/proc/{pid}/task/{pid}/children") as told:
-            return [int(child) for child in told.read().split()]
+        with open(f"/proc/{pid}/task/{pid}/children") as file:
+            return [int(child) for child in file.read().split()]
     except OSError:
         return []
--- a/tests/test_discovery_outage.py
+++ b/tests/test_discovery_outage.py
@@ -16,7 +16,7 @@
 from harrieryoke.core.clock import now_ms
 from harrieryoke.lab import audit
 from harrieryoke.lab.hosts import Outage
-from harrieryoke.lab.world import GRACE, World
+from harrieryoke.lab.world import DRAIN_GRACE_MS, Testbed
 
 ANNOUNCED_WITHIN_MS = 7000.0  # by then an announcement of the bus counts as known, whether it arrived or not
 CALLS_PER_S = 60.0
@@ -33,7 +33,7 @@
     def __init__(self, folder: Path, outage: Outage | None, restart: bool = False) -> None:
         folder.mkdir()
         self.outage, self.restart = outage, restart
-        self.world = World(folder, seed=3, rate=CALLS_PER_S, hosts=6)
+        self.world = Testbed(folder, seed=3, rate=CALLS_PER_S, hosts=6)
         self.restarted_at = 0.0
 
     def inject_outage(self) -> None:
@@ -44,8 +44,8 @@
         drained = self.world.hosts[::2]
         for host in drained:
             host.state = "leaving"
-        self.world.bus.tell(drained)
-        gevent.sleep((ANNOUNCED_WITHIN_MS + GRACE + RUN_AFTER_DEADLINE_MS) / 1000)
+        self.world.bus.publish(drained)
+        gevent.sleep((ANNOUNCED_WITHIN_MS + DRAIN_GRACE_MS + RUN_AFTER_DEADLINE_MS) / 1000)
         if self.restart:
             self.world.kill()
             self.restarted_at = now_ms()
@@ -54,8 +54,10 @@
 
     def run(self) -> OutageRun:
         gevent.spawn(self.inject_outage)
-        self.world.run(8.5 + (ANNOUNCED_WITHIN_MS + GRACE + RUN_AFTER_DEADLINE_MS) / 1000, trouble_every=0.0)
-        self.drained_at = max(at for host in self.world.hosts for at, _ in host.told)
+        self.world.run(
+            8.5 + (ANNOUNCED_WITHIN_MS + DRAIN_GRACE_MS + RUN_AFTER_DEADLINE_MS) / 1000, fault_interval_s=0.0
+        )
+        self.drained_at = max(at for host in self.world.hosts for at, _ in host.announcements)
         self.figures = self.world.figures()
         self.exit = self.world.close()
         self.log = (self.world.folder / "log").read_text()
@@ -63,11 +65,13 @@
 
     def count_late_sends(self) -> int:
         announced_within = 0.0 if self.outage is None else ANNOUNCED_WITHIN_MS
-        return audit.sends_after_drain(self.world.arrived, self.world.hosts, GRACE, announced_within)
+        return audit.sends_after_drain(
+            self.world.received, self.world.hosts, DRAIN_GRACE_MS, announced_within
+        )
 
     def served_share(self, sent_after: float) -> float:
         return audit.served_share(
-            [c for c in self.world.load.calls if c.sent > sent_after], lambda call: True
+            [c for c in self.world.load.calls if c.sent_at > sent_after], lambda call: True
         )
 
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -15,7 +15,7 @@
 from harrieryoke.core.records import Call, CallEnded, CallReceived, CallWithdrawn, Front
 from harrieryoke.door.actor import DoorActor
 from harrieryoke.door.settings import DoorSettings
-from harrieryoke.lab.rounds import Rounds
+from harrieryoke.lab.rounds import RoundSimulation
 from harrieryoke.limits import Limits
 from harrieryoke.plugins import bench
 from harrieryoke.serve import load_config
@@ -267,7 +267,7 @@
 
 
 def test_the_door_learns_which_calls_waited_for_a_load() -> None:
-    world, recorder = Rounds(3, 60.0), EndRecorder()
+    world, recorder = RoundSimulation(3, 60.0), EndRecorder()
     world.actor.set_door(recorder)
     world.run(20.0)
     served = [(function, cold) for function, how, cold in recorder.ends if how == "served"]
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -11,7 +11,7 @@
 
 from harrieryoke.core.clock import now_ms
 from harrieryoke.lab.audit import orders_over_budget
-from harrieryoke.lab.world import FLOOR, SHARE, WINDOW
+from harrieryoke.lab.world import ORDER_FLOOR, ORDER_SHARE, ORDER_WINDOW_MS
 
 from .test_upgrade import Relays, count_late_sends, relays, start_load, terminate
 
@@ -121,7 +121,7 @@
         assert count_late_sends(relays, relays.hosts[0].name, self.banned_at) == 0, "the ban was forgotten"
         assert "invoker_pool_ejected 1" in relays.send_operation("show-stat")
         ended, unreachable = relays.audit(), relays.load.unreachable
-        lost = [c.sent for c in calls if not c.answers]
+        lost = [c.sent_at for c in calls if not c.answers]
         summary = f"{ended} {unreachable} of {len(calls)}, kills {self.killed_at}, lost {lost}"
         assert ended["twice"] == 0, summary
         for sent in lost:
@@ -130,8 +130,8 @@
             ), f"lost with no process: {summary}"
         assert len(lost) + unreachable <= most * len(self.killed_at), summary
         # before the first kill some calls are refused while no function is loaded
-        since = [c for c in calls if c.sent >= self.started_at]
-        served = sum(c.how == "served" for c in since)
+        since = [c for c in calls if c.sent_at >= self.started_at]
+        served = sum(c.outcome == "served" for c in since)
         assert since and served > 0.95 * len(since) - len(lost), f"{served} of {len(since)} served; {summary}"
 
 
@@ -152,7 +152,9 @@
     kills.check(most=2)
     assert relays.load.unreachable == 0
     # the surviving process has counted the orders of the others, or they made none
-    assert orders_over_budget(relays.load.calls, relays.arrived, WINDOW, FLOOR, SHARE) == 0
+    assert (
+        orders_over_budget(relays.load.calls, relays.received, ORDER_WINDOW_MS, ORDER_FLOOR, ORDER_SHARE) == 0
+    )
 
 
 def test_old_process_killed_at_each_point_of_the_handover_leaves_the_new_one_serving(
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -107,21 +107,21 @@
         gevent.sleep(0.03)
         step += 1
         if step == 3:
-            collector.save()
+            collector.save_batches()
         elif step == 6:
-            collector.back()
+            collector.restore_saved_batches()
         elif step == 8:
-            collector.down()
+            collector.stop()
             gevent.sleep(0.2)
             collector.listen()
     collector.faults = {}
     until(rig.settled)
     rig.part.stop()
-    collector.down()
+    collector.stop()
     assert {caller.answers for caller in rig.callers} == {1}
     figures = collector.figures()
     assert (figures["entries"], figures["duplicates"], figures["holes"]) == (37 * step, 0, 0), figures
-    assert collector.totals()["coop-sahel", "served"][0] == 37 * len(range(0, step, 3))
+    assert collector.usage_totals()["coop-sahel", "served"][0] == 37 * len(range(0, step, 3))
 
 
 def test_a_permanently_refused_batch_is_set_aside_reported_and_retried_on_request(tmp_path: Path) -> None:
@@ -138,7 +138,7 @@
     assert code == 200
     until(lambda: collector.figures()["entries"] == 40)
     rig.part.stop()
-    collector.down()
+    collector.stop()
 
 
 @pytest.mark.parametrize("step_ms", [-3_600_000, 3_600_000])
@@ -155,7 +155,7 @@
     rig.finish_calls(5)
     until(lambda: len(collector.entries()) == 10, seconds=5)
     rig.part.stop()
-    collector.down()
+    collector.stop()
     entries = sorted(collector.entries(), key=lambda entry: entry.number)
     assert entries[5].at_ms - entries[4].at_ms == pytest.approx(step_ms, abs=2000)
     assert all(50 <= entry.took < 1000 for entry in entries)
@@ -180,7 +180,7 @@
     figures = collector.figures()
     assert (figures["entries"], figures["duplicates"], result["sent"], result["not_here"]) == (400, 0, 7, 0)
     rig.part.stop()
-    collector.down()
+    collector.stop()
 
 
 def test_a_correction_of_a_correction_is_found_after_a_restart(tmp_path: Path) -> None:
@@ -234,7 +234,7 @@
 def test_beyond_the_disk_budget_the_oldest_records_are_removed_and_reported(tmp_path: Path) -> None:
     """The collector is unreachable for longer than the disk budget lasts."""
     collector = EmulatedCollector(random.Random(1))
-    collector.down()
+    collector.stop()
     store_options = {"snapshot_every": 100, "budget_mb": 0.03}
     rig = Rig(tmp_path, collector, store=store_options)
     for _ in range(6):
@@ -259,9 +259,9 @@
     collector.listen()
     until(rig.settled_except_set_aside)
     figures = collector.figures()
-    assert figures["duplicates"] == 0 and 0 < figures["entries"] < 600 and collector.gaps() == 1
+    assert figures["duplicates"] == 0 and 0 < figures["entries"] < 600 and collector.count_gaps() == 1
     rig.part.stop()
-    collector.down()
+    collector.stop()
 
 
 @pytest.mark.parametrize("case", ["kills-disk", "kills-memory"])
@@ -433,9 +433,9 @@
     until(lambda: collector.figures()["entries"] == 1)
     (good / "cert.pem").write_text("nonsense")
     part.reload()  # the old files stay in use, also for a new connection
-    collector.cut()
+    collector.drop_connections()
     part.call_ended(Call("2" * 16, 0, "f" * 16, now_ms() + 100, received_at=now_ms()), "served")
     until(lambda: collector.figures()["entries"] == 2)
     assert len(collector.hellos) == 2
     part.stop()
-    collector.down()
+    collector.stop()
--- a/tests/test_plugins.py
+++ b/tests/test_plugins.py
@@ -17,7 +17,7 @@
 
 from harrieryoke.core.clock import now_ms
 from harrieryoke.lab.plugins import CASES, VERSION
-from harrieryoke.lab.world import children
+from harrieryoke.lab.world import child_pids
 from harrieryoke.limits import Limits
 from harrieryoke.plugins import bench
 from harrieryoke.plugins.gate import PluginGate
@@ -422,7 +422,7 @@
     try:
         scene.play(SERVED)
         for n in range(2, 5):
-            (worker,) = children(scene.process.pid)
+            (worker,) = child_pids(scene.process.pid)
             os.kill(worker, signal.SIGKILL)
             scene.play(served(n))
             until(lambda n=n: first(scene, ops)["versions"]["1"]["starts"] == n)
@@ -467,7 +467,7 @@
     try:
         scene.play("send c1 call 1 weight-read body=x budget=4000")
         until(lambda: told(scene, ops)["open"] == 1)
-        (worker,) = children(scene.process.pid)
+        (worker,) = child_pids(scene.process.pid)
         os.kill(worker, signal.SIGKILL)
         scene.play("expect h1 request body=x\nsend h1 ok body=y\nexpect c1 1 result y")
         assert told(scene, ops)["by_default"] == {"killed": 1}
@@ -478,7 +478,7 @@
 def test_a_process_of_a_plugin_ends_with_its_invoker_even_in_a_loop(tmp_path: Path) -> None:
     (tmp_path / "p.star").write_text("def on_request(r):\n" + LOOP)
     scene = Scene(tmp_path, operator="[plugins.budgets]\ncall_ms = 2000\n" + ONE.format(path="p.star"))
-    (worker,) = children(scene.process.pid)
+    (worker,) = child_pids(scene.process.pid)
     scene.play(CALL)
     scene.process.kill()
     scene.end()
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -173,7 +173,7 @@
     assert (status["done"], status["failed"], status["waiting"], status["running"]) == (3, 0, 0, [])
     for member in members:
         member.stop()
-    collector.down()
+    collector.stop()
 
 
 def test_an_unanswered_turn_is_stopped_and_an_unreachable_collector_returns_it() -> None:
@@ -188,7 +188,7 @@
     until(lambda: not member.turns.member_turns.pending)  # revoked as often as the settings allow
     assert member.turns.status()["failed"] == 1
     fence.token = 0
-    collector.down()
+    collector.stop()
     until(lambda: not member.turns.member_turns.collector_reachable)
     member.request_turn(period)
     until(lambda: member.turns.member_turns.pending)
@@ -196,19 +196,19 @@
     until(member.result)
     until(lambda: member.turns.status()["failed"] == 0)
     member.stop()
-    collector.down()
+    collector.stop()
 
 
 def test_messages_of_an_older_turn_change_nothing_at_the_collector() -> None:
     collector = EmulatedCollector(random.Random(3))
     entry = pb.Entry(instance="a", epoch=1, number=1, kind=pb.USE, period=7).SerializeToString()
-    assert not collector.sketch("a", pb.Reconcile(period=7, seed=1)).newer  # no turns have been granted yet
-    assert not collector.sketch("a", pb.Reconcile(period=7, seed=1, token=9)).newer
+    assert not collector.make_sketch("a", pb.Reconcile(period=7, seed=1)).newer  # no token granted yet
+    assert not collector.make_sketch("a", pb.Reconcile(period=7, seed=1, token=9)).newer
     for token in (0, 4, 8):
-        watcher = collector.sketch("a", pb.Reconcile(period=7, seed=1, token=token))
+        watcher = collector.make_sketch("a", pb.Reconcile(period=7, seed=1, token=token))
         assert (watcher.newer, watcher.token, watcher.data) == (9, token, b"")
-        collector.repair("a", pb.Repair(period=7, entries=[entry], token=token))
-    assert not collector.raw() and collector.counts["older"] == 6
-    collector.repair("a", pb.Repair(period=8, entries=[entry], token=4))  # a turn of another period
-    assert [codec.entry_wire_id(data) for data in collector.raw("a")] == [codec.entry_wire_id(entry)]
-    collector.down()
+        collector.apply_repair("a", pb.Repair(period=7, entries=[entry], token=token))
+    assert not collector.raw_entries() and collector.counts["older"] == 6
+    collector.apply_repair("a", pb.Repair(period=8, entries=[entry], token=4))  # a turn of another period
+    assert [codec.entry_wire_id(data) for data in collector.raw_entries("a")] == [codec.entry_wire_id(entry)]
+    collector.stop()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,7 +20,7 @@
 
 from harrieryoke import interface as i
 from harrieryoke.core.clock import now_ms
-from harrieryoke.lab.world import ROOT, World, free_port
+from harrieryoke.lab.world import ROOT, Testbed, free_port
 from harrieryoke.net.frames import REQUEST
 from harrieryoke.router import Router
 from harrieryoke.state_transfer import StateTransferError, pack, restore, shift_times, unpack
@@ -31,7 +31,7 @@
 from .rig import SETTINGS, Rig, workers
 
 
-class Relays(World):
+class Relays(Testbed):
     """The platform's invoker, started repeatedly on the same addresses."""
 
     command: tuple[str, ...] = (sys.executable, "-B", "-m", "harrieryoke")
@@ -86,7 +86,8 @@
     def audit(self) -> Counter[str]:
         """Count the outcomes of the calls, with lost calls and those answered twice."""
         return Counter(
-            "twice" if c.answers > 1 else c.how or ("lost" if c.lost else "silent") for c in self.load.calls
+            "twice" if c.answers > 1 else c.outcome or ("lost" if c.connection_lost else "silent")
+            for c in self.load.calls
         )
 
 
@@ -178,7 +179,7 @@
     assert ended["lost"] + ended["silent"] <= (
         40 if "taken-over" in relays.log_text() else 0
     ), relays.log_text()
-    late = [c for c in relays.load.calls if c.sent > relays.load.calls[-1].sent - 500]
+    late = [c for c in relays.load.calls if c.sent_at > relays.load.calls[-1].sent_at - 500]
     assert late and all(c.answers == 1 for c in late)
 
 
@@ -226,7 +227,7 @@
 
 def count_late_sends(relays: Relays, host: str, since: float) -> int:
     """Count the attempts that reached the host after `since` and the grace period of one second."""
-    return sum(a.host == host and a.code == REQUEST and a.at > since + 1050 for a in relays.arrived)
+    return sum(a.host == host and a.code == REQUEST and a.received_at > since + 1050 for a in relays.received)
 
 
 @pytest.mark.parametrize("killed", [False, True])
