--- a/harrieryoke/__main__.py
+++ b/harrieryoke/__main__.py
@@ -1,4 +1,7 @@
-"""`python -m harrieryoke`. Without arguments, as on the platform, no library for arguments is loaded."""
+"""Entry point of `python -m harrieryoke`.
+
+Without arguments, as on the platform, the command-line library is not imported.
+"""
 
 import sys
 
--- a/harrieryoke/lab/__init__.py
+++ b/harrieryoke/lab/__init__.py
@@ -1,5 +1,5 @@
-"""The laboratory: emulated model hosts, event bus and clients round a real invoker, and experiments.
+"""The laboratory: experiments that run a real invoker with emulated model hosts, event bus and clients.
 
-`hosts.py` and `clients.py` count for themselves what reached them; `audit.py` compares, and does not ask for
-the invoker's own counters. Nothing of the product imports this.
+`hosts.py` and `clients.py` count what reaches them; `audit.py` compares these counts and does not use the
+invoker's own counters. No module outside this package and the command line imports it.
 """
--- a/harrieryoke/lab/case.py
+++ b/harrieryoke/lab/case.py
@@ -1,4 +1,7 @@
-"""One case of an experiment, as a process: NAME CASE SEED SECONDS RATE FOLDER FILE."""
+"""Runs one case of an experiment in its own process.
+
+Arguments: NAME CASE SEED SECONDS RATE FOLDER FILE; the figures are written to FILE as JSON.
+"""
 
 from __future__ import annotations
 
--- a/harrieryoke/lab/clients.py
+++ b/harrieryoke/lab/clients.py
@@ -1,4 +1,4 @@
-"""Clients that send calls at a given rate and count, each for itself, what became of them."""
+"""Emulated clients that send calls at a given rate and record the answer of each call."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class SentCall:
-    """One call and all that came back for it."""
+    """One call and its answers. Times are milliseconds."""
 
     request_id: str
     tenant: str
@@ -27,14 +27,17 @@
     outcome: str = ""
     answered_at: float = 0.0
     retry_after: float | None = None
-    connection_lost: bool = False  # its connection ended
-    followed_hint: bool = False  # it is a return at the time that was told
-    returned_early: bool = False  # it is a return at half of that time
+    connection_lost: bool = False  # the connection ended before an answer
+    followed_hint: bool = False  # a retry at the advised time
+    returned_early: bool = False  # a retry after half of the advised delay
     on_refused: Callable[[SentCall], None] | None = None
 
 
 class Connection:
-    """One client connection with up to 32 open calls. A brief one closes once all is answered."""
+    """One client connection with pending calls.
+
+    With `close_when_answered` it closes as soon as no call is pending.
+    """
 
     def __init__(
         self, address: tuple[str, int], source: str = "127.0.0.1", close_when_answered: bool = False
@@ -104,16 +107,16 @@
 
 @dataclass(slots=True)
 class Tenant:
-    """One cooperative: its part of the calls, and how many functions it has."""
+    """One tenant: its share of the calls and the number of its functions."""
 
     name: str
     share: float
     functions: int = 8
-    source_addresses: int = 0  # addresses that its calls come from; 0: all from one
+    source_addresses: int = 0  # 0: all calls come from one address that all tenants share
 
 
 class LoadGenerator:
-    """Calls at random moments, `rate` a second, over tenants, classes and functions."""
+    """Sends calls as a Poisson process of `rate` per second over tenants, classes and functions."""
 
     def __init__(
         self, address: tuple[str, int], rate: float, tenants: list[Tenant], rng: random.Random
@@ -122,11 +125,11 @@
         self.calls: list[SentCall] = []
         self.connections: list[Connection] = []
         self.herd_connections: list[Connection] = []
-        self.impatient = False  # every fourth client returns at half of its time
-        self.retries = False  # who is refused with advice stays away until then, and returns once
+        self.impatient = False  # every fourth client retries after half of the advised delay
+        self.retries = False  # a client refused with a retry delay sends nothing until then and retries once
         self.away_until: dict[str, float] = {}
         self.unreachable = 0
-        self.withheld = 0  # calls that were not sent since their client stayed away
+        self.withheld = 0  # calls not sent because their client waits for its retry time
 
     def run(self, seconds: float) -> None:
         until, next_at = now_ms() + seconds * 1000, now_ms()
@@ -137,7 +140,7 @@
         self.settle()
 
     def settle(self) -> None:
-        """Until all is answered, or every client has given up and a little more."""
+        """Wait until all calls are answered or have timed out on every client; then close the connections."""
         until = now_ms() + 4500
         while now_ms() < until and any(c.pending for c in self.connections + self.herd_connections):
             gevent.sleep(0.02)
@@ -179,8 +182,10 @@
         connection.send(call, function, key, b"kg 41")
 
     def start_herd(self, count: int, within_ms: float) -> None:
-        """So many clients, each at an address of its own, ask once within so many ms; who is told when to
-        come back comes then, once."""
+        """Send one call from each of `count` clients, at random times within `within_ms`.
+
+        Each client has its own address. A client refused with a retry delay retries once after it.
+        """
         tenant = self.tenants[0]
         function = function_id(tenant.name, "sample-read", 0)
 
@@ -203,7 +208,7 @@
             )
 
     def schedule_retry(self, refused: SentCall, source: str, function: str, key: str | None) -> None:
-        """A client that does as it was told."""
+        """Retry a refused call after the advised delay, or after half of it if the client is impatient."""
         returned_early = self.impatient and int(source.rpartition(".")[2]) % 4 == 0
         wait = (refused.retry_after or 0.0) * (0.5 if returned_early else 1.0)
         self.away_until[source] = now_ms() + wait
@@ -233,5 +238,5 @@
 
 
 def function_id(tenant: str, kind: str, rank: int) -> str:
-    """A model's id: the same in every run."""
+    """Return the id of a function; it is the same in every run."""
     return f"{sum(ord(c) << (3 * n) for n, c in enumerate(tenant)) & 0xFFFFFFFF:08x}{len(kind):04x}{rank:04x}"
--- a/harrieryoke/lab/collector.py
+++ b/harrieryoke/lab/collector.py
@@ -1,4 +1,4 @@
-"""A collector of ledgers as an invoker meets it, with the faults that one may have. It counts for itself."""
+"""An emulated ledger collector with fault injection. It keeps its own counts."""
 
 from __future__ import annotations
 
@@ -19,9 +19,12 @@
 
 
 class EmulatedCollector:
-    """Keeps each batch once, by instance, epoch and number. `faults`: what may happen to a batch, with its
-    chance: "lose" (kept, the answer and the connection are lost), "drop" (the connection ends before it is
-    kept), "twice" (answered twice), "slow", "refuse" (once more, please), "never" (refused for good)."""
+    """Stores each batch once, by instance, epoch and number.
+
+    `faults` gives the probability of each fault of a batch: "lose" (stored, but the answer and the connection
+    are lost), "drop" (the connection ends before it is stored), "twice" (answered twice), "slow" (answered
+    late), "refuse" (refused, may be retried), "never" (refused permanently).
+    """
 
     def __init__(self, rng: random.Random, faults: dict[str, float] | None = None, tls: Any = None) -> None:
         self.rng, self.faults = rng, faults or {}
@@ -46,7 +49,7 @@
     def address(self) -> str:
         return f"127.0.0.1:{self.port}"
 
-    # --- troubles ---
+    # --- faults ---
 
     def stop(self) -> None:
         if self.server is not None:
@@ -56,7 +59,7 @@
 
     def drop_connections(self) -> None:
         for sock in list(self.connections):
-            with suppress(OSError):  # it had ended
+            with suppress(OSError):  # already closed
                 sock.shutdown(socket.SHUT_RDWR)
         self.connections.clear()
 
@@ -64,12 +67,12 @@
         self.saved_batches = dict(self.batches)
 
     def restore_saved_batches(self) -> None:
-        """It was restored from an older copy of itself."""
+        """Restore the batches of the last `save_batches`, as from a backup."""
         self.batches = dict(self.saved_batches)
         self.counts["back"] += 1
         self.drop_connections()
 
-    # --- its work ---
+    # --- protocol ---
 
     def serve(self, sock: Any, peer: Any) -> None:
         self.connections.add(sock)
@@ -95,7 +98,7 @@
             sock.close()
 
     def make_welcome(self, instance: str) -> pb.Welcome:
-        """Up to which batch it holds all, by epoch."""
+        """Return, for each epoch, the last batch up to which all batches are stored."""
         complete_until: dict[int, int] = {}
         for name, epoch, _ in self.batches:
             if name == instance and epoch not in complete_until:
@@ -114,7 +117,7 @@
         return ""
 
     def handle_batch(self, sock: Any, instance: str, batch: pb.Batch) -> bool:
-        """Whether the connection goes on."""
+        """Store and answer a batch. Return whether the connection stays open."""
         fault, key = self.draw_fault(), (instance, batch.epoch, batch.number)
         self.counts["came"] += 1
         self.counts[fault] += bool(fault)
@@ -140,7 +143,7 @@
     # --- reconciliation ---
 
     def lose_entries(self, count: int) -> None:
-        """Entries in the midst of batches that it still says it has."""
+        """Remove entries from stored batches, which are still reported as stored."""
         for key in self.rng.sample(sorted(self.batches), count):
             batch = pb.Batch()
             batch.CopyFrom(self.batches[key])
@@ -148,9 +151,9 @@
             self.batches[key] = batch
 
     def newer_token(self, instance: str, period: int, token: int) -> int:
-        """0 where what comes under that token may be done; else the later token that came before."""
+        """Return 0 if the fence admits the token, else the newer token that it has seen."""
         fence = self.fences.setdefault((instance, period), Fence())
-        if fence.token == token == 0 or fence.admit(token):  # 0: of an invoker that nobody gives turns
+        if fence.token == token == 0 or fence.admit(token):  # 0: an invoker without a council
             return 0
         self.counts["older"] += 1
         return fence.token
@@ -177,7 +180,7 @@
         self.counts["repaired"] += len(added)
         self.repaired.setdefault(instance, []).extend(added)
 
-    # --- what it knows ---
+    # --- contents ---
 
     def raw_entries(self, instance: str | None = None) -> list[bytes]:
         received = [
@@ -191,7 +194,7 @@
         return [pb.Entry.FromString(data) for data in self.raw_entries()]
 
     def figures(self) -> dict[str, Any]:
-        """Duplicates, and numbers that are missing before the last that it has of an epoch."""
+        """Count entries, duplicates, and numbers missing before the last one of each epoch."""
         occurrences = Counter((e.instance, e.epoch, e.number) for e in self.entries())
         last: dict[tuple[str, int], int] = {}
         for instance, epoch, number in occurrences:
@@ -208,7 +211,7 @@
         return sum(e.kind == pb.GAP for e in self.entries())
 
     def usage_totals(self) -> dict[tuple[str, str], list[int]]:
-        """Calls and milliseconds by tenant and outcome."""
+        """Sum calls and milliseconds by tenant and outcome."""
         sums: dict[tuple[str, str], list[int]] = {}
         for e in self.entries():
             if e.kind != pb.GAP:
--- a/harrieryoke/lab/door.py
+++ b/harrieryoke/lab/door.py
@@ -1,4 +1,4 @@
-"""The experiment `door`: one tenant floods, first with today's door, then with fair queues."""
+"""The experiment `door`: overload by one tenant, without and with fair queues at the door."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from .world import TENANTS, Testbed
 
 FLOODING_TENANT = "tenant-a"
-FLOOD_FACTOR = 10.0  # times its share
-# case -> whether the flood comes, and the operator's file
+FLOOD_FACTOR = 10.0  # multiplies the load of the flooding tenant
+# case -> whether the flooding tenant is active, and the operator configuration
 CASES: dict[str, tuple[bool, str]] = {
     "quiet-today": (False, ""),
     "quiet-door": (False, "[door]\n"),
@@ -24,16 +24,16 @@
     "flood-door": (True, "[door]\n"),
     "flood-door-hasty": (True, "[door]\n"),
     "two-floods-door": (True, "[door]\n"),
-    "herd-today": (False, ""),  # 5000 clients ask at once beside a quarter of the calls
+    "herd-today": (False, ""),  # 5000 clients call at once, beside a quarter of the usual load
     "herd-door": (False, "[door]\n"),
-    "gone-door": (False, "[door]\n"),  # all hosts are gone for 3 s and come back cold
-    "clock-door": (False, "[door]\n"),  # the invoker's clock steps by 5 s
+    "gone-door": (False, "[door]\n"),  # all hosts are down for 3 s and restart cold
+    "clock-door": (False, "[door]\n"),  # the invoker's wall clock steps by 5 s
     "structures": (False, ""),
 }
-CLIENTS_PER_TENANT = 40  # addresses of each tenant
+CLIENTS_PER_TENANT = 40  # client addresses per tenant
 HERD_CLIENTS = 5000
-MAX_BACKOFF_MS = 20_000.0  # so that the truth can be told
-HOSTS, CORES, SERVICE_MS = 4, 4, 60.0  # together they carry 266 calls a second
+MAX_BACKOFF_MS = 20_000.0  # above any retry delay that the door computes, so that none is cut
+HOSTS, CORES, SERVICE_MS = 4, 4, 60.0  # together they serve 266 calls per second
 HOST_SETTINGS = HostSettings(service_time=SERVICE_MS, load_time=300.0, cores=CORES)
 
 
@@ -50,7 +50,7 @@
 
 
 def run_case(case: str, seed: int, seconds: float, rate: float, folder: Path) -> dict[str, Any]:
-    """`rate` is what all tenants ask for without the flood."""
+    """Run one case. `rate` is the load of all tenants without the flood, in calls per second."""
     flood, operator = CASES[case]
     if case == "structures":
         return structures.run_case(seed)
@@ -71,8 +71,8 @@
         8192 if with_herd else 1024,
     )
     testbed.load.impatient = case.endswith("-hasty")
-    testbed.load.retries = not two_floods  # both are to be backlogged all the time
-    hosts_back_at = now_ms() + 1000 * (seconds / 3 + 3.0)  # when the hosts are back
+    testbed.load.retries = not two_floods  # both tenants must be backlogged all the time
+    hosts_back_at = now_ms() + 1000 * (seconds / 3 + 3.0)
     if with_herd:
         gevent.spawn_later(2.0, testbed.load.start_herd, HERD_CLIENTS, 1500.0)
     elif case.startswith("gone-"):
@@ -121,9 +121,9 @@
 
 
 def share_error(calls: list[SentCall]) -> float:
-    """Of the two backlogged tenants: how far the part that each was served of both lies from its weight's."""
+    """Return the largest deviation of a backlogged tenant's share of the service from its weight."""
     weights = {t.name: t.share for t in TENANTS if t.name in (FLOODING_TENANT, "tenant-b")}
-    begin, end = calls[0].sent_at + 3000.0, calls[-1].sent_at  # from when both are backlogged, while both ask
+    begin, end = calls[0].sent_at + 3000.0, calls[-1].sent_at  # while both are backlogged and send calls
     served = {
         name: sum(c.outcome == "served" and begin < c.answered_at < end for c in calls_of(calls, name))
         for name in weights
@@ -147,12 +147,12 @@
 
 
 def last_fifth(calls: list[SentCall]) -> list[SentCall]:
-    """The calls of the last fifth."""
+    """Return the calls of the last fifth of the run."""
     return [c for c in calls if c.sent_at > calls[-1].sent_at - 0.2 * (calls[-1].sent_at - calls[0].sent_at)]
 
 
 def recovery_time_s(calls: list[SentCall], since: float) -> float | None:
-    """Seconds from then to the first half second from which on nine in ten are served."""
+    """Return the seconds from `since` to the first half second in which 90 % of the calls are served."""
     for half_seconds in range(60):
         begin = since + 500.0 * half_seconds
         selected = [c for c in calls if begin <= c.sent_at < begin + 500.0]
@@ -162,6 +162,6 @@
 
 
 def peak_count(times: list[float], window_ms: float) -> int:
-    """The most that came within any stretch of so many ms."""
+    """Return the maximum number of events within any window of that length."""
     times = sorted(times)
     return max((bisect.bisect_right(times, at + window_ms) - n for n, at in enumerate(times)), default=0)
--- a/harrieryoke/lab/experiments.py
+++ b/harrieryoke/lab/experiments.py
@@ -1,4 +1,4 @@
-"""Plays an experiment's cases, each in a process of its own, and puts their figures together."""
+"""Runs the cases of an experiment, each in its own process, and combines their figures into a report."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 NAMES = ("plugins", "door", "rounds", "ledger", "fleet")
 MAX_PARALLEL_CASES = (
-    2  # a case wants two or three cores: invoker, plug-in, and the emulated rest; fleet's wants all
+    2  # a case uses two or three cores (invoker, plug-in, emulation); a case of `fleet` uses all
 )
 MUST_BE_ZERO = ("unanswered", "doubled", "late", "orders_over_budget", "sends_after_drain")
 
@@ -47,7 +47,7 @@
 
 
 def run_rounds(seed: int, seconds: float, file: str | None) -> int:
-    """The cost of the module actor's rounds, in this process and in simulated time."""
+    """Measure the CPU cost of the module actor's rounds, in this process and in simulated time."""
     from .rounds import run_case
 
     report = {
@@ -69,9 +69,12 @@
     rate: float = 250.0,
     cases: list[str] | None = None,
 ) -> int:
-    """0 where every case could be played and kept what must be zero at zero; else 1, or 2 for no such one."""
+    """Run an experiment and write its report.
+
+    Return 0 if every case ran and violated nothing, 1 if not, and 2 for an unknown experiment.
+    """
     if name not in NAMES:
-        print(f"harrieryoke: lab: one of {', '.join(NAMES)} is wanted, not {name!r}", file=sys.stderr)
+        print(f"harrieryoke: lab: expected one of {', '.join(NAMES)}, not {name!r}", file=sys.stderr)
         return 2
     if name == "rounds":
         return run_rounds(seed, seconds, file)
--- a/harrieryoke/lab/fleet.py
+++ b/harrieryoke/lab/fleet.py
@@ -1,4 +1,4 @@
-"""The experiment `fleet`: five real invokers with a council, under load, with faults from a seed."""
+"""The experiment `fleet`: five real invokers with a council, under load and seeded fault injection."""
 
 from __future__ import annotations
 
@@ -20,8 +20,9 @@
 
 CASES = {"three-voters": 3, "five-voters": 5}
 MEMBERS = 5
-OBSERVATION_S = 4.0  # how long an idle and a loaded council are looked at
-MIN_GAP_MS = 100.0  # ms between two acts that are none: a hand asks every 10 ms, of a busy machine
+OBSERVATION_S = 4.0  # how long the traffic of an idle and of a loaded council is measured
+# shorter gaps between acts are polling delay: agents poll every 10 ms, less often on a busy machine
+MIN_GAP_MS = 100.0
 MUST_BE_ZERO = (
     "two_holders",
     "stale_acts_taken",
@@ -35,7 +36,7 @@
 
 
 class FencedCollector(EmulatedCollector):
-    """Keeps which periods were reconciled with it, what came under a token, and whether it took it."""
+    """Records which periods were reconciled, and each write under a token with the decision of the fence."""
 
     def __init__(self, rng: random.Random) -> None:
         self.writes: list[checks.FencedWrite] = []
@@ -163,7 +164,7 @@
 
 
 def measure_traffic(fleet: Fleet) -> dict[str, float]:
-    """Messages and bytes a second between the members, over a while in which nothing is broken."""
+    """Measure messages and bytes per second between the members while no fault is active."""
     before: Traffic = fleet.traffic()
     gevent.sleep(OBSERVATION_S)
     after = fleet.traffic()
@@ -175,7 +176,7 @@
 
 
 def spans_outside(begin: float, end: float, faults: list[checks.InjectedFault]) -> list[tuple[float, float]]:
-    """The time beside these faults, and beside what a new start of all takes after them."""
+    """Return the spans outside the faults and outside two leases after each, the time of a full restart."""
     spans = []
     for at, until in sorted({(f.began_at, f.ended_at + 2 * LEASE_MS) for f in faults}):
         spans.append((begin, max(begin, at)))
@@ -192,7 +193,7 @@
 
 
 def failovers_by_kind(isolated_failovers: list[checks.Failover]) -> dict[str, list[Any]]:
-    """Count, median and most."""
+    """Return count, median and maximum of the durations, by kind of fault."""
     by_kind: dict[str, list[Any]] = {}
     for kind in sorted({f.fault.kind for f in isolated_failovers}):
         durations = [
@@ -212,7 +213,7 @@
 
 
 def reported_acts(fleet: Fleet) -> list[checks.Act]:
-    """What members told of their acting, within the time in which they were asked."""
+    """Return the duties that members reported as acting, each within the time of the status request."""
     return [
         checks.Act(name, 0, duty, duty_status["acting"], report.begin, report.end)
         for name, member in fleet.members.items()
--- a/harrieryoke/lab/fleet_checks.py
+++ b/harrieryoke/lab/fleet_checks.py
@@ -1,7 +1,8 @@
-"""What the members of a council were seen to do, against what may not happen.
+"""Checks the observed behaviour of council members against the safety rules, and computes failover times.
 
-Pure: observations in, findings (a line each) and figures out. Times are milliseconds of one monotonic clock,
-since all is one machine."""
+Pure functions: observations in, violations (one line each) and figures out. Times are milliseconds of one
+monotonic clock, as all members run on one machine.
+"""
 
 from __future__ import annotations
 
@@ -12,11 +13,11 @@
 
 import xxhash
 
-RECENT_ACT_MS = 150.0  # ms: who acted so shortly before a fault held the duty when it came
+RECENT_ACT_MS = 150.0  # a member whose last act is that recent held the duty at the fault
 
 
 class Act(NamedTuple):
-    """At some moment from `begin` to `end` the member was told that it may act on the duty."""
+    """The council allowed the member to act on the duty, at some time from `begin` to `end`."""
 
     member: str
     incarnation: int
@@ -27,7 +28,7 @@
 
 
 class FencedWrite(NamedTuple):
-    """What came to a fenced target, in the order in which it came."""
+    """A write that reached a fenced target; writes are kept in the order of arrival."""
 
     member: str
     duty: str
@@ -36,7 +37,7 @@
 
 
 class Applied(NamedTuple):
-    """An act in the agreed log, as one member applied it. `chain` stands for all of the duty's up to it."""
+    """A committed log entry as one member applied it. `chain_hash` covers the duty's entries up to it."""
 
     member: str
     duty: str
@@ -47,7 +48,7 @@
 
 
 class SnapshotLoaded(NamedTuple):
-    """A member took a duty's state from a snapshot. An empty chain stands for nothing."""
+    """A member loaded the state of a duty from a snapshot. An empty `chain_hash` is the empty state."""
 
     member: str
     duty: str
@@ -58,7 +59,7 @@
 
 
 class StateCopy(NamedTuple):
-    """A member's copy of the agreed state, as it told it."""
+    """The digest of a member's replicated state at a log index, as it reported it."""
 
     member: str
     log_index: int
@@ -66,13 +67,17 @@
 
 
 class Leadership(NamedTuple):
+    """A member reported itself as leader of the term."""
+
     member: str
     term: int
 
 
 class InjectedFault(NamedTuple):
-    """A fault as it happened. `until` is when it was over. `halts`: what its member held must go to another,
-    or to its next life."""
+    """A fault as it was injected.
+
+    `stops_member`: duties of the member must move to another member, or to its next process.
+    """
 
     kind: str
     member: str
@@ -82,7 +87,7 @@
 
 
 class Tenure(NamedTuple):
-    """All acts under one token."""
+    """The first and last act under one token."""
 
     duty: str
     token: int
@@ -92,15 +97,18 @@
 
 
 def next_chain_hash(chain: str, index: int, token: int, body: str) -> str:
+    """Extend the hash chain of a duty by one log entry."""
     return xxhash.xxh3_64_hexdigest(f"{chain}\0{index}\0{token}\0{body}".encode())
 
 
-# --- what may not happen ---
+# --- safety checks ---
 
 
 def two_holders(acts: Sequence[Act]) -> list[str]:
-    """Tokens only grow: who acts under one after another acted under a higher one acts beside it. Only what
-    was over before the other began counts, so that nothing is found that did not happen."""
+    """Find acts under a token after another member has acted under a higher one, as tokens only grow.
+
+    Only acts that had ended before the other began are compared, so that there are no false positives.
+    """
     violations: dict[tuple[str, int], str] = {}
     for duty, duty_acts in group_by_duty(acts).items():
         ended, ended_count, newest, owners = (
@@ -116,19 +124,19 @@
                 ended_count += 1
             owner = owners.setdefault(act.token, act)
             if (owner.member, owner.incarnation) != (act.member, act.incarnation):
-                violations[duty, act.token] = f"one token of two: {act} and {owner}"
+                violations[duty, act.token] = f"two holders of one token: {act} and {owner}"
             elif newest.token > act.token:
                 violations[duty, act.token] = f"{act} after {newest}"
     return list(violations.values())
 
 
 def stale_writes_admitted(writes: Iterable[FencedWrite]) -> list[str]:
-    """What a target took though a higher token had come before."""
+    """Find writes that a target admitted after a write with a higher token."""
     violations, highest = list[str](), dict[str, FencedWrite]()
     for write in writes:
         newest = highest.setdefault(write.duty, write)
         if write.token < newest.token and write.admitted:
-            violations.append(f"{write} was taken after {newest}")
+            violations.append(f"{write} was admitted after {newest}")
         elif write.token > newest.token:
             highest[write.duty] = write
     return violations
@@ -137,18 +145,18 @@
 def lost_commits(
     applied: Sequence[Applied], copies: Iterable[StateCopy] = (), snapshots: Iterable[SnapshotLoaded] = ()
 ) -> list[str]:
-    """What one member applied and another has otherwise, or has no more."""
+    """Find committed entries and states that are missing or different at another member."""
     violations, first_copies = list[str](), dict[int, StateCopy]()
     known_states = {(act.duty, act.chain_hash) for act in applied}
     violations += [
-        f"a state that nobody applied: {act}"
+        f"no member has applied this state: {act}"
         for act in snapshots
         if act.chain_hash and (act.duty, act.chain_hash) not in known_states
     ]
     for copy in copies:
         reference = first_copies.setdefault(copy.log_index, copy)
         if reference.digest != copy.digest:
-            violations.append(f"the state is not the same: {copy} and {reference}")
+            violations.append(f"the states are not the same: {copy} and {reference}")
     for duty_acts in group_by_duty(applied).values():
         first_by_index: dict[int, Applied] = {}
         for act in duty_acts:
@@ -159,7 +167,7 @@
         for _, act in sorted(first_by_index.items()):
             if previous is not None:
                 if act.chain_hash != next_chain_hash(previous.chain_hash, act.log_index, act.token, act.body):
-                    violations.append(f"gone: {previous}, or one behind it, is not before {act}")
+                    violations.append(f"lost: {previous}, or an entry after it, does not precede {act}")
                 if act.token < previous.token:
                     violations.append(f"applied under an older token: {act} after {previous}")
             previous = act
@@ -167,8 +175,10 @@
 
 
 def incomplete_members(events: Sequence[Applied | SnapshotLoaded], members: Iterable[str]) -> list[str]:
-    """When all is well again and nothing more comes, each member has all that anybody applied. `seen` in its
-    order."""
+    """Find members that lack the last applied entry of a duty, once faults and proposals have ended.
+
+    `events` are in the order of observation.
+    """
     newest, last_events = dict[str, Applied](), dict[tuple[str, str], Applied | SnapshotLoaded]()
     for event in events:
         last_events[event.member, event.duty] = event
@@ -177,7 +187,7 @@
         ):
             newest[event.duty] = event
     return [
-        f"{member} lacks {newest_act}: its last is {last_event}"
+        f"{member} lacks {newest_act}: its last entry is {last_event}"
         for duty, newest_act in newest.items()
         for member in members
         if (last_event := last_events.get((member, duty))) is None
@@ -186,6 +196,7 @@
 
 
 def two_leaders(leads: Iterable[Leadership]) -> list[str]:
+    """Find terms with more than one leader."""
     first_leaders: dict[int, str] = {}
     return [
         f"{leadership} beside {first_leaders[leadership.term]}"
@@ -194,11 +205,11 @@
     ]
 
 
-# --- how long it took ---
+# --- failover times ---
 
 
 def tenures(acts: Sequence[Act]) -> dict[str, list[Tenure]]:
-    """By duty, in the order of their tokens."""
+    """Return the tenures of each duty, in the order of their tokens."""
     spans: dict[tuple[str, int], Tenure] = {}
     for act in acts:
         tenure = spans.get((act.duty, act.token)) or Tenure(
@@ -214,7 +225,10 @@
 
 
 class Failover(NamedTuple):
-    """`took` is None where nobody acted after it. `alone`: no other fault came into it."""
+    """The time from a fault at a holder to the next act on the duty.
+
+    `duration` is None if no member acted after the fault. `isolated`: no other fault overlapped.
+    """
 
     fault: InjectedFault
     duty: str
@@ -223,8 +237,11 @@
 
 
 def failovers(acts: Sequence[Act], faults: Sequence[InjectedFault], lease: float) -> list[Failover]:
-    """From a fault at a holder to the next act on the duty by another, or by its next life. A fault that need
-    not halt its member counts where the duty did go to another while it lasted, or a lease after that."""
+    """Return the failovers caused by faults at holders.
+
+    A failover ends with the next act on the duty by another member, or by the next process of the same one. A
+    fault that need not stop its member counts only if the duty moved during the fault or a lease after it.
+    """
     found = []
     for duty_tenures in tenures(acts).values():
         for fault in faults:
@@ -244,7 +261,7 @@
                 or next_tenure.first_act > fault.ended_at + lease
                 or next_tenure.first_act - duty_tenures[position].last_act < RECENT_ACT_MS
             ):
-                continue  # it stayed, or went in order
+                continue  # the duty stayed, or was handed over as planned
             end = fault.ended_at if next_tenure is None else next_tenure.first_act
             isolated = not any(
                 other.began_at < end and other.ended_at > fault.began_at - lease
@@ -257,14 +274,15 @@
 
 
 class Handover(NamedTuple):
+    """A planned handover; `gap` is the time without an act."""
+
     old: Tenure
     new: Tenure
     gap: float
 
 
 def planned_handovers(acts: Sequence[Act], faults: Sequence[InjectedFault], lease: float) -> list[Handover]:
-    """From one holder to the next where nobody was struck: the first was told to end, or a better one is
-    there."""
+    """Return the handovers without a fault: the holder was terminated, or a preferred member took over."""
     found = []
     for duty_tenures in tenures(acts).values():
         for old, new in pairwise(duty_tenures):
@@ -276,7 +294,7 @@
 
 
 def unheld_ms(acts: Sequence[Act], duties: Sequence[str], begin: float, end: float, min_gap: float) -> float:
-    """Of the duties' time, the ms in which nobody acted. Less than `grain` between two acts is nothing."""
+    """Return the time in which no member acted, summed over the duties. Gaps below `min_gap` are ignored."""
     unheld, acts_by_duty = 0.0, group_by_duty(acts)
     for duty in duties:
         covered_until = begin
@@ -289,7 +307,7 @@
 
 
 def quantile(values: Iterable[float], share: float) -> float | None:
-    """None for none."""
+    """Return the value at that share of the sorted values, or None if there are none."""
     ordered = sorted(values)
     return round(ordered[round(share * (len(ordered) - 1))], 1) if ordered else None
 
--- a/harrieryoke/lab/fleet_faults.py
+++ b/harrieryoke/lab/fleet_faults.py
@@ -1,4 +1,4 @@
-"""Faults of all kinds at members of a council and on the links between them, drawn from a seed."""
+"""Injects seeded random faults into council members and the links between them."""
 
 from __future__ import annotations
 
@@ -12,31 +12,38 @@
 from .fleet_checks import InjectedFault
 from .fleet_world import DUTIES, LEASE_MS, Fleet, Member
 
-# kind: how often it is drawn
+# fault kind -> relative frequency
 FAULT_WEIGHTS = {
-    "kill": 4,  # SIGKILL, started again after a while
+    "kill": 4,  # SIGKILL, then a restart
     "stall": 4,  # SIGSTOP and SIGCONT
-    "term": 4,  # SIGTERM, started again
-    "cut": 2,  # one link, both ways
+    "term": 4,  # SIGTERM, then a restart
+    "cut": 2,  # one link, in both directions
     "cut-one-way": 2,
-    "island": 2,  # all links of a member, both ways
-    "mute": 2,  # it hears all and is not heard
-    "deaf": 2,  # it is heard and hears nothing
-    "slow": 2,
-    "flap": 2,
-    "full": 3,
-    "lost": 2,
-    "replace": 1,  # a voter goes and a follower comes in its place
-    "all": 1,  # all are killed at once
-    "clock": 1,  # its Unix clock steps
+    "island": 2,  # all links of a member, in both directions
+    "mute": 2,  # all outgoing links of a member
+    "deaf": 2,  # all incoming links of a member
+    "slow": 2,  # links delay what they carry
+    "flap": 2,  # links break again and again
+    "full": 3,  # the disk is full
+    "lost": 2,  # the disk is lost
+    "replace": 1,  # a follower replaces a voter
+    "all": 1,  # all members are killed at once
+    "clock": 1,  # the wall clock steps
 }
-EXCLUSIVE_FAULTS = {"lost", "replace", "all"}  # with another beside them a majority's disks may be lost
-TWO_FAULTS_PROBABILITY = 0.2  # of the rounds have two faults at a time
+EXCLUSIVE_FAULTS = {
+    "lost",
+    "replace",
+    "all",
+}  # together with another fault they may destroy the disks of a majority
+TWO_FAULTS_PROBABILITY = 0.2  # share of rounds with two faults at a time
 
 
 @dataclass(frozen=True)
 class PlannedFault:
-    """`at`: "holder" of `duty`, "leader" or "any": found when it strikes. Times are milliseconds."""
+    """A fault to inject. Times are milliseconds.
+
+    `target` is the "holder" of `duty`, the "leader" or "any" member; it is resolved at the injection.
+    """
 
     kind: str
     target: str
@@ -47,7 +54,7 @@
 
 
 def draw_round(rng: random.Random) -> list[PlannedFault]:
-    """One round: a fault, or two at a time."""
+    """Plan a round: one fault, or two at a time."""
     two_faults = rng.random() < TWO_FAULTS_PROBABILITY
     kinds = [kind for kind in FAULT_WEIGHTS if not two_faults or kind not in EXCLUSIVE_FAULTS]
     return [
@@ -64,7 +71,7 @@
 
 
 class FaultInjector:
-    """Strikes a fleet, round after round, each time when all is well again."""
+    """Injects faults into a fleet in rounds; each round starts when the fleet is healthy."""
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
         self.fleet, self.rng, self.rounds = fleet, random.Random(seed), 0
@@ -97,7 +104,7 @@
         member, rng = self.find_target(planned), random.Random(planned.seed)
         self.faulty_members.add(member.name)
         began_at = boot_ms()
-        member.write_note(f"fault {planned.kind} for {planned.duration:.0f} ms, drawn by {planned.seed}")
+        member.write_note(f"fault {planned.kind} for {planned.duration:.0f} ms, seed {planned.seed}")
         stops_member = getattr(self, planned.kind.replace("-", "_"))(member, planned.duration, rng)
         injected = InjectedFault(planned.kind, member.name, began_at, boot_ms(), bool(stops_member))
         member.write_note(f"fault {planned.kind} is over")
@@ -105,7 +112,8 @@
         self.fleet.faults += [injected._replace(member=candidates) for candidates in names]
         self.faulty_members.discard(member.name)
 
-    # each returns whether what the member held had to go to another, or to its next life
+    # Each method is a fault kind. It returns whether the duties of the member had to move to another member,
+    # or to its next process.
 
     def kill(self, member: Member, duration: float, rng: random.Random) -> bool:
         member.stop_process()
@@ -179,7 +187,7 @@
             proxy.heal(reset)
 
     def pick_link(self, member: Member, rng: random.Random) -> tuple[str, str]:
-        """With the leader, where it is another: the link on which something hangs."""
+        """Return one direction of the link to the leader, or of a random link if the member leads itself."""
         leader = self.fleet.leader()
         others = [n for n in self.fleet.names if n != member.name]
         other = leader if leader in others else rng.choice(others)
--- a/harrieryoke/lab/fleet_proxy.py
+++ b/harrieryoke/lab/fleet_proxy.py
@@ -1,4 +1,4 @@
-"""The link from one member of a council to another, as a proxy that breaks it as links break."""
+"""A TCP proxy that injects faults into the link from one council member to another."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class FrameCounter:
-    """Counts frames, each with its length before it, as the bytes come."""
+    """Counts length-prefixed frames in a byte stream that arrives in arbitrary chunks."""
 
     def __init__(self) -> None:
         self.count = self.body_left = self.size = self.shift = 0
@@ -36,9 +36,11 @@
 
 
 class LinkProxy:
-    """Takes what `source` dials at an address of the other's host, and dials the other from `source`'s host.
-    While it is cut nothing passes, in either direction of its connections, and nothing is refused: what was
-    written waits, as it does in TCP. `late_ms`: for how long each chunk is held back."""
+    """Accepts the connections that `source` dials and forwards them to `destination` from `source`'s address.
+
+    While the link is cut, no data passes in either direction of its connections and no connection is refused:
+    written data waits, as in TCP. Each chunk is delayed by `delay_ms`.
+    """
 
     def __init__(self, source: str, destination: tuple[str, int]) -> None:
         self.source, self.destination = source, destination
@@ -48,7 +50,7 @@
         self.byte_count = self.dials = 0
         self.counters = [
             FrameCounter()
-        ]  # by connection and direction; of those that ended the sum is in the first
+        ]  # one per open connection and direction; the first holds the sum of closed ones
         self.server = StreamServer((destination[0], 0), self.serve)
         self.server.start()
 
@@ -62,7 +64,7 @@
         self.flowing.clear()
 
     def heal(self, reset: bool = False) -> None:
-        """`reset`: the connections of before do not come back."""
+        """Let data pass again. With `reset`, connections opened before are closed."""
         if reset:
             self.reset()
         self.delay_ms = 0.0
@@ -70,7 +72,7 @@
 
     def reset(self) -> None:
         for sock in list(self.sockets):
-            with suppress(OSError):  # it had ended
+            with suppress(OSError):  # already closed
                 sock.shutdown(socket.SHUT_RDWR)
 
     def stop(self) -> None:
@@ -91,7 +93,7 @@
             self.pump(near, far)
             backward.join()
         except OSError:
-            pass  # nobody listens there: as a dial that is refused
+            pass  # no listener at the destination: close, as if the dial were refused
         finally:
             self.sockets -= {near, far}
             near.close()
@@ -100,7 +102,7 @@
     def pump(self, source: Any, destination: Any) -> None:
         counter = FrameCounter()
         self.counters.append(counter)
-        with suppress(OSError):  # either side has ended
+        with suppress(OSError):  # either side has closed
             while data := source.recv(READ_BYTES):
                 if self.delay_ms:
                     gevent.sleep(self.delay_ms / 1000)
@@ -109,7 +111,7 @@
                 self.byte_count += len(data)
                 counter.feed(data)
         for sock in (source, destination):
-            with suppress(OSError):  # it had ended
+            with suppress(OSError):  # already closed
                 sock.shutdown(socket.SHUT_RDWR)
         self.counters.remove(counter)
         self.counters[0].count += counter.count
--- a/harrieryoke/lab/fleet_watch.py
+++ b/harrieryoke/lab/fleet_watch.py
@@ -1,9 +1,9 @@
-"""What the laboratory sees of a council by its own means: a fenced target, and the hands that act on it.
+"""Observes a council independently of its own reports: an observer with a fenced target, and agents.
 
-A hand (`python -m harrieryoke.lab.fleet_watch FILE SOCKET DUTIES SEED`) runs in the process of an invoker
-that is otherwise as `serve --operator FILE` runs it. It asks the council at short intervals whether it may
-act, and tells so with the times around the question; it also writes to the target, late at times, and has
-acts agreed.
+An agent (`python -m harrieryoke.lab.fleet_watch FILE SOCKET DUTIES SEED`) runs in the process of an invoker
+that otherwise runs as under `serve --operator FILE`. It polls the council for the duties on which the member
+may act and reports them with the times before and after the query. It also writes to the target, sometimes
+late, and proposes log entries.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 from ..council.decide.lease import Fence
 from . import fleet_checks as checks
 
-ACT_INTERVAL_S = 0.01  # how often a hand asks
-PROPOSE_INTERVAL_S = 0.1  # how often it has something agreed
-MAX_DATAGRAM_BYTES = 100_000  # bytes of a datagram
+ACT_INTERVAL_S = 0.01  # how often an agent polls the council
+PROPOSE_INTERVAL_S = 0.1  # how often it proposes an entry for each duty it holds
+MAX_DATAGRAM_BYTES = 100_000
 
 
 class Observer:
-    """The target, at a Unix socket: what waits there is not lost, and who finds it full waits."""
+    """Receives reports and fenced writes on a Unix datagram socket: none is lost, senders block when full."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -39,19 +39,19 @@
         self.sock.bind(str(path))
         self.acts: list[checks.Act] = []
         self.writes: list[checks.FencedWrite] = []
-        self.applied: list[checks.Applied | checks.SnapshotLoaded] = []  # in their order
+        self.applied: list[checks.Applied | checks.SnapshotLoaded] = []  # in the order of arrival
         self.state_copies: list[checks.StateCopy] = []
         self.fences: dict[str, Fence] = {}
-        self.holders: dict[str, tuple[str, float]] = {}  # by duty: who acted last, and when
+        self.holders: dict[str, tuple[str, float]] = {}  # by duty: the member that acted last, and when
         self.greenlet = gevent.spawn(self.run)
 
     def run(self) -> None:
         while True:
             kind, *fields = msgspec.msgpack.decode(self.sock.recv(MAX_DATAGRAM_BYTES))
             if kind == "acts":
-                member, life, begin, end, tokens = fields
+                member, incarnation, begin, end, tokens = fields
                 for duty, token in tokens.items():
-                    self.acts.append(checks.Act(member, life, duty, token, begin, end))
+                    self.acts.append(checks.Act(member, incarnation, duty, token, begin, end))
                     self.holders[duty] = member, end
             elif kind == "write":
                 member, duty, token = fields
@@ -65,7 +65,7 @@
                 )
 
     def held_duties(self, member: str, now: float) -> list[str]:
-        """The duties that it acted on just now."""
+        """Return the duties on which the member acted recently."""
         return [
             duty
             for duty, (holder, acted_at) in self.holders.items()
@@ -78,7 +78,7 @@
 
 
 class RecordingMachine:
-    """A duty's machine: it keeps a chain of all acts that were applied, and tells each."""
+    """State machine of a duty: a hash chain over the applied entries. It reports each entry."""
 
     def __init__(self, member: str, duty: str, report: Any) -> None:
         self.member, self.duty, self.report = member, duty, report
@@ -102,7 +102,7 @@
 
 
 class ObservationAgent:
-    """In the invoker's own process."""
+    """Runs in the invoker's process; see the module's documentation."""
 
     def __init__(self, council: Any, member: str, path: str, duties: list[str], seed: int) -> None:
         self.council, self.member, self.duties = council, member, duties
@@ -125,7 +125,7 @@
         self.not_empty.set()
 
     def report_state(self) -> None:
-        """All that was agreed, as this member has it now."""
+        """Report the digest of the replicated state at this member."""
         actor = self.council.actor
         digest = xxhash.xxh3_64_hexdigest(actor.state.dump())
         self.report(["copy", self.member, actor.raft.last_applied, digest])
@@ -140,7 +140,7 @@
 
     def report_acting(self) -> None:
         while getattr(self.council, "actor", None) is None:
-            gevent.sleep(ACT_INTERVAL_S)  # its folder is not read yet
+            gevent.sleep(ACT_INTERVAL_S)  # the council has not loaded its folder yet
         incarnation, duties, parent = os.getpid(), [*self.duties, "reconcile"], os.getppid()
         while os.getppid() == parent:
             begin = boot_ms()
@@ -150,14 +150,17 @@
                 duty, late_s = self.rng.choice(sorted(acting)), self.rng.choice((0.0, self.rng.uniform(0, 3)))
                 gevent.spawn_later(late_s, self.write_to_target, duty, acting[duty])
             gevent.sleep(ACT_INTERVAL_S)
-        os._exit(1)  # guards against an invoker that outlives the laboratory
+        os._exit(1)  # the invoker must not outlive the laboratory
 
     def write_to_target(self, duty: str, token: int) -> None:
-        """Late, as what was on its way while the process stood still: this is what the fence is for."""
+        """Write under a token that may be outdated, as after a pause of the process; the fence rejects it."""
         self.report(["write", self.member, duty, token])
 
     def propose_regularly(self) -> None:
-        """While there is a file that says so: an idle council can be looked at, and the end be waited for."""
+        """Propose entries while the flag file exists.
+
+        Without the file the council is idle: its traffic can be measured, and the last entries are applied.
+        """
         proposals_flag = Path(self.path).with_name("go")
         while True:
             gevent.sleep(PROPOSE_INTERVAL_S)
--- a/harrieryoke/lab/fleet_world.py
+++ b/harrieryoke/lab/fleet_world.py
@@ -1,4 +1,4 @@
-"""Members of a council: real invokers in processes of their own, with a proxy on each link."""
+"""A fleet of council members: real invokers in their own processes, with a proxy on each link."""
 
 from __future__ import annotations
 
@@ -60,13 +60,13 @@
 [council.members]
 {members}
 """
-RECOVERY_TIMEOUT_MS = 25 * LEASE_MS  # with nothing broken any more all must be well by then
+RECOVERY_TIMEOUT_MS = 25 * LEASE_MS  # by then the fleet must be healthy after the last fault
 STOP_TIMEOUT_S = 15.0
 
 
 @dataclass
 class StatusReport:
-    """What a member said of itself, and when it was asked and had answered."""
+    """A member's status, with the times of the request and of the answer."""
 
     begin: float
     end: float
@@ -74,7 +74,10 @@
 
 
 class Member(Testbed):
-    """One invoker with its own hosts and clients. Its log goes through a pipe: its disk may be full."""
+    """One invoker with its own hosts and clients.
+
+    Its log goes through a pipe, as the invoker cannot write files while its disk is full.
+    """
 
     def __init__(self, fleet: Fleet, folder: Path, seed: int, rate: float, name: str, operator: str) -> None:
         self.fleet, self.seed, self.should_run = fleet, seed, True
@@ -106,7 +109,7 @@
 
     def read_log(self, process: subprocess.Popen[bytes]) -> None:
         assert process.stderr is not None
-        with suppress(OSError, ValueError):  # the lab closes it at the end
+        with suppress(OSError, ValueError):  # the log is closed at the end of the run
             for line in process.stderr:
                 self.log.write(line)
                 self.log.flush()
@@ -115,11 +118,11 @@
                     self.fleet.findings.append(f"{boot_ms():.0f} {line.decode()[:1500]}")
 
     def write_operator_file(self, operator: str) -> None:
-        """Its operator's file, which it reads at SIGHUP or when it starts."""
+        """Write the operator configuration, which the invoker reads at SIGHUP and at its start."""
         (self.folder / "operator.toml").write_text(operator + f'\n[ops]\nlisten = "{self.ops}"\n')
 
     def write_note(self, text: str) -> None:
-        """Into its log, beside its own lines."""
+        """Add a line to the log of the member."""
         self.log.write(f"--- {boot_ms():.0f} {text}\n".encode())
         self.log.flush()
 
@@ -149,15 +152,15 @@
         self.should_run = True
 
     def delete_council_folder(self) -> None:
-        """While the process is down."""
+        """Delete the council's files while the process is down."""
         self.write_note("its disk is lost")
         shutil.rmtree(self.folder / "council")
 
     def limit_file_size(self, size: int) -> None:
-        """From now on no file of it grows beyond so many bytes: as a disk that is full. -1: all is well."""
+        """Limit the size of the files it writes, which emulates a full disk. -1 removes the limit."""
         resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (size, resource.RLIM_INFINITY))
 
-    # --- what it says ---
+    # --- status ---
 
     def poll_status(self) -> None:
         begin = boot_ms()
@@ -166,26 +169,28 @@
             self.reports.append(StatusReport(begin, boot_ms(), status))
 
     def latest_status(self) -> dict[str, Any]:
-        """Nothing where it has said nothing for a while."""
+        """Return the last status, or nothing if it is older than a second."""
         is_recent = self.reports and self.reports[-1].begin > boot_ms() - 1000
         return self.reports[-1].status if is_recent else {}
 
 
 @dataclass
 class Traffic:
+    """Bytes and messages sent over all links up to a point in time."""
+
     at: float
     bytes: int
     messages: int
 
 
 class Fleet:
-    """All of one play. `voters` of `members` vote at first."""
+    """All members of one run. The first `voters` of `members` vote at the start."""
 
     def __init__(
         self, folder: Path, seed: int, voters: int, members: int, rate: float, collector: EmulatedCollector
     ) -> None:
         self.folder, self.findings = folder, list[str]()
-        self.log_counts: Counter[str] = Counter()  # log lines by kind
+        self.log_counts: Counter[str] = Counter()  # number of log lines by kind
         self.names = [f"inv-{n + 1}" for n in range(members)]
         self.voters = self.names[:voters]
         self.collector = collector
@@ -202,7 +207,7 @@
         self.members: dict[str, Member] = {}
         for n, name in reversed(list(enumerate(self.names))):
             if not n:
-                self.found_council(name)  # the others knock by now
+                self.found_council(name)  # the other members are already trying to join
             self.members[name] = Member(self, folder / name, seed + n, rate, name, self.operator_file(name))
         self.greenlets = [gevent.spawn(self.poll_member, m) for m in self.members.values()]
 
@@ -228,10 +233,10 @@
             check=False,
         )
         if completed.returncode:
-            raise RuntimeError(f"no council was founded: {completed.stdout}{completed.stderr}")
+            raise RuntimeError(f"the council could not be founded: {completed.stdout}{completed.stderr}")
 
     def operator_file(self, name: str) -> str:
-        """Another member's address is that of the proxy on the way to it."""
+        """Return the operator configuration; other members are addressed through their proxies."""
         address = {other: self.proxies[name, other].address() for other in self.names if other != name}
         address[name] = "{}:{}".format(*self.member_addresses[name])
         return OPERATOR_TEMPLATE.format(
@@ -249,10 +254,10 @@
                 member.poll_status()
             gevent.sleep(0.1)
 
-    # --- how it is ---
+    # --- health ---
 
     def leader(self) -> str:
-        """Who leads in the highest term, or nobody."""
+        """Return the leader of the highest term, or an empty string."""
         leaders = [
             (status["term"], name)
             for name, member in self.members.items()
@@ -261,25 +266,25 @@
         return max(leaders, default=(0, ""))[1]
 
     def unhealthy_reason(self) -> str:
-        """What is not as it should be when nothing is broken, or nothing."""
+        """Return why the fleet is not healthy, or an empty string."""
         now, leader = boot_ms(), self.leader()
         if not leader:
-            return "nobody leads"
+            return "there is no leader"
         voters = self.members[leader].latest_status().get("voters")
         if sorted(voters or []) != sorted(self.voters):
-            return f"{voters} vote and not {self.voters}"
+            return f"the voters are {voters}, not {self.voters}"
         unheld = [
             duty
             for duty in DUTIES
             if now - self.watch.holders.get(duty, ("", 0.0))[1] > 2 * checks.RECENT_ACT_MS
         ]
-        return f"nobody holds {unheld}" if unheld else ""
+        return f"no member holds {unheld}" if unheld else ""
 
     def wait_healthy(self) -> bool:
         deadline = boot_ms() + RECOVERY_TIMEOUT_MS
         while reason := self.unhealthy_reason():
             if boot_ms() > deadline:
-                self.findings.append(f"{boot_ms():.0f} not well though nothing is broken: {reason}")
+                self.findings.append(f"{boot_ms():.0f} not healthy without a fault: {reason}")
                 return False
             gevent.sleep(0.05)
         return True
@@ -293,7 +298,7 @@
         )
 
     def enable_proposals(self, enabled: bool) -> None:
-        """Whether hands have something agreed from now on."""
+        """Let the agents propose entries from now on, or stop them."""
         proposals_flag = self.watch.path.with_name("go")
         proposals_flag.touch() if enabled else proposals_flag.unlink()
 
--- a/harrieryoke/lab/hosts.py
+++ b/harrieryoke/lab/hosts.py
@@ -1,4 +1,4 @@
-"""Model hosts and the event bus as an invoker meets them on its sockets. They count what arrives."""
+"""Emulated model hosts and event bus on real sockets. The hosts record the frames they receive."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class ReceivedFrame:
-    """One whole frame that reached a host."""
+    """One complete frame received by a host."""
 
     received_at: float
     host: str
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class HostSettings:
-    """How a host works. Times are milliseconds."""
+    """Behaviour of a host. Times are milliseconds."""
 
     service_time: float = 25.0
     load_time: float = 400.0
@@ -41,13 +41,13 @@
     slots: int = 4
     capacity: int = 40  # copies
     queue_limit: int = 64
-    cores: int = 0  # calls at work beyond them slow each other down; 0: they do not
-    fixed_service_time: bool = False  # each call takes just `work`; else that is the mean
+    cores: int = 0  # more active calls than cores slow each other down; 0: no limit
+    fixed_service_time: bool = False  # else `service_time` is the mean of an exponential distribution
 
 
 @dataclass(slots=True)
 class FunctionCopies:
-    """Loaded copies of one function."""
+    """Copies of one function at a host."""
 
     count: int = 0
     loading: int = 0
@@ -57,14 +57,14 @@
 
 
 class EmulatedHost:
-    """One model host: answers `miss` without a copy, loads on order, runs a few calls a copy at a time."""
+    """One model host: answers `miss` without a copy, loads copies on order, limits the calls per copy."""
 
     def __init__(
         self, name: str, zone: str, rng: random.Random, received: list[ReceivedFrame], settings: HostSettings
     ) -> None:
         self.name, self.zone, self.rng, self.received, self.settings = name, zone, rng, received, settings
         self.state, self.started_at = "active", 0.0
-        self.announcements: list[tuple[float, str]] = []  # when the bus told which state
+        self.announcements: list[tuple[float, str]] = []  # when the bus announced which state
         self.connections: set[Any] = set()
         self.incarnation = self.active_requests = 0
         self.copies: dict[str, FunctionCopies] = defaultdict(FunctionCopies)
@@ -86,13 +86,13 @@
             "cell": 0,
             "state": self.state,
             "weight": 1,
-            "started_ms": self.started_at,  # on the wall clock, as of another machine
+            "started_ms": self.started_at,  # wall clock, as hosts are other machines
         }
 
-    # --- troubles ---
+    # --- faults ---
 
     def reset_connections(self) -> None:
-        """All its connections break; the process lives on."""
+        """Reset all connections; the process keeps running."""
         for sock in list(self.connections):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             sock.close()
@@ -107,12 +107,12 @@
         self.copies.clear()
 
     def restart(self) -> None:
-        """It comes back at the same address, cold and empty."""
+        """Restart at the same address, without loaded copies."""
         self.stop()
         self.started_at = wall_ms()
         self.listen()
 
-    # --- its work ---
+    # --- requests and orders ---
 
     def serve(self, sock: Any, peer: Any) -> None:
         self.connections.add(sock)
@@ -192,7 +192,7 @@
     ) -> None:
         loaded = self.copies[function]
         wanted = copies - loaded.count - loaded.loading
-        if wanted > 0 and self.state != "active":  # copies that stand are confirmed, also while it drains
+        if wanted > 0 and self.state != "active":  # copies already loaded are confirmed, also while draining
             return self.reply(sock, frames.FULL, frame.id, {"pods": "0"})
         if (
             wanted > 0
@@ -211,7 +211,7 @@
 
 
 class Outage(Enum):
-    """How the event bus can be out of reach."""
+    """The ways in which the event bus can be unreachable."""
 
     SILENT = "connections stay open and bring nothing"
     REFUSED = "connections end, and new ones are refused"
@@ -222,7 +222,7 @@
 
 
 class EmulatedBus:
-    """Numbered events, pushed to whoever follows, and a line with the last number now and then."""
+    """Pushes numbered events to its clients, and a heartbeat with the last number."""
 
     def __init__(self) -> None:
         self.events: list[bytes] = []
@@ -235,7 +235,7 @@
         return f"127.0.0.1:{self.server.server_port}"
 
     def initial_events(self, entries: list[dict[str, Any]]) -> dict[str, Any]:
-        """The first event, which the configuration holds."""
+        """Record the first event and return it as the configuration contains it."""
         first = {"offset": 1, "topology": {"version": 1, "full": True, "servers": entries}}
         self.events.append(msgspec.json.encode(first))
         return {"offset": 1, "batch": [first]}
@@ -251,13 +251,13 @@
             host.announcements.append((now_ms(), host.state))
 
     def begin_outage(self, outage: Outage) -> None:
-        """Events are still numbered from here on; nobody hears of them until `end_outage`."""
+        """Stop delivery: events are still numbered, but reach no client until `end_outage`."""
         self.outage = outage
         if outage is Outage.REFUSED:
             self.server.stop(timeout=0)
 
     def end_outage(self) -> None:
-        """The bus is reached at its address again."""
+        """Resume delivery at the same address."""
         if self.outage is Outage.REFUSED:
             self.server = StreamServer(("127.0.0.1", self.server.server_port), self.serve)
             self.server.start()
--- a/harrieryoke/lab/ledger.py
+++ b/harrieryoke/lab/ledger.py
@@ -1,8 +1,8 @@
-"""The experiment `ledger`: invokers under load, killed at random, and a collector that fails.
+"""The experiment `ledger`: invokers under load are killed at random, and the collector fails.
 
-Clients count what they were answered, call by call; the collector counts what it was sent. The report
-compares both: an answer without an entry is `missing`, two entries for one call are `duplicates`. An entry
-whose client heard nothing, since the invoker was killed between the two, is `unheard`.
+Clients record the answer of each call, the collector records the entries it receives. The report compares
+both: an answer without an entry is `missing`, a second entry for one call counts as `duplicates`, and an
+entry whose client received no answer, as the invoker was killed in between, is `unheard`.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
 
 def run_serving(case: str, seed: int, seconds: float, rate: float, folder: Path) -> dict[str, Any]:
-    """One invoker without troubles, with and without its ledger."""
+    """Run one invoker without faults, with or without a ledger."""
     collector = EmulatedCollector(random.Random(seed))
     operator = (
         "" if case.endswith("off") else STORE_CONFIG + LEDGER_CONFIG.format(address=collector.address())
@@ -74,6 +74,7 @@
 
 
 def run_kills(case: str, seed: int, seconds: float, rate: float, folder: Path) -> dict[str, Any]:
+    """Kill and restart several invokers at random, while the collector fails, restarts or is restored."""
     rng, with_store = random.Random(seed), case.endswith("disk")
     collector = EmulatedCollector(random.Random(seed + 1), dict(COLLECTOR_FAULTS))
     operator = (STORE_CONFIG if with_store else "") + LEDGER_CONFIG.format(address=collector.address())
@@ -125,7 +126,7 @@
 
 
 def wait_exported(testbed: Testbed) -> bool:
-    """Whether all that the invoker has is at the collector, within 30 s."""
+    """Wait up to 30 s until all entries are exported. Return whether they were."""
     deadline = now_ms() + 30_000
     while now_ms() < deadline:
         export = testbed.fetch_status("/ledger").get("export")
@@ -136,7 +137,7 @@
 
 
 def compare_with_collector(calls: list[SentCall], collector: EmulatedCollector) -> dict[str, Any]:
-    """The clients' truth against the collector's entries, call by call and in sums by tenant and outcome."""
+    """Compare the answers that clients received with the collector's entries, per call and in total."""
     usage = [e for e in collector.entries() if e.kind == pb.USE]
     by_call = Counter(e.call for e in usage)
     answered = {call.request_id: call for call in calls if call.answers}
@@ -154,11 +155,13 @@
 
 
 def missing_outside_gaps(testbeds: list[Testbed], collector: EmulatedCollector) -> int:
-    """Answers that are missing though no gap that the collector can name covers them: from the last entry
-    that it has of an epoch to the begin of the instance's next one."""
+    """Count answers without an entry that no known gap covers.
+
+    A gap lasts from the last entry of an epoch at the collector to the start of the instance's next epoch.
+    """
     entries = collector.entries()
     known = {e.call for e in entries}
-    missing, wall_offset = 0, wall_ms() - now_ms()  # entries and epochs are on the wall clock
+    missing, wall_offset = 0, wall_ms() - now_ms()  # entries and epochs use the wall clock
     for n, testbed in enumerate(testbeds):
         epochs = sorted({(h.epoch, h.started_ms) for h in collector.hellos if h.instance == f"n{n}"})
         last_entry_at: dict[int, int] = {}
--- a/harrieryoke/lab/plugins.py
+++ b/harrieryoke/lab/plugins.py
@@ -1,4 +1,4 @@
-"""The experiment `plugins`: the same load with none, benign and hostile plug-ins, while hosts fail."""
+"""The experiment `plugins`: the same load with no, benign and hostile plug-ins, while hosts fail."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     "        fail('another version began it')\n"
     "    state_put(r['id'], None)\n"
 )
-# case -> the file's ending and its text; None is no plug-in
+# case -> file extension and source of the plug-in; None: no plug-in
 CASES: dict[str, tuple[str, str] | None] = {
     "none": None,
     "benign-starlark": ("star", "def on_request(r):\n" + BENIGN_BODY),
@@ -82,7 +82,7 @@
 }
 
 
-CALM_CALLS_PER_S = 500.0  # of the calm cases, in which nothing fails and the plug-in sees every call
+CALM_CALLS_PER_S = 500.0  # in the calm cases no host fails and the plug-in sees every call
 
 
 def operator_file(file: str | None, prefix: str = "", tenants: bool = True) -> str:
@@ -93,7 +93,7 @@
 
 
 def run_case(case: str, seed: int, seconds: float, rate: float, folder: Path) -> dict[str, Any]:
-    """One case, audited."""
+    """Run one case and audit it."""
     source, prefix, file = CASES[case], "", None
     if source is not None:
         file = f"lab.{source[0]}"
@@ -101,7 +101,7 @@
     if case == "swapped-200":
         prefix = "[plugins]\ntrial_calls = 3\ntrial_s = 0.05\nwatch_s = 0.05\n"
     calm = case.startswith("calm-")
-    warm_up = 5000.0 if calm else 0.0  # by then all that is called often stands loaded
+    warm_up = 5000.0 if calm else 0.0  # by then all frequently called functions are loaded
     rate = CALM_CALLS_PER_S if calm else rate
     testbed = Testbed(
         folder,
@@ -160,7 +160,7 @@
 
 
 def kill_workers(testbed: Testbed, interval_s: float, rng: random.Random) -> None:
-    """SIGKILL to the plug-ins' processes, which are the invoker's only children."""
+    """Send SIGKILL to the plug-in processes, which are the only children of the invoker, again and again."""
     while testbed.process.poll() is None:
         gevent.sleep(interval_s * rng.uniform(0.5, 1.5))
         for pid in child_pids(testbed.process.pid):
@@ -168,7 +168,7 @@
 
 
 def swap_versions(testbed: Testbed, file: Path, times: int) -> dict[str, Any]:
-    """Writes a new version and has it read, over and over, each once the one before serves."""
+    """Install new versions one after the other, each when the previous one serves."""
     served, faults, counted = 0, 0, set[str]()
     for n in range(1, times + 1):
         file.write_text(VERSION.format(n=n))
--- a/harrieryoke/lab/rounds.py
+++ b/harrieryoke/lab/rounds.py
@@ -1,7 +1,7 @@
-"""The experiment `rounds`: what the module actor's rounds cost, in simulated time, without sockets.
+"""The experiment `rounds`: the CPU cost of the module actor's rounds, in simulated time, without sockets.
 
-Calls arrive at random moments and instant hosts answer after their work; the actor's own `step` is called
-for each round as its loop would. What is measured is the processor's time of the rounds alone.
+Calls arrive as a Poisson process and simulated hosts answer after their service time. The actor's `step` is
+called for each round as its loop does; only the CPU time of these calls is measured.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 class CountingFront:
-    """A front that hears its answers and counts them."""
+    """A front that counts answers."""
 
     def __init__(self) -> None:
         self.answers = 0
@@ -60,7 +60,7 @@
 
 
 class EmulatedPort:
-    """An emulated host's mailbox: what is begun ends later, unless it is revoked."""
+    """The mailbox of a simulated host: schedules the result of each task."""
 
     def __init__(self, simulation: RoundSimulation) -> None:
         self.simulation, self.copies = simulation, set[str]()
@@ -89,7 +89,7 @@
 
 
 class RoundSimulation:
-    """One module actor with everything round it in simulated time."""
+    """One module actor with simulated hosts and clients, in simulated time."""
 
     def __init__(self, seed: int, rate: float, work: float = 200.0, hosts: int = 24) -> None:
         self.rng, self.rate, self.service_time, self.now, self.sequence = (
@@ -129,7 +129,7 @@
         )
 
     def run(self, seconds: float) -> float:
-        """Processor seconds that the rounds took."""
+        """Run for that simulated time; return the CPU seconds of the rounds."""
         until, next_call, cpu_seconds = self.now + seconds * 1000, self.now, 0.0
         while self.now < until:
             wake = min(
--- a/harrieryoke/lab/storage.py
+++ b/harrieryoke/lab/storage.py
@@ -1,4 +1,4 @@
-"""The store alone: appends with group commit beside sqlite3, recovery, seeks against a scan."""
+"""Benchmarks of the store: appends with group commit against sqlite3, recovery, and seeks against a scan."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from ..store.settings import StoreSettings
 from ..store.store import Store, StoreReader
 
-GROUP_RECORDS = 100  # records that wait for one sync, as at some thousand calls a second
+GROUP_RECORDS = 100  # records per sync, as at some thousand calls per second
 RECOVERY_RECORDS = 1_000_000
-ENTRY_BYTES = 115  # of an entry on its way to the collector
+ENTRY_BYTES = 115  # size of an entry on the wire to the collector
 
 
 def measure_append(folder: Path, count: int, payload: bytes) -> float:
-    """Entries a second, each group durable before the next."""
+    """Return entries per second; each group is durable before the next one."""
     store = Store(DiskDirectory(str(folder)), StoreSettings(str(folder)), 0.0)
     begin_at = time.perf_counter()
     for n in range(count):
@@ -33,7 +33,7 @@
 
 
 def measure_sqlite_append(path: Path, count: int, payload: bytes) -> float:
-    """The same by sqlite3 in WAL mode with full syncs, a transaction a group."""
+    """Return the same for sqlite3 in WAL mode with full syncs and one transaction per group."""
     database = sqlite3.connect(path, isolation_level=None)
     database.execute("pragma journal_mode = wal")
     database.execute("pragma synchronous = full")
@@ -55,8 +55,7 @@
 
 
 def measure_reconcile(seed: int, size: int, differ: int) -> dict[str, Any]:
-    """Bytes of all messages until both sides know what differs, against the ids of all and the entries of
-    all."""
+    """Return the bytes that reconciliation transfers, beside the bytes of all ids and of all entries."""
     rng = random.Random(seed)
     common = {rng.getrandbits(64) for _ in range(size)}
     sqlite_rate = set(rng.sample(sorted(common), size - differ))
@@ -104,7 +103,7 @@
     for seq in sequence_numbers:
         assert next(reader.records_from_seq(seq)).seq == seq
     by_seq = (time.perf_counter() - begin_at) / len(sequence_numbers)
-    assert not list(reader.records_with_key(b"none"))  # sorts the tables, once
+    assert not list(reader.records_with_key(b"none"))  # the first lookup by key sorts the tables
     begin_at = time.perf_counter()
     for seq in sequence_numbers:
         assert next(reader.records_with_key(b"%x" % (seq - 1))).seq == seq
--- a/harrieryoke/lab/structures.py
+++ b/harrieryoke/lab/structures.py
@@ -1,4 +1,4 @@
-"""The door's data structures alone: speed against plain ones, and memory over a million ids."""
+"""Benchmarks of the door's data structures: speed against simple ones, and memory over a million ids."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def operations_per_s(step: Callable[[int], object], ops: int = OPS) -> int:
-    """Operations a second of this process's own time; the best of three."""
+    """Return operations per second of CPU time, best of three runs."""
     best = 0.0
     for _ in range(3):
         begin = time.process_time()
@@ -28,7 +28,7 @@
 
 
 def measure_schedulers(rng: random.Random) -> dict[str, int]:
-    """One add and one take with 1000 waiting: fair queues, a FIFO, a heap by worth."""
+    """Measure one add and one removal with 1000 waiting calls: fair queue, FIFO, and heap by value."""
     shares = {t.name: t.share for t in TENANTS}
     names, clients = [rng.choices(list(shares), list(shares.values()))[0] for _ in range(997)], 50
     queue, fifo = FairQueue(shares, 10 * WAITING, 1), deque[QueuedCall]()
@@ -64,8 +64,10 @@
 
 
 def measure_timers(rng: random.Random) -> dict[str, int]:
-    """Schedule one, cancel one, ask for the next time and for what is due, with 1000 waiting: the wheel, a
-    heap that must be built anew for a cancel, and a plain dict that is scanned."""
+    """Measure timers with 1000 pending: schedule one, cancel one, query the next time and the expired ones.
+
+    Compares the timing wheel, a heap that is rebuilt for a cancellation, and a dict that is scanned.
+    """
     delays = [rng.uniform(500, 4000) for _ in range(997)]
     wheel, plain, heap = TimingWheel[int](), dict[int, float](), list[tuple[float, int]]()
     for n in range(WAITING):
@@ -103,7 +105,7 @@
 
 
 def memory_by_quarter(pid: int) -> list[float]:
-    """Resident MB of this process after each quarter of a million ids, each with one call."""
+    """Return the resident MB of this process after each quarter of a million ids with one call each."""
     queue, samples = FairQueue({t.name: t.share for t in TENANTS}, 1000, 7), list[float]()
     for n in range(IDS):
         queue.add(QueuedCall(n, TENANTS[n % 5].name, f"id-{n:x}", 1.0, 1.0, 1e9), n * 3.6)
--- a/harrieryoke/lab/world.py
+++ b/harrieryoke/lab/world.py
@@ -1,4 +1,4 @@
-"""One real invoker in its own process, emulated hosts, bus and clients round it, and a day of troubles."""
+"""A testbed: one real invoker in its own process, emulated hosts, bus and clients, and fault injection."""
 
 from __future__ import annotations
 
@@ -80,14 +80,17 @@
 
 
 class SteppedClock:
-    """The invoker's Unix clock, which can be made to step. The process starts with a module of ours that adds
-    what stands in a file of eight bytes to each reading of `time.time`."""
+    """Steps the wall clock of the invoker.
+
+    The process loads a `sitecustomize` module that adds an offset, read from a mapped file of eight bytes, to
+    each reading of `time.time`.
+    """
 
     SITECUSTOMIZE = """import mmap, os, struct, time
-with open(os.environ["LAB_CLOCK"], "r+b") as told:
-    shift = mmap.mmap(told.fileno(), 8)
+with open(os.environ["LAB_CLOCK"], "r+b") as file:
+    offset = mmap.mmap(file.fileno(), 8)
 real, read = time.time, struct.Struct("d").unpack_from
-time.time = lambda: real() + read(shift)[0]
+time.time = lambda: real() + read(offset)[0]
 """
 
     def __init__(self, folder: Path) -> None:
@@ -100,24 +103,26 @@
         return {"PYTHONPATH": str(self.folder), "LAB_CLOCK": str(self.file)}
 
     def step(self, seconds: float) -> None:
-        """From now on the invoker reads the clock so many seconds late or early."""
+        """Set the offset of the invoker's wall clock."""
         with open(self.file, "r+b" if self.file.exists() else "w+b") as file:
             file.write(struct.pack("d", seconds))
 
 
 def free_port() -> int:
-    """Below those that the system gives to whoever dials (from 32768 on): guards against another's socket at
-    it while its invoker is down."""
+    """Return a free port below the ephemeral range (from 32768 on).
+
+    An outgoing connection could otherwise take the port while its invoker is down.
+    """
     while True:
         try:
             with socket.create_server(("", random.randrange(10_000, 32_000))) as sock:
                 return int(sock.getsockname()[1])
         except OSError:
-            continue  # taken
+            continue  # in use
 
 
 class Testbed:
-    """Everything of one run. `close` ends the invoker and all that this started."""
+    """All parts of one run. `close` stops the invoker and everything else that was started."""
 
     def __init__(
         self,
@@ -177,7 +182,7 @@
         )
 
     def kill(self) -> float:
-        """SIGKILL, and the same invoker again; how long until it takes connections, in ms."""
+        """Kill and restart the invoker; return the milliseconds until it accepts connections."""
         self.process.kill()
         self.process.wait()
         begin = now_ms()
@@ -186,7 +191,7 @@
         return now_ms() - begin
 
     def new_host(self) -> EmulatedHost:
-        """A new one, in each hall in turn."""
+        """Create a host; the zones alternate."""
         self.host_count += 1
         return EmulatedHost(
             f"mh-{self.rng.getrandbits(24):06x}",
@@ -208,10 +213,10 @@
                 gevent.sleep(0.02)
         raise RuntimeError(f"the invoker did not start: {(self.folder / 'log').read_text()[-2000:]}")
 
-    # --- troubles ---
+    # --- faults ---
 
     def inject_faults(self, interval_s: float) -> None:
-        """Drains with a new host for the old one, cold restarts and resets, in turn, until it is killed."""
+        """Drain, restart and reset hosts in turn, until the greenlet is killed."""
         turn = 0
         while True:
             gevent.sleep(interval_s)
@@ -221,7 +226,7 @@
             turn += 1
 
     def drain(self, host: EmulatedHost) -> None:
-        """It drains, goes, and another stands in for it."""
+        """Drain and stop a host; a new one replaces it."""
         host.state = "leaving"
         replacement = self.new_host()
         replacement.started_at = wall_ms()
@@ -245,7 +250,7 @@
         host.reset_connections()
 
     def stop_all_hosts(self, seconds: float) -> None:
-        """All hosts are gone for so long and come back at their addresses, cold."""
+        """Stop all hosts for that time; they restart at their addresses, cold."""
         for host in self.hosts:
             host.stop()
         gevent.sleep(seconds)
@@ -254,7 +259,7 @@
         self.bus.publish(self.hosts)
 
     def step_clock(self, pause: float) -> None:
-        """The invoker's clock steps by 5 s forth and back, and back and forth."""
+        """Step the wall clock of the invoker 5 s forward, back, backward and forward again."""
         for shift in (5.0, 0.0, -5.0, 0.0):
             gevent.sleep(pause)
             self.clock.step(shift)
@@ -277,12 +282,12 @@
             self.resident_samples.append(resident_mb(self.process.pid))
 
     def cpu_seconds(self) -> float:
-        """Seconds of the invoker and of its children so far, ended ones included."""
+        """Return the CPU seconds of the invoker and its children so far, including ended children."""
         pids = [self.process.pid, *child_pids(self.process.pid)]
         return sum(process_cpu_seconds(pid) for pid in pids)
 
     def fetch_status(self, path: str = "/plugins") -> dict[str, Any]:
-        """What the invoker says of its plug-ins, or of its door."""
+        """Return the status of a part of the invoker, by default its plug-ins; empty without an answer."""
         import http.client
 
         connection = http.client.HTTPConnection(self.ops, timeout=5)
@@ -312,7 +317,7 @@
         )
 
     def latency(self, share: float, warm_up: float = 0.0) -> float:
-        """Of the answers, in ms, of the calls later than so many ms from the first."""
+        """Return a quantile of the latency in ms, for calls sent more than `warm_up` ms after the first."""
         calls = self.load.calls
         latencies = sorted(
             c.answered_at - c.sent_at for c in calls if c.answers and c.sent_at >= calls[0].sent_at + warm_up
@@ -320,7 +325,7 @@
         return round(latencies[int(share * (len(latencies) - 1))], 2) if latencies else 0.0
 
     def close(self) -> int:
-        """SIGTERM, and its exit code."""
+        """Stop the invoker with SIGTERM and return its exit code."""
         self.process.send_signal(signal.SIGTERM)
         try:
             code = self.process.wait(15)
--- a/harrieryoke/structured.py
+++ b/harrieryoke/structured.py
@@ -1,6 +1,6 @@
-"""Structured logging with structlog: JSON for machines, or coloured text for people.
+"""Structured logging with structlog, as JSON or as coloured text.
 
-`log.Log`, which the platform uses, writes the same kinds and texts, and provides the rate limits here too.
+`log.Log`, which the platform uses, writes the same kinds and texts; its rate limits apply here too.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 
 class LogSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """The [log] table of the operator's file."""
+    """The [log] table of the operator configuration file."""
 
     format: str = "json"  # or "console"
 
 
 class StructuredLog(Log):
-    """Writes one event a line: `at` (ISO, UTC), `invoker`, `event` (the kind), `text`, and the fields."""
+    """Writes one event per line: `at` (ISO, UTC), `invoker`, `event` (the kind), `text`, and the fields."""
 
     def __init__(self, name: str, lines_per_s: int, settings: LogSettings) -> None:
         super().__init__(name, lines_per_s)
