--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -74,7 +74,7 @@
         restarted = self.rng.sample(range(len(self.routers)), int(share * len(self.routers)))
         for index in restarted:
             self.routers[index] = self.fresh(index)
-        self.open = [o for o in self.open if o[1] not in restarted]
+        self.pending_answers = [o for o in self.pending_answers if o[1] not in restarted]
 
     def traffic(self, ms: float, calls_a_second: float = CALLS_A_SECOND, function: str = "") -> None:
         """Sends requests at random times, for one function or for all."""
@@ -95,12 +95,14 @@
             self.next_round += TIMER_INTERVAL_MS
             for index, router in enumerate(self.routers):
                 if router.scheduled and router.scheduled[0][0] <= self.now:
-                    self.give(index, TimerFired("agenda"))
+                    self.handle_events(index, TimerFired("agenda"))
 
     def ask(self, index: int, function: str) -> None:
-        self.serial += 1
+        self.last_request += 1
         deadline = self.now + 2000
-        self.give(index, RequestArrived(self.serial, 0, function, deadline, None, None, 400, SLOTS, LOAD_MS))
+        self.handle_events(
+            index, RequestArrived(self.last_request, 0, function, deadline, None, None, 400, SLOTS, LOAD_MS)
+        )
 
     def answer_call(self, index: int, request: int, worker: int) -> None:
         record = self.routers[index].requests[request]
@@ -122,7 +124,7 @@
         self, index: int, request: RequestArrived, worker: int, attempt: int, outcome: Outcome, after: float
     ) -> None:
         done = AttemptEnded(request.request, worker, attempt, outcome, after, outcome is Outcome.TIMEOUT)
-        self.open.append((self.now + after, index, done))
+        self.pending_answers.append((self.now + after, index, done))
 
     def answer_order(self, index: int, action: OrderCopies) -> None:
         if action.worker not in self.refusing | self.unresponsive:
@@ -130,7 +132,7 @@
         outcome = Outcome.NO_CONNECTION if action.worker in self.refusing else Outcome.TIMEOUT
         after = 1.0 if action.worker in self.refusing else MESH_SETTINGS.connect_timeout
         ended = OrderEnded(action.worker, action.function, outcome, 0, after)
-        self.open.append((self.now + after, index, ended))  # type: ignore[arg-type]
+        self.pending_answers.append((self.now + after, index, ended))  # type: ignore[arg-type]
 
     def lose(self, hosts: list[int], refuse: bool) -> None:
         """Makes hosts refuse or become unresponsive; open attempts are reset or stay unanswered."""
@@ -139,7 +141,7 @@
 
     def end_open(self, hosts: list[int], outcome: Outcome | None) -> None:
         kept = []
-        for at, index, event in self.open:
+        for at, index, event in self.pending_answers:
             if event.worker not in hosts:
                 kept.append((at, index, event))
             elif outcome:
@@ -148,7 +150,7 @@
                 else:
                     ended = replace(event, outcome=outcome, copies=0)
                 kept.append((self.now, index, ended))
-        self.open = kept
+        self.pending_answers = kept
 
     def start(self, hosts: list[int], listed: bool = True) -> None:
         """Restarts hosts: their copies are gone and their open attempts are reset."""
@@ -164,11 +166,11 @@
         for host in hosts:
             entry = WorkerEntry(host, zone=host % ZONES, cell=host // 2, started=self.started_at[host])
             self.entries[host] = entry
-        self.tell(WorkersListed(ListScope.CHANGES, tuple(self.entries[host] for host in hosts)))
+        self.broadcast(WorkersListed(ListScope.CHANGES, tuple(self.entries[host] for host in hosts)))
 
     def drain(self, hosts: list[int]) -> None:
         entries = tuple(replace(self.entries.pop(host), status=WorkerStatus.DRAINING) for host in hosts)
-        self.tell(WorkersListed(ListScope.CHANGES, entries))
+        self.broadcast(WorkersListed(ListScope.CHANGES, entries))
         self.closed_hosts.update(hosts)
 
     def cold_sends(self, host: int) -> list[float]:
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -56,9 +56,9 @@
         self.routers = [
             Router(replace(MESH_SETTINGS, front_ends=front_ends), seed) for seed in range(front_ends)
         ]
-        self.tell(WorkersListed(ListScope.REMEMBERED, workers(count)))
+        self.broadcast(WorkersListed(ListScope.REMEMBERED, workers(count)))
 
-    def give(self, index: int, *events: Event) -> None:
+    def handle_events(self, index: int, *events: Event) -> None:
         for event in events:
             if isinstance(event, RequestArrived):
                 self.function_names[event.request] = event.function
@@ -84,12 +84,12 @@
         loaded_at = self.copies.get((worker, self.function_names[request]))
         if loaded_at is None:
             ended = AttemptEnded(request, worker, number, Outcome.MISS, 1.0, False)
-            self.open.append((self.now + 1.0, index, ended))
+            self.pending_answers.append((self.now + 1.0, index, ended))
         else:
             end = max(loaded_at, self.now) + ANSWER_MS
             lookup = CopyLookup.LOADED if loaded_at <= self.now else CopyLookup.WAITED_FOR_LOAD
             ended = AttemptEnded(request, worker, number, Outcome.OK, end - self.now, True, lookup)
-            self.open.append((end, index, ended))
+            self.pending_answers.append((end, index, ended))
 
     def answer_order(self, index: int, order: OrderCopies) -> None:
         assert order.worker not in self.closed_hosts or not order.copies, "ordered at a host that drains"
@@ -110,7 +110,7 @@
         ended = OrderEnded(
             order.worker, order.function, Outcome.OK, int(bool(order.copies)), max(2.0, loaded_at - self.now)
         )
-        self.open.append((max(loaded_at, self.now + 2.0), index, ended))  # type: ignore[arg-type]
+        self.pending_answers.append((max(loaded_at, self.now + 2.0), index, ended))  # type: ignore[arg-type]
 
     def step(self, ms: float) -> None:
         """Advances the clock by `ms`; front ends handle their timers every 5 ms."""
@@ -120,16 +120,16 @@
             self.deliver()
             for index, router in enumerate(self.routers):
                 if router.scheduled and router.scheduled[0][0] <= self.now:
-                    self.give(index, TimerFired("agenda"))
+                    self.handle_events(index, TimerFired("agenda"))
 
     def play(self, ms: float, calls_a_second: float, functions: int) -> None:
         until = self.now + ms
         while self.now < until:
             self.step(1000 / calls_a_second)
-            self.serial += 1
-            index, name = self.serial * 7 % len(self.routers), f"f{self.serial * 5 % functions}"
-            ask = RequestArrived(self.serial, 0, name, self.now + 2000, None, None, 400, SLOTS, LOAD_MS)
-            self.give(index, ask)
+            self.last_request += 1
+            index, name = self.last_request * 7 % len(self.routers), f"f{self.last_request * 5 % functions}"
+            ask = RequestArrived(self.last_request, 0, name, self.now + 2000, None, None, 400, SLOTS, LOAD_MS)
+            self.handle_events(index, ask)
 
 
 @pytest.mark.parametrize("front_ends", [3, 20, 200])
@@ -159,7 +159,7 @@
     mesh = Mesh(front_ends, 6)
     mesh.play(3000, 100, 12)
     leaving = mesh.sends[-1][2]
-    mesh.tell(WorkersListed(ListScope.CHANGES, (WorkerEntry(leaving, status=WorkerStatus.DRAINING),)))
+    mesh.broadcast(WorkersListed(ListScope.CHANGES, (WorkerEntry(leaving, status=WorkerStatus.DRAINING),)))
     mesh.closed_hosts.add(leaving)  # `give` fails at an attempt or order there
     before = len(mesh.sends)
     mesh.play(2000, 100, 12)
@@ -176,7 +176,7 @@
     mesh.play(4000, 100, 61)
     left = tuple(WorkerEntry(n, status=WorkerStatus.DRAINING) for n in range(1, 7))
     new = tuple(WorkerEntry(n, started=mesh.now) for n in range(11, 17))
-    mesh.tell(WorkersListed(ListScope.CHANGES, left + new))
+    mesh.broadcast(WorkersListed(ListScope.CHANGES, left + new))
     mesh.closed_hosts.update(range(1, 7))
     started = mesh.now
     mesh.play(MESH_SETTINGS.cold_period, 100, 61)
@@ -189,7 +189,7 @@
     mesh = Mesh(2, 5)
     grown = (share - MESH_SETTINGS.cold_share) / (1 - MESH_SETTINGS.cold_share)
     entry = WorkerEntry(5, started=mesh.now - grown * MESH_SETTINGS.cold_period)
-    mesh.tell(WorkersListed(ListScope.CHANGES, (entry,)))
+    mesh.broadcast(WorkersListed(ListScope.CHANGES, (entry,)))
     heads = []
     for router in mesh.routers:
         router.now = mesh.now
--- a/tests/test_work_lease.py
+++ b/tests/test_work_lease.py
@@ -50,17 +50,17 @@
         self.late_work: list[tuple[float, int, int]] = []  # attempts and orders after the discovery delay
         super().__init__(front_ends, HOSTS)
         self.routers = [Router(replace(settings, front_ends=front_ends), seed) for seed in range(front_ends)]
-        self.tell(WorkersListed(ListScope.REMEMBERED, workers(HOSTS)))
+        self.broadcast(WorkersListed(ListScope.REMEMBERED, workers(HOSTS)))
 
     def deliver(self) -> None:
         if self.discovery_reachable and self.now >= self.heartbeat_at:
             self.heartbeat_at = self.now + HEARTBEAT_MS
-            self.tell(ListConfirmed(self.now))
+            self.broadcast(ListConfirmed(self.now))
         super().deliver()
 
-    def give(self, index: int, *events: Event) -> None:
+    def handle_events(self, index: int, *events: Event) -> None:
         self.outcomes |= {event.request: event.outcome for event in events if isinstance(event, AttemptEnded)}
-        super().give(index, *events)
+        super().handle_events(index, *events)
 
     def answer(self, index: int, action: Action) -> None:
         if not isinstance(action, Probe):
@@ -71,7 +71,7 @@
         else:
             outcome, after = Outcome.TIMEOUT, PROBING.connect_timeout
         ended = ProbeEnded(action.worker, outcome, after)
-        self.open.append((self.now + after, index, ended))  # type: ignore[arg-type]
+        self.pending_answers.append((self.now + after, index, ended))  # type: ignore[arg-type]
 
     def record_new_work(self, index: int, worker: int) -> None:
         if self.now > self.draining.get(worker, self.now) + DISCOVERY_DELAY:
@@ -82,7 +82,7 @@
         if worker not in self.draining:
             return super().answer_call(index, request, worker)
         number = self.routers[index].requests[request].attempt_count - 1
-        self.open.append(
+        self.pending_answers.append(
             (self.now + 1.0, index, AttemptEnded(request, worker, number, Outcome.FULL, 1.0, False))
         )
 
@@ -93,11 +93,11 @@
         if action.worker not in self.draining or not action.copies or stands:
             return super().answer_order(index, action)
         full = OrderEnded(action.worker, action.function, Outcome.FULL, 0, 1.0)
-        self.open.append((self.now + 1.0, index, full))  # type: ignore[arg-type]
+        self.pending_answers.append((self.now + 1.0, index, full))  # type: ignore[arg-type]
 
     def served(self, since: int) -> float:
         """Share of the requests after number `since` that were answered."""
-        calls = range(since + 1, self.serial - 20)  # the last are still open
+        calls = range(since + 1, self.last_request - 20)  # the last are still open
         return sum(self.outcomes.get(call) is Outcome.OK for call in calls) / len(calls)
 
 
@@ -117,11 +117,11 @@
 ) -> None:
     mesh = OutageMesh(front_ends)
     lose_discovery(mesh, drained)
-    before, asked = mesh.serial, len(mesh.probes)
+    before, asked = mesh.last_request, len(mesh.probes)
     mesh.play(13_000, 100, 12)
     assert mesh.late_work == [] and mesh.served(before) > 0.9
     probes = mesh.probes[asked:]
-    assert len(probes) < mesh.serial - before, "more probes than calls"
+    assert len(probes) < mesh.last_request - before, "more probes than calls"
     bursts = Counter((int(at // 100), worker) for at, _, worker in probes)
     assert max(bursts.values(), default=0) <= 20, "many front ends ask one host at once"
 
@@ -131,9 +131,9 @@
     lose_discovery(mesh, (3,))
     mesh.play(3000, 100, 12)
     mesh.discovery_reachable, mesh.closed_hosts = True, {3}
-    mesh.tell(WorkersListed(ListScope.CHANGES, (WorkerEntry(3, status=WorkerStatus.DRAINING),)))
+    mesh.broadcast(WorkersListed(ListScope.CHANGES, (WorkerEntry(3, status=WorkerStatus.DRAINING),)))
     mesh.play(100, 100, 12)
-    asked, before = len(mesh.probes), mesh.serial
+    asked, before = len(mesh.probes), mesh.last_request
     mesh.play(10_000, 100, 12)
     assert len(mesh.probes) == asked and mesh.served(before) > 0.99
 
