--- a/tests/clients.py
+++ b/tests/clients.py
@@ -1,4 +1,4 @@
-"""A client's connection on loopback with its real actor, and a core that the test plays."""
+"""A client connection on loopback with its real actor and a stub core that the test controls."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from harrieryoke.net.client import ClientActor
 from harrieryoke.net.platform import PlatformFront
 
-TIMEOUT_S = 5.0  # until a step that should succeed at once counts as failed
-LONG_MS = 60000.0  # a write time-out that no test reaches
+TIMEOUT_S = 5.0  # limit of a step that should succeed immediately
+LONG_MS = 60000.0  # a write timeout that no test reaches
 SETTINGS = i.Settings((i.RequestClass("weight-read", 1000, 4000),))
 BODY = b"b" * 16000
 
@@ -38,12 +38,14 @@
 class NullLog(Log):
     """Counts lines by kind and writes none."""
 
-    def write_line(self, *told: object) -> None: ...
+    def write_line(self, *values: object) -> None: ...
 
 
 class Core:
-    """Replaces the module: `offer` waits while the gate is closed; with `answers`, it serves each call at
-    once."""
+    """Replaces the decision module.
+
+    `offer` waits while the gate is closed; with `answers`, each call is served.
+    """
 
     def __init__(self) -> None:
         self.metrics, self.gate, self.answers = Metrics(["weight-read"]), Event(), False
@@ -78,7 +80,7 @@
     with gevent.Timeout(TIMEOUT_S, AssertionError("an answer is missing")):
         while data.count(b"\n") < count:
             received = sock.recv(65536)
-            assert received, f"the connection ended behind {len(data)} bytes"
+            assert received, f"the connection ended after {len(data)} bytes"
             data += received
     for text in data.splitlines():
         answer = json.loads(text)
--- a/tests/faults/__init__.py
+++ b/tests/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults on purpose, for real processes: nothing of this is in the program."""
+"""Fault injection for real processes; used by tests only."""
--- a/tests/faults/fault_shim.c
+++ b/tests/faults/fault_shim.c
@@ -1,8 +1,8 @@
-/* Steps the wall clock of a process and makes its system calls fail, as a test tells it while the process runs.
+/* Steps the wall clock of a process and injects failures of system calls, controlled by a test at run time.
 
-   Loaded with LD_PRELOAD. FAULTS_PLAN names a file with a `struct plan`, in the machine's byte order, which
-   `shim.py` writes and this library maps: what is written there binds at once. Calls fail as Linux documents;
-   a call that is to fail is not made. The monotonic clock, timers and waits are the kernel's own. */
+   Loaded with LD_PRELOAD. FAULTS_PLAN names a file with a `struct plan` in native byte order, which `shim.py`
+   writes and this library maps: changes take effect immediately. Calls fail as documented for Linux; a failed
+   call is not passed to the kernel. The monotonic clock, timers and waits are not modified. */
 
 #define _GNU_SOURCE
 #include <errno.h>
@@ -23,42 +23,42 @@
 #define NANOS 1000000000LL
 #define RULES 16
 #define DESCRIPTORS 65536
-#define SHORT (-1)       /* the call takes or brings only a part */
-#define SHORT_BYTES 16   /* which is that long at most */
+#define SHORT (-1)         /* a partial read or write */
+#define MAX_SHORT_BYTES 16 /* upper limit of its length */
 
-/* The numbers of both enums are those of `Call` and `Peer` in shim.py. */
+/* The numbers of both enums are those of `SystemCall` and `Peer` in shim.py. */
 enum call { ACCEPT = 1, SOCKET, CONNECT, CONNECTED, RECV, SEND, WAIT, DUPLICATE };
 enum peer { ANY, ACCEPTED, DIALLED };
 
 struct rule {
-    int32_t call;      /* 0: there is no such rule */
+    int32_t call;      /* 0: free slot */
     int32_t failure;   /* an errno, or SHORT */
     int32_t peer;
-    uint32_t chance;   /* of 2^32 - 1, which is always */
-    int64_t from, to;  /* nanoseconds since the process began */
-    int64_t left;      /* how often it may strike still */
-    int64_t struck;    /* how often it has */
+    uint32_t chance;   /* probability; 2^32 - 1 is always */
+    int64_t from, to;  /* nanoseconds since the start of the process */
+    int64_t remaining; /* number of failures still allowed */
+    int64_t failures;  /* number of failures so far */
 };
 
 struct plan {
-    int64_t clock_step; /* nanoseconds that are added to each reading of the wall clock */
+    int64_t clock_step; /* nanoseconds, added to each reading of the wall clock */
     uint64_t seed;
     struct rule rules[RULES];
 };
 
 static struct plan *plan;
-static int64_t began;
-static uint64_t drawn;
+static int64_t started_at;
+static uint64_t random_state;
 static uint8_t peers[DESCRIPTORS]; /* `enum peer` of the sockets */
 
-static int64_t monotonic(void)
+static int64_t monotonic_ns(void)
 {
     struct timespec now;
     syscall(SYS_clock_gettime, CLOCK_MONOTONIC, &now);
     return now.tv_sec * NANOS + now.tv_nsec;
 }
 
-__attribute__((constructor)) static void open_plan(void)
+__attribute__((constructor)) static void map_plan(void)
 {
     const char *path = getenv("FAULTS_PLAN");
     if (path == NULL)
@@ -72,35 +72,35 @@
         _exit(2);
     }
     close(fd);
-    began = monotonic();
+    started_at = monotonic_ns();
     plan = mapped;
 }
 
-static uint32_t draw(void) /* splitmix64 */
+static uint32_t next_random(void) /* splitmix64 */
 {
-    uint64_t z = plan->seed + __atomic_add_fetch(&drawn, 0x9e3779b97f4a7c15u, __ATOMIC_RELAXED);
+    uint64_t z = plan->seed + __atomic_add_fetch(&random_state, 0x9e3779b97f4a7c15u, __ATOMIC_RELAXED);
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9u;
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebu;
     return (uint32_t)((z ^ (z >> 31)) >> 32);
 }
 
-/* An errno, which is then set too, SHORT, or 0 where the call goes through. */
-static int failure(enum call call, int fd)
+/* Returns an errno, which is also set, SHORT, or 0 if the call must not fail. */
+static int find_failure(enum call call, int fd)
 {
     if (plan == NULL)
         return 0;
     int peer = fd >= 0 && fd < DESCRIPTORS ? peers[fd] : ANY;
-    int64_t age = monotonic() - began;
+    int64_t age = monotonic_ns() - started_at;
     for (struct rule *rule = plan->rules; rule < plan->rules + RULES; rule++) {
         if (rule->call != (int32_t)call || (rule->peer != ANY && rule->peer != peer))
             continue;
-        if (age < rule->from || age >= rule->to || draw() > rule->chance)
+        if (age < rule->from || age >= rule->to || next_random() > rule->chance)
             continue;
-        if (__atomic_fetch_sub(&rule->left, 1, __ATOMIC_RELAXED) <= 0) {
-            __atomic_fetch_add(&rule->left, 1, __ATOMIC_RELAXED);
+        if (__atomic_fetch_sub(&rule->remaining, 1, __ATOMIC_RELAXED) <= 0) {
+            __atomic_fetch_add(&rule->remaining, 1, __ATOMIC_RELAXED);
             continue;
         }
-        __atomic_fetch_add(&rule->struck, 1, __ATOMIC_RELAXED);
+        __atomic_fetch_add(&rule->failures, 1, __ATOMIC_RELAXED);
         if (rule->failure > 0)
             errno = rule->failure;
         return rule->failure;
@@ -108,18 +108,18 @@
     return 0;
 }
 
-/* Whether the call fails; then errno says how. */
-static int fails(enum call call, int fd)
+/* Returns whether the call must fail; errno is set then. */
+static int must_fail(enum call call, int fd)
 {
-    return failure(call, fd) > 0;
+    return find_failure(call, fd) > 0;
 }
 
-static size_t shortened(size_t size)
+static size_t partial_size(size_t size)
 {
-    return size < 2 ? size : 1 + draw() % (size < SHORT_BYTES ? size : SHORT_BYTES);
+    return size < 2 ? size : 1 + next_random() % (size < MAX_SHORT_BYTES ? size : MAX_SHORT_BYTES);
 }
 
-static void remember(int fd, enum peer peer)
+static void set_peer(int fd, enum peer peer)
 {
     if (fd >= 0 && fd < DESCRIPTORS)
         peers[fd] = peer;
@@ -129,33 +129,33 @@
 
 int socket(int family, int kind, int protocol)
 {
-    if (fails(SOCKET, -1))
+    if (must_fail(SOCKET, -1))
         return -1;
     int fd = (int)syscall(SYS_socket, family, kind, protocol);
-    remember(fd, ANY);
+    set_peer(fd, ANY);
     return fd;
 }
 
 int accept4(int fd, struct sockaddr *restrict address, socklen_t *restrict length, int flags)
 {
-    if (fails(ACCEPT, fd))
+    if (must_fail(ACCEPT, fd))
         return -1;
     int accepted = (int)syscall(SYS_accept4, fd, address, length, flags);
-    remember(accepted, ACCEPTED);
+    set_peer(accepted, ACCEPTED);
     return accepted;
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length)
 {
-    if (fails(CONNECT, fd))
+    if (must_fail(CONNECT, fd))
         return -1;
-    remember(fd, DIALLED);
+    set_peer(fd, DIALLED);
     return (int)syscall(SYS_connect, fd, address, length);
 }
 
 int getsockopt(int fd, int level, int option, void *restrict value, socklen_t *restrict length)
 {
-    int failed = level == SOL_SOCKET && option == SO_ERROR ? failure(CONNECTED, fd) : 0;
+    int failed = level == SOL_SOCKET && option == SO_ERROR ? find_failure(CONNECTED, fd) : 0;
     if (failed <= 0)
         return (int)syscall(SYS_getsockopt, fd, level, option, value, length);
     *(int *)value = failed;
@@ -164,29 +164,29 @@
 
 ssize_t recv(int fd, void *data, size_t size, int flags)
 {
-    int failed = failure(RECV, fd);
+    int failed = find_failure(RECV, fd);
     if (failed > 0)
         return -1;
-    size = failed == SHORT ? shortened(size) : size;
+    size = failed == SHORT ? partial_size(size) : size;
     return syscall(SYS_recvfrom, fd, data, size, flags, NULL, NULL);
 }
 
 ssize_t send(int fd, const void *data, size_t size, int flags)
 {
-    int failed = failure(SEND, fd);
+    int failed = find_failure(SEND, fd);
     if (failed > 0)
         return -1;
-    size = failed == SHORT ? shortened(size) : size;
+    size = failed == SHORT ? partial_size(size) : size;
     return syscall(SYS_sendto, fd, data, size, flags, NULL, 0);
 }
 
 int fcntl(int fd, int command, ...)
 {
-    va_list given;
-    va_start(given, command);
-    void *argument = va_arg(given, void *);
-    va_end(given);
-    if (command == F_DUPFD_CLOEXEC && fails(DUPLICATE, fd))
+    va_list arguments;
+    va_start(arguments, command);
+    void *argument = va_arg(arguments, void *);
+    va_end(arguments);
+    if (command == F_DUPFD_CLOEXEC && must_fail(DUPLICATE, fd))
         return -1;
     return (int)syscall(SYS_fcntl, fd, command, argument);
 }
@@ -195,19 +195,19 @@
 
 /* --- waits --- */
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout)
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout)
 {
-    if (fails(WAIT, -1))
+    if (must_fail(WAIT, -1))
         return -1;
-    return (int)syscall(SYS_epoll_pwait, fd, events, most, timeout, NULL, 8);
+    return (int)syscall(SYS_epoll_pwait, fd, events, max_events, timeout, NULL, 8);
 }
 
-int poll(struct pollfd *polled, nfds_t count, int timeout)
+int poll(struct pollfd *descriptors, nfds_t count, int timeout)
 {
-    if (fails(WAIT, -1))
+    if (must_fail(WAIT, -1))
         return -1;
-    struct timespec span = {timeout / 1000, timeout % 1000 * 1000000L};
-    return (int)syscall(SYS_ppoll, polled, count, timeout < 0 ? NULL : &span, NULL, 8);
+    struct timespec timeout_spec = {timeout / 1000, timeout % 1000 * 1000000L};
+    return (int)syscall(SYS_ppoll, descriptors, count, timeout < 0 ? NULL : &timeout_spec, NULL, 8);
 }
 
 /* --- the wall clock --- */
--- a/tests/faults/shim.py
+++ b/tests/faults/shim.py
@@ -1,5 +1,7 @@
-"""Faults of the machine below a process of the program: its wall clock is stepped and its system calls fail
-while it runs, by a small C library that is loaded into it (`fault_shim.c`)."""
+"""Injects operating system faults into a running process: steps of the wall clock and failing system calls.
+
+The faults are implemented by a small C library that the process preloads (`fault_shim.c`).
+"""
 
 from __future__ import annotations
 
@@ -15,12 +17,12 @@
 
 SOURCE = Path(__file__).with_name("fault_shim.c")
 NANOS_PER_MS = 1_000_000
-HEAD = struct.Struct("=qQ")  # of a plan: the wall clock's step in nanoseconds, and the seed
-RULE = struct.Struct("=iiiIqqqq")  # call, failure, peer, chance, from, to, left, struck
+HEADER = struct.Struct("=qQ")  # of a plan: the wall clock's offset in nanoseconds, and the seed
+RULE = struct.Struct("=iiiIqqqq")  # call, failure, peer, chance, from, to, remaining, failures
 RULES = 16
-ALWAYS = 0xFFFFFFFF
+CHANCE_ALWAYS = 0xFFFFFFFF
 FOREVER = 1 << 62
-SHORT = -1  # the call takes or brings only a part
+SHORT = -1  # a partial read or write
 
 
 class NoCompilerError(RuntimeError):
@@ -28,16 +30,16 @@
 
 
 class BadPlanError(ValueError):
-    """A fault that the shim does not know, or more of them than a plan holds."""
+    """An unknown fault, or more rules than a plan holds."""
 
 
-class Call(IntEnum):
-    """What may fail; the numbers are those of the C library."""
+class SystemCall(IntEnum):
+    """The system calls that can fail; the numbers are those of the C library."""
 
     ACCEPT = 1
     SOCKET = 2
-    CONNECT = 3  # at once
-    CONNECTED = 4  # later: the error that the socket then holds
+    CONNECT = 3  # fails immediately
+    CONNECTED = 4  # fails later: the pending error of the socket
     RECV = 5
     SEND = 6
     WAIT = 7  # epoll_wait and poll
@@ -45,7 +47,7 @@
 
 
 class Peer(IntEnum):
-    """Which sockets a rule holds for."""
+    """The sockets that a rule applies to."""
 
     ANY = 0
     ACCEPTED = 1
@@ -54,8 +56,10 @@
 
 @cache
 def build_shim(compiler: str = "cc") -> Path:
-    """Compile the shim once for this run of the tests. Raises NoCompilerError, and CalledProcessError where
-    the compiler fails."""
+    """Compile the shim once per test run.
+
+    Raises NoCompilerError, or CalledProcessError if the compiler fails.
+    """
     if shutil.which(compiler) is None:
         raise NoCompilerError(f"no C compiler {compiler!r} on PATH: install one (Debian: gcc and libc6-dev)")
     library = Path(tempfile.mkdtemp(prefix="fault-shim-")) / "fault_shim.so"
@@ -64,8 +68,8 @@
     return library
 
 
-def read_failure(name: str) -> int:
-    """The number of an error by its name, or `short`. Raises BadPlanError."""
+def parse_failure(name: str) -> int:
+    """Return the number of an error name or of `short`. Raises BadPlanError."""
     if name == "short":
         return SHORT
     number = getattr(errno, name, None)
@@ -74,37 +78,37 @@
     return number
 
 
-def read_call(name: str) -> Call:
-    """The call of that name. Raises BadPlanError."""
+def parse_call(name: str) -> SystemCall:
+    """Return the system call of that name. Raises BadPlanError."""
     try:
-        return Call[name.upper()]
+        return SystemCall[name.upper()]
     except KeyError:
-        known = ", ".join(call.name.lower() for call in Call)
+        known = ", ".join(call.name.lower() for call in SystemCall)
         raise BadPlanError(f"no call {name!r}: one of {known} is wanted") from None
 
 
 class FaultShim:
-    """The faults of the processes that are started with `environment`; what is told binds at once."""
+    """Controls the faults of processes started with `environment`; changes take effect immediately."""
 
     def __init__(self, folder: Path, seed: int = 1) -> None:
-        self.ahead_ms = 0.0
+        self.clock_offset_ms = 0.0
         self.file = folder / "faults-plan"
-        self.file.write_bytes(HEAD.pack(0, seed) + bytes(RULES * RULE.size))
+        self.file.write_bytes(HEADER.pack(0, seed) + bytes(RULES * RULE.size))
         with open(self.file, "r+b") as file:
             self.plan = mmap.mmap(file.fileno(), 0)
 
     def environment(self) -> dict[str, str]:
-        """Variables for the process, beside its own. Raises NoCompilerError."""
+        """Return the additional environment variables for the process. Raises NoCompilerError."""
         return {"LD_PRELOAD": str(build_shim()), "FAULTS_PLAN": str(self.file)}
 
     def step_clock(self, ms: float) -> None:
-        """Set the wall clock by this many milliseconds, ahead or, where negative, back."""
-        self.ahead_ms += ms
-        self.plan[:8] = struct.pack("=q", round(self.ahead_ms * NANOS_PER_MS))
+        """Step the wall clock forward by this many milliseconds, or backward if negative."""
+        self.clock_offset_ms += ms
+        self.plan[:8] = struct.pack("=q", round(self.clock_offset_ms * NANOS_PER_MS))
 
     def rules(self) -> list[tuple[int, ...]]:
-        """All places for rules, the free ones too."""
-        return [RULE.unpack_from(self.plan, HEAD.size + n * RULE.size) for n in range(RULES)]
+        """Return all rule slots, including free ones."""
+        return [RULE.unpack_from(self.plan, HEADER.size + n * RULE.size) for n in range(RULES)]
 
     def fail(
         self,
@@ -116,36 +120,41 @@
         from_ms: float = 0.0,
         to_ms: float = FOREVER / NANOS_PER_MS,
     ) -> None:
-        """From now on calls of that name fail, until `clear`. `chance` is a probability, `times` how often it
-        may happen, the times count from the process's begin. Raises BadPlanError."""
-        free = [n for n, rule in enumerate(self.rules()) if rule[0] == 0]
-        if not free:
-            raise BadPlanError(f"a plan holds {RULES} rules: clear it first")
-        number, kind = read_call(call), Peer[peer.upper()]
+        """Let system calls of that name fail until `clear`. Raises BadPlanError.
+
+        `chance` is a probability and `times` the maximum number of failures; `from_ms` and `to_ms` count from
+        the start of the process.
+        """
+        free_slots = [n for n, rule in enumerate(self.rules()) if rule[0] == 0]
+        if not free_slots:
+            raise BadPlanError(f"a plan holds at most {RULES} rules: clear it first")
+        call_number, peer_kind = parse_call(call), Peer[peer.upper()]
         span = (round(from_ms * NANOS_PER_MS), min(FOREVER, round(to_ms * NANOS_PER_MS)))
-        fields = (read_failure(failure), kind, round(chance * ALWAYS), *span, times, 0)
-        place = HEAD.size + free[0] * RULE.size
-        RULE.pack_into(self.plan, place, 0, *fields)
-        struct.pack_into("=i", self.plan, place, number)  # last: a rule binds once it is whole
-
-    def tell(self, words: list[str]) -> None:
+        rule_fields = (parse_failure(failure), peer_kind, round(chance * CHANCE_ALWAYS), *span, times, 0)
+        slot_offset = HEADER.size + free_slots[0] * RULE.size
+        RULE.pack_into(self.plan, slot_offset, 0, *rule_fields)
+        struct.pack_into(
+            "=i", self.plan, slot_offset, call_number
+        )  # last: a rule takes effect once it is complete
+
+    def run_command(self, words: list[str]) -> None:
         """`fail CALL FAILURE [peer=accepted] [chance=0.5] [times=3]`, or `clear`. Raises BadPlanError."""
-        given = dict(word.split("=", 1) for word in words[3:])
+        options = dict(word.split("=", 1) for word in words[3:])
         match words[:3]:
             case ["clear"]:
                 self.clear()
             case ["fail", call, failure]:
-                chance, times = float(given.get("chance", 1)), int(given.get("times", FOREVER))
-                self.fail(call, failure, given.get("peer", "any"), chance, times)
+                chance, times = float(options.get("chance", 1)), int(options.get("times", FOREVER))
+                self.fail(call, failure, options.get("peer", "any"), chance, times)
             case _:
                 raise BadPlanError(f"'fail CALL FAILURE' or 'clear' is wanted, not {' '.join(words)!r}")
 
     def clear(self) -> None:
-        """No call fails any more."""
+        """Remove all rules."""
         for n in range(RULES):
-            RULE.pack_into(self.plan, HEAD.size + n * RULE.size, *[0] * 8)
+            RULE.pack_into(self.plan, HEADER.size + n * RULE.size, *[0] * 8)
 
-    def struck(self, call: str) -> int:
-        """How many calls of that name have failed since the last `clear`."""
-        number = read_call(call)
+    def failure_count(self, call: str) -> int:
+        """Return how many calls of that name have failed since the last `clear`."""
+        number = parse_call(call)
         return sum(rule[-1] for rule in self.rules() if rule[0] == number)
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -285,7 +285,7 @@
             return self.send_config(*words)
         if name in ("clock", "calls"):
             assert self.shim is not None, "the scene was made without a shim"
-            return self.shim.step_clock(float(words[0])) if name == "clock" else self.shim.tell(words)
+            return self.shim.step_clock(float(words[0])) if name == "clock" else self.shim.run_command(words)
         if name not in self.parties and name[0] in "cm":
             host, port = (self.address if name[0] == "c" else self.management).split(":")
             self.parties[name] = Party(sock=socket.create_connection((host, int(port)), TIMEOUT_S))
@@ -492,7 +492,7 @@
     """Return a scene whose invoker started while these calls failed; the test sets further faults."""
     shim = FaultShim(folder)
     for fault in failing:
-        shim.tell(["fail", *fault.split()])
+        shim.run_command(["fail", *fault.split()])
     return ending(Scene(folder, shim=shim, **options))
 
 
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -96,7 +96,7 @@
 
 
 class Kills:
-    """Records the kills, and checks the results of the calls around them."""
+    """Records the kills and checks the results of the calls around them."""
 
     def __init__(self, relays: Relays) -> None:
         gevent.sleep(WARM_UP_S)
@@ -112,27 +112,29 @@
         assert process.poll() == -signal.SIGKILL, f"{where}: {process.poll()}\n{self.relays.log_text()}"
         self.killed_at.append(now_ms())
 
-    def check(self, most: int) -> None:
-        """Check that at most `most` calls were lost for each killed process, and none without one.
+    def check(self, max_lost_per_kill: int) -> None:
+        """Check that at most `max_lost_per_kill` calls were lost per killed process, and none without one.
 
         No call may be answered twice. A connection may be refused only while no process has the listener.
         """
         relays, calls = self.relays, self.relays.load.calls
         assert count_late_sends(relays, relays.hosts[0].name, self.banned_at) == 0, "the ban was forgotten"
         assert "invoker_pool_ejected 1" in relays.send_operation("show-stat")
-        ended, unreachable = relays.audit(), relays.load.unreachable
+        outcomes, unreachable = relays.audit(), relays.load.unreachable
         lost = [c.sent_at for c in calls if not c.answers]
-        summary = f"{ended} {unreachable} of {len(calls)}, kills {self.killed_at}, lost {lost}"
-        assert ended["twice"] == 0, summary
+        summary = f"{outcomes} {unreachable} of {len(calls)}, kills {self.killed_at}, lost {lost}"
+        assert outcomes["twice"] == 0, summary
         for sent in lost:
             assert any(
                 0 <= at - sent < MAX_CALL_MS for at in self.killed_at
             ), f"lost with no process: {summary}"
-        assert len(lost) + unreachable <= most * len(self.killed_at), summary
+        assert len(lost) + unreachable <= max_lost_per_kill * len(self.killed_at), summary
         # before the first kill some calls are refused while no function is loaded
-        since = [c for c in calls if c.sent_at >= self.started_at]
-        served = sum(c.outcome == "served" for c in since)
-        assert since and served > 0.95 * len(since) - len(lost), f"{served} of {len(since)} served; {summary}"
+        calls_since = [c for c in calls if c.sent_at >= self.started_at]
+        served = sum(c.outcome == "served" for c in calls_since)
+        assert calls_since and served > 0.95 * len(calls_since) - len(
+            lost
+        ), f"{served} of {len(calls_since)} served; {summary}"
 
 
 def test_new_process_killed_at_each_point_of_the_handover_loses_only_calls_it_had_accepted(
@@ -149,7 +151,7 @@
     relays.manage, relays.process = address, serving
     load.kill()
     relays.load.settle()
-    kills.check(most=2)
+    kills.check(max_lost_per_kill=2)
     assert relays.load.unreachable == 0
     # the surviving process has counted the orders of the others, or they made none
     assert (
@@ -177,4 +179,4 @@
         gevent.sleep(0.3)
     load.kill()
     relays.load.settle()
-    kills.check(most=24)
+    kills.check(max_lost_per_kill=24)
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -1,4 +1,4 @@
-"""Continuous SIGHUPs with valid and invalid files in turn, under load."""
+"""Configuration reloads by frequent SIGHUPs, with valid and invalid files in turn, under load."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     "settings.obligations: it is missing": set_value(..., "obligations"),
     "settings.classes[1].dedup-scope: Invalid": set_value("instance", "classes", 1, "dedup-scope"),
 }
-STORM = 300
+RELOADS = 300
 
 
 class LoadedScene(Scene):
@@ -55,9 +55,9 @@
 
     def write(self, change: Change) -> None:
         """Replaces the configuration file atomically."""
-        aside = self.folder / "aside"
-        aside.write_text(json.dumps(self.config | {"settings": changed_settings(change)}))
-        aside.replace(self.folder / "config.json")
+        temporary = self.folder / "temporary"
+        temporary.write_text(json.dumps(self.config | {"settings": changed_settings(change)}))
+        temporary.replace(self.folder / "config.json")
 
     def done(self) -> dict[str, int]:
         """Returns the metrics after the last call is answered."""
@@ -73,31 +73,31 @@
             scene.write(change)
             scene.play(f"send node HUP\nwait reload-failed the old configuration stays: {key}")
             assert scene.figures()["invoker_config_rejected"] == n
-        seen = scene.done()
-        assert not scene.wrong and seen['invoker_responses{kind="weight-read",result="ok"}'] == scene.sent
-        assert seen["invoker_config_applied"] == 0
+        metrics = scene.done()
+        assert not scene.wrong and metrics['invoker_responses{kind="weight-read",result="ok"}'] == scene.sent
+        assert metrics["invoker_config_applied"] == 0
     finally:
         scene.end()
 
 
-def test_a_storm_of_reloads_loses_no_call_and_ends_with_the_last_file(tmp_path: Path) -> None:
+def test_frequent_reloads_lose_no_call_and_apply_the_last_file(tmp_path: Path) -> None:
     scene = LoadedScene(tmp_path)
-    broken = list(INVALID_CHANGES.values())
+    invalid_changes = list(INVALID_CHANGES.values())
     try:
-        for n in range(STORM):
-            scene.write(broken[n // 2 % len(broken)] if n % 2 else add_class)
+        for n in range(RELOADS):
+            scene.write(invalid_changes[n // 2 % len(invalid_changes)] if n % 2 else add_class)
             scene.play("send node HUP")
         scene.write(lambda s: s["classes"].append(NEW_CLASS | {"name": "last"}))
         scene.play("send node HUP")
-        until = time.monotonic() + 10
+        deadline = time.monotonic() + 10
         # waits for the metrics, as the log is rate-limited
         while 'invoker_tries{kind="last"}' not in scene.figures():
-            assert time.monotonic() < until, "the last file never came into force"
-        seen = scene.done()
-        assert not scene.wrong and seen['invoker_responses{kind="weight-read",result="ok"}'] == scene.sent
+            assert time.monotonic() < deadline, "the last file was never applied"
+        metrics = scene.done()
+        assert not scene.wrong and metrics['invoker_responses{kind="weight-read",result="ok"}'] == scene.sent
         # signals that arrive before the last one is handled are merged
-        taken = seen["invoker_config_applied"] + seen["invoker_config_rejected"]
-        assert 2 <= taken <= STORM + 1 and scene.sent > 8
+        handled = metrics["invoker_config_applied"] + metrics["invoker_config_rejected"]
+        assert 2 <= handled <= RELOADS + 1 and scene.sent > 8
         scene.play("send c1 call 200000 last\nexpect c1 200000 result y")
         scene.play("send node TERM\nexpect node exit 0")
     finally:
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -67,7 +67,7 @@
 def test_host_that_is_reachable_at_the_next_attempt_is_not_excluded(failing: str, tmp_path: Path) -> None:
     with invoker(tmp_path) as scene:
         scene.play(f'expect bus "from 1"\nsend calls fail {failing} times=1\n{served_request(1)}')
-        assert scene.shim is not None and scene.shim.struck(failing.split()[0]) == 1
+        assert scene.shim is not None and scene.shim.failure_count(failing.split()[0]) == 1
         assert "hosts-out" not in scene.log()
 
 
@@ -89,7 +89,7 @@
         time.sleep(FAILURE_S)
         scene.play(served_request(3))
         assert (
-            scene.shim is not None and scene.shim.struck("accept") < 20
+            scene.shim is not None and scene.shim.failure_count("accept") < 20
         ), "accept is retried without a delay"
         scene.play(
             "send calls clear\nexpect h1 request body=late\nsend h1 ok n=w body=x\nexpect c2 2 result x"
@@ -181,7 +181,7 @@
 )
 def test_shim_rejects_an_unknown_plan(plan: str, error: str, tmp_path: Path) -> None:
     with pytest.raises(BadPlanError, match=error):
-        FaultShim(tmp_path).tell(plan.split())
+        FaultShim(tmp_path).run_command(plan.split())
 
 
 def test_process_reports_an_unreadable_plan(tmp_path: Path) -> None:
