--- a/harrieryoke/lab/clients.py
+++ b/harrieryoke/lab/clients.py
@@ -34,7 +34,7 @@
 
 
 class Connection:
-    """One client connection with pending calls.
+    """One client connection with up to 32 pending calls.
 
     With `close_when_answered` it closes as soon as no call is pending.
     """
@@ -152,7 +152,7 @@
         tenant = self.rng.choices(self.tenants, [t.share for t in self.tenants])[0]
         rank = min(int(self.rng.paretovariate(1.0)), tenant.functions) - 1
         keyed = self.rng.random() < 0.21
-        kind, max_budget = ("sample-write", 3000.0) if keyed else ("sample-read", 4000.0)
+        class_name, max_budget = ("sample-write", 3000.0) if keyed else ("sample-read", 4000.0)
         tenant_number = self.tenants.index(tenant) + 1
         source = (
             f"127.0.{tenant_number}.{1 + self.rng.randrange(tenant.source_addresses)}"
@@ -162,11 +162,11 @@
         if self.away_until.get(source, 0.0) > now_ms():
             self.withheld += 1
             return
-        function = function_id(tenant.name, kind, rank)
+        function = function_id(tenant.name, class_name, rank)
         call = SentCall(
             f"{self.rng.getrandbits(64):016x}",
             tenant.name,
-            kind,
+            class_name,
             now_ms(),
             max_budget * self.rng.uniform(0.5, 1.0),
         )
@@ -237,6 +237,7 @@
         return min(available, key=lambda c: len(c.pending))
 
 
-def function_id(tenant: str, kind: str, rank: int) -> str:
+def function_id(tenant: str, class_name: str, rank: int) -> str:
     """Return the id of a function; it is the same in every run."""
-    return f"{sum(ord(c) << (3 * n) for n, c in enumerate(tenant)) & 0xFFFFFFFF:08x}{len(kind):04x}{rank:04x}"
+    tenant_hash = sum(ord(c) << (3 * n) for n, c in enumerate(tenant)) & 0xFFFFFFFF
+    return f"{tenant_hash:08x}{len(class_name):04x}{rank:04x}"
--- a/harrieryoke/lab/door.py
+++ b/harrieryoke/lab/door.py
@@ -12,7 +12,7 @@
 from . import audit, structures
 from .clients import SentCall, Tenant
 from .hosts import HostSettings
-from .world import TENANTS, Testbed
+from .world import TENANTS, InvokerTestbed
 
 FLOODING_TENANT = "tenant-a"
 FLOOD_FACTOR = 10.0  # multiplies the load of the flooding tenant
@@ -32,7 +32,7 @@
 }
 CLIENTS_PER_TENANT = 40  # client addresses per tenant
 HERD_CLIENTS = 5000
-MAX_BACKOFF_MS = 20_000.0  # above any retry delay that the door computes, so that none is cut
+MAX_RETRY_AFTER_MS = 20_000.0  # above any retry delay that the door computes, so that none is cut
 HOSTS, CORES, SERVICE_MS = 4, 4, 60.0  # together they serve 266 calls per second
 HOST_SETTINGS = HostSettings(service_time=SERVICE_MS, load_time=300.0, cores=CORES)
 
@@ -59,7 +59,7 @@
     tenants = select_tenants(flood)
     for tenant in tenants:
         tenant.share *= 3.0 if two_floods and tenant.name == "tenant-b" else 1.0
-    testbed = Testbed(
+    testbed = InvokerTestbed(
         folder,
         seed,
         rate * sum(t.share for t in tenants),
@@ -67,7 +67,7 @@
         HOSTS,
         tenants,
         HOST_SETTINGS,
-        3 * MAX_BACKOFF_MS if with_herd else MAX_BACKOFF_MS,
+        3 * MAX_RETRY_AFTER_MS if with_herd else MAX_RETRY_AFTER_MS,
         8192 if with_herd else 1024,
     )
     testbed.load.impatient = case.endswith("-hasty")
--- a/harrieryoke/lab/fleet.py
+++ b/harrieryoke/lab/fleet.py
@@ -67,22 +67,22 @@
     healthy = healthy and fleet.wait_healthy()
     fleet.enable_proposals(False)
     deadline = boot_ms() + 10 * LEASE_MS
-    while checks.incomplete_members(fleet.watch.applied, fleet.names) and boot_ms() < deadline:
+    while checks.incomplete_members(fleet.observer.applied, fleet.names) and boot_ms() < deadline:
         gevent.sleep(0.5)
-    acts, writes = list(fleet.watch.acts), fleet.watch.writes + collector.writes
-    applied = [event for event in fleet.watch.applied if isinstance(event, checks.Applied)]
-    loaded_states = [event for event in fleet.watch.applied if isinstance(event, checks.SnapshotLoaded)]
+    acts, writes = list(fleet.observer.acts), fleet.observer.writes + collector.writes
+    applied = [event for event in fleet.observer.applied if isinstance(event, checks.Applied)]
+    loaded_states = [event for event in fleet.observer.applied if isinstance(event, checks.SnapshotLoaded)]
     exit_codes = fleet.close()
     collector.stop()
     calls = [call for m in members for call in m.load.calls]
     answered_calls = [call for call in calls if not call.connection_lost]
     answers = audit.answer_counts(answered_calls)
-    copies = list(fleet.watch.state_copies)
+    copies = list(fleet.observer.state_copies)
     findings = {
         "two_holders": checks.two_holders(acts) + checks.two_holders(reported_acts(fleet)),
         "stale_acts_taken": checks.stale_writes_admitted(writes),
         "agreed_lost": checks.lost_commits(applied, copies, loaded_states)
-        + checks.incomplete_members(fleet.watch.applied, fleet.names),
+        + checks.incomplete_members(fleet.observer.applied, fleet.names),
         "two_leaders": checks.two_leaders(reported_leaders(fleet)),
         "others": fleet.findings,
     }
--- a/harrieryoke/lab/fleet_checks.py
+++ b/harrieryoke/lab/fleet_checks.py
@@ -111,12 +111,8 @@
     """
     violations: dict[tuple[str, int], str] = {}
     for duty, duty_acts in group_by_duty(acts).items():
-        ended, ended_count, newest, owners = (
-            sorted(duty_acts, key=lambda a: a.end),
-            0,
-            duty_acts[0],
-            dict[int, Act](),
-        )
+        ended, ended_count = sorted(duty_acts, key=lambda a: a.end), 0
+        newest, owners = duty_acts[0], dict[int, Act]()
         newest = newest._replace(token=0)
         for act in sorted(duty_acts, key=lambda a: a.begin):
             while ended[ended_count].end < act.begin:
--- a/harrieryoke/lab/fleet_faults.py
+++ b/harrieryoke/lab/fleet_faults.py
@@ -30,11 +30,8 @@
     "all": 1,  # all members are killed at once
     "clock": 1,  # the wall clock steps
 }
-EXCLUSIVE_FAULTS = {
-    "lost",
-    "replace",
-    "all",
-}  # together with another fault they may destroy the disks of a majority
+# together with another fault they may destroy the disks of a majority
+EXCLUSIVE_FAULTS = {"lost", "replace", "all"}
 TWO_FAULTS_PROBABILITY = 0.2  # share of rounds with two faults at a time
 
 
@@ -90,7 +87,7 @@
 
     def find_target(self, planned: PlannedFault) -> Member:
         candidates = {
-            "holder": self.fleet.watch.holders.get(planned.duty, ("", 0.0))[0],
+            "holder": self.fleet.observer.holders.get(planned.duty, ("", 0.0))[0],
             "leader": self.fleet.leader(),
         }
         wanted = candidates.get(planned.target, "")
@@ -109,7 +106,7 @@
         injected = InjectedFault(planned.kind, member.name, began_at, boot_ms(), bool(stops_member))
         member.write_note(f"fault {planned.kind} is over")
         names = self.fleet.names if planned.kind == "all" else [member.name]
-        self.fleet.faults += [injected._replace(member=candidates) for candidates in names]
+        self.fleet.faults += [injected._replace(member=name) for name in names]
         self.faulty_members.discard(member.name)
 
     # Each method is a fault kind. It returns whether the duties of the member had to move to another member,
--- a/harrieryoke/lab/fleet_world.py
+++ b/harrieryoke/lab/fleet_world.py
@@ -21,7 +21,7 @@
 from .collector import EmulatedCollector
 from .fleet_proxy import LinkProxy
 from .fleet_watch import Observer
-from .world import ROOT, Testbed, free_port
+from .world import ROOT, InvokerTestbed, free_port
 
 LEASE_MS = 1000.0
 DUTIES = [f"lab-{n}" for n in range(6)]
@@ -73,7 +73,7 @@
     status: dict[str, Any]
 
 
-class Member(Testbed):
+class Member(InvokerTestbed):
     """One invoker with its own hosts and clients.
 
     Its log goes through a pipe, as the invoker cannot write files while its disk is full.
@@ -95,7 +95,7 @@
                 "-m",
                 "harrieryoke.lab.fleet_watch",
                 operator,
-                str(self.fleet.watch.path),
+                str(self.fleet.observer.path),
                 ",".join(DUTIES),
                 str(self.seed),
             ],
@@ -194,7 +194,7 @@
         self.names = [f"inv-{n + 1}" for n in range(members)]
         self.voters = self.names[:voters]
         self.collector = collector
-        self.watch = Observer(folder / "watch")
+        self.observer = Observer(folder / "watch")
         self.faults: list[checks.InjectedFault] = []
         hosts = {name: f"127.0.1.{n + 1}" for n, name in enumerate(self.names)}
         self.member_addresses = {name: (hosts[name], free_port()) for name in self.names}
@@ -276,7 +276,7 @@
         unheld = [
             duty
             for duty in DUTIES
-            if now - self.watch.holders.get(duty, ("", 0.0))[1] > 2 * checks.RECENT_ACT_MS
+            if now - self.observer.holders.get(duty, ("", 0.0))[1] > 2 * checks.RECENT_ACT_MS
         ]
         return f"no member holds {unheld}" if unheld else ""
 
@@ -299,14 +299,14 @@
 
     def enable_proposals(self, enabled: bool) -> None:
         """Let the agents propose entries from now on, or stop them."""
-        proposals_flag = self.watch.path.with_name("go")
+        proposals_flag = self.observer.path.with_name("go")
         proposals_flag.touch() if enabled else proposals_flag.unlink()
 
     def close(self) -> list[int]:
         codes = [member.close() for member in self.members.values()]
         for greenlet in self.greenlets:
             greenlet.kill()
-        self.watch.stop()
+        self.observer.stop()
         for proxy in self.proxies.values():
             proxy.stop()
         return codes
--- a/harrieryoke/lab/ledger.py
+++ b/harrieryoke/lab/ledger.py
@@ -19,7 +19,7 @@
 from . import audit, storage
 from .clients import SentCall
 from .collector import EmulatedCollector
-from .world import Testbed
+from .world import InvokerTestbed
 
 COLLECTOR_FAULTS = {"lose": 0.08, "drop": 0.08, "twice": 0.05, "slow": 0.1, "refuse": 0.05}
 LEDGER_CONFIG = """
@@ -58,7 +58,7 @@
     operator = (
         "" if case.endswith("off") else STORE_CONFIG + LEDGER_CONFIG.format(address=collector.address())
     )
-    testbed = Testbed(folder, seed, rate, operator)
+    testbed = InvokerTestbed(folder, seed, rate, operator)
     testbed.run(seconds, 0.0)
     status = testbed.fetch_status("/ledger")
     figures = testbed.figures() | {
@@ -78,10 +78,12 @@
     rng, with_store = random.Random(seed), case.endswith("disk")
     collector = EmulatedCollector(random.Random(seed + 1), dict(COLLECTOR_FAULTS))
     operator = (STORE_CONFIG if with_store else "") + LEDGER_CONFIG.format(address=collector.address())
-    testbeds: list[Testbed] = []
+    testbeds: list[InvokerTestbed] = []
     for n in range(INVOKERS):
         (folder / f"n{n}").mkdir()
-        testbeds.append(Testbed(folder / f"n{n}", seed + n, rate / INVOKERS, operator, 3, name=f"n{n}"))
+        testbeds.append(
+            InvokerTestbed(folder / f"n{n}", seed + n, rate / INVOKERS, operator, 3, name=f"n{n}")
+        )
     recovery_times, stop_at = list[float](), now_ms() + seconds * 1000
 
     def inject_faults() -> None:
@@ -125,7 +127,7 @@
     return figures
 
 
-def wait_exported(testbed: Testbed) -> bool:
+def wait_exported(testbed: InvokerTestbed) -> bool:
     """Wait up to 30 s until all entries are exported. Return whether they were."""
     deadline = now_ms() + 30_000
     while now_ms() < deadline:
@@ -154,7 +156,7 @@
     }
 
 
-def missing_outside_gaps(testbeds: list[Testbed], collector: EmulatedCollector) -> int:
+def missing_outside_gaps(testbeds: list[InvokerTestbed], collector: EmulatedCollector) -> int:
     """Count answers without an entry that no known gap covers.
 
     A gap lasts from the last entry of an epoch at the collector to the start of the instance's next epoch.
--- a/harrieryoke/lab/plugins.py
+++ b/harrieryoke/lab/plugins.py
@@ -13,7 +13,7 @@
 
 from . import audit
 from .hosts import HostSettings
-from .world import Testbed, child_pids
+from .world import InvokerTestbed, child_pids
 
 BOUND_TENANT = "tenant-b"  # the tenant whose calls the plug-ins see
 LOOP_BODY = "    for i in range(1000000000):\n        for j in range(1000000000):\n            pass\n"
@@ -103,7 +103,7 @@
     calm = case.startswith("calm-")
     warm_up = 5000.0 if calm else 0.0  # by then all frequently called functions are loaded
     rate = CALM_CALLS_PER_S if calm else rate
-    testbed = Testbed(
+    testbed = InvokerTestbed(
         folder,
         seed,
         rate,
@@ -159,7 +159,7 @@
     return {name: sum(c.get(name, 0) for c in counts) for name in sorted(names)}
 
 
-def kill_workers(testbed: Testbed, interval_s: float, rng: random.Random) -> None:
+def kill_workers(testbed: InvokerTestbed, interval_s: float, rng: random.Random) -> None:
     """Send SIGKILL to the plug-in processes, which are the only children of the invoker, again and again."""
     while testbed.process.poll() is None:
         gevent.sleep(interval_s * rng.uniform(0.5, 1.5))
@@ -167,7 +167,7 @@
             os.kill(pid, signal.SIGKILL)
 
 
-def swap_versions(testbed: Testbed, file: Path, times: int) -> dict[str, Any]:
+def swap_versions(testbed: InvokerTestbed, file: Path, times: int) -> dict[str, Any]:
     """Install new versions one after the other, each when the previous one serves."""
     served, faults, counted = 0, 0, set[str]()
     for n in range(1, times + 1):
--- a/harrieryoke/lab/rounds.py
+++ b/harrieryoke/lab/rounds.py
@@ -91,14 +91,9 @@
 class RoundSimulation:
     """One module actor with simulated hosts and clients, in simulated time."""
 
-    def __init__(self, seed: int, rate: float, work: float = 200.0, hosts: int = 24) -> None:
-        self.rng, self.rate, self.service_time, self.now, self.sequence = (
-            random.Random(seed),
-            rate,
-            work,
-            START_MS,
-            0,
-        )
+    def __init__(self, seed: int, rate: float, service_time: float = 200.0, hosts: int = 24) -> None:
+        self.rng, self.rate, self.service_time = random.Random(seed), rate, service_time
+        self.now, self.sequence = START_MS, 0
         self.pending_ends: list[tuple[float, int, TaskEnded]] = []
         self.actor = ModuleActor(SETTINGS, seed, Limits(), Log(), lambda: self.now)
         entries = tuple(i.WorkerEntry(n, cell=n // 2) for n in range(hosts))
--- a/harrieryoke/lab/world.py
+++ b/harrieryoke/lab/world.py
@@ -121,7 +121,7 @@
             continue  # in use
 
 
-class Testbed:
+class InvokerTestbed:
     """All parts of one run. `close` stops the invoker and everything else that was started."""
 
     def __init__(
@@ -133,7 +133,7 @@
         hosts: int = 8,
         tenants: list[Tenant] | None = None,
         host_settings: HostSettings | None = None,
-        max_backoff: float = 500.0,
+        max_retry_after: float = 500.0,
         max_sockets: int = 1024,
         name: str = "lab",
     ) -> None:
@@ -153,7 +153,7 @@
             "limits": {"memory_mb": 1024, "sockets": max_sockets},
             "bus": self.bus.address(),
             "known": initial_events,
-            "settings": SETTINGS | {"ceilings": SETTINGS["ceilings"] | {"max-retry-after": max_backoff}},
+            "settings": SETTINGS | {"ceilings": SETTINGS["ceilings"] | {"max-retry-after": max_retry_after}},
         }
         (folder / "config.json").write_bytes(msgspec.json.encode(config))
         (folder / "operator.toml").write_text(operator + f'\n[ops]\nlisten = "{self.ops}"\n')
@@ -233,14 +233,14 @@
         self.hosts.append(replacement)
         self.bus.publish([host, replacement])
 
-        def leave() -> None:
+        def finish() -> None:
             gevent.sleep(3.0)
             host.state = "left"
             self.bus.publish([host])
             gevent.sleep(1.0)
             host.stop()
 
-        gevent.spawn(leave)
+        gevent.spawn(finish)
 
     def restart(self, host: EmulatedHost) -> None:
         host.restart()
--- a/tests/faults/shim.py
+++ b/tests/faults/shim.py
@@ -74,7 +74,7 @@
         return SHORT
     number = getattr(errno, name, None)
     if not isinstance(number, int):
-        raise BadPlanError(f"no error {name!r}: one of errno's names is wanted, or 'short'")
+        raise BadPlanError(f"unknown error {name!r}: expected a name of errno, or 'short'")
     return number
 
 
@@ -84,7 +84,7 @@
         return SystemCall[name.upper()]
     except KeyError:
         known = ", ".join(call.name.lower() for call in SystemCall)
-        raise BadPlanError(f"no call {name!r}: one of {known} is wanted") from None
+        raise BadPlanError(f"unknown call {name!r}: expected one of {known}") from None
 
 
 class FaultShim:
@@ -147,7 +147,7 @@
                 chance, times = float(options.get("chance", 1)), int(options.get("times", FOREVER))
                 self.fail(call, failure, options.get("peer", "any"), chance, times)
             case _:
-                raise BadPlanError(f"'fail CALL FAILURE' or 'clear' is wanted, not {' '.join(words)!r}")
+                raise BadPlanError(f"expected 'fail CALL FAILURE' or 'clear', not {' '.join(words)!r}")
 
     def clear(self) -> None:
         """Remove all rules."""
--- a/tests/test_discovery_outage.py
+++ b/tests/test_discovery_outage.py
@@ -16,7 +16,7 @@
 from harrieryoke.core.clock import now_ms
 from harrieryoke.lab import audit
 from harrieryoke.lab.hosts import Outage
-from harrieryoke.lab.world import DRAIN_GRACE_MS, Testbed
+from harrieryoke.lab.world import DRAIN_GRACE_MS, InvokerTestbed
 
 ANNOUNCED_WITHIN_MS = 7000.0  # by then an announcement of the bus counts as known, whether it arrived or not
 CALLS_PER_S = 60.0
@@ -33,7 +33,7 @@
     def __init__(self, folder: Path, outage: Outage | None, restart: bool = False) -> None:
         folder.mkdir()
         self.outage, self.restart = outage, restart
-        self.world = Testbed(folder, seed=3, rate=CALLS_PER_S, hosts=6)
+        self.world = InvokerTestbed(folder, seed=3, rate=CALLS_PER_S, hosts=6)
         self.restarted_at = 0.0
 
     def inject_outage(self) -> None:
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -174,9 +174,9 @@
 @pytest.mark.parametrize(
     ("plan", "error"),
     [
-        ("fail dial EMFILE", "no call 'dial': one of accept, socket"),
-        ("fail socket EWHAT", "no error 'EWHAT'"),
-        ("fail socket", "'fail CALL FAILURE' or 'clear' is wanted"),
+        ("fail dial EMFILE", "unknown call 'dial': expected one of accept, socket"),
+        ("fail socket EWHAT", "unknown error 'EWHAT'"),
+        ("fail socket", "expected 'fail CALL FAILURE' or 'clear'"),
     ],
 )
 def test_shim_rejects_an_unknown_plan(plan: str, error: str, tmp_path: Path) -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,7 +20,7 @@
 
 from harrieryoke import interface as i
 from harrieryoke.core.clock import now_ms
-from harrieryoke.lab.world import ROOT, Testbed, free_port
+from harrieryoke.lab.world import ROOT, InvokerTestbed, free_port
 from harrieryoke.net.frames import REQUEST
 from harrieryoke.router import Router
 from harrieryoke.state_transfer import StateTransferError, pack, restore, shift_times, unpack
@@ -31,7 +31,7 @@
 from .rig import SETTINGS, Rig, workers
 
 
-class Relays(Testbed):
+class Relays(InvokerTestbed):
     """The platform's invoker, started repeatedly on the same addresses."""
 
     command: tuple[str, ...] = (sys.executable, "-B", "-m", "harrieryoke")
