--- a/tests/faults/shim.py
+++ b/tests/faults/shim.py
@@ -133,9 +133,8 @@
         rule_fields = (parse_failure(failure), peer_kind, round(chance * CHANCE_ALWAYS), *span, times, 0)
         slot_offset = HEADER.size + free_slots[0] * RULE.size
         RULE.pack_into(self.plan, slot_offset, 0, *rule_fields)
-        struct.pack_into(
-            "=i", self.plan, slot_offset, call_number
-        )  # last: a rule takes effect once it is complete
+        # the call number comes last: a rule takes effect once it is complete
+        struct.pack_into("=i", self.plan, slot_offset, call_number)
 
     def run_command(self, words: list[str]) -> None:
         """`fail CALL FAILURE [peer=accepted] [chance=0.5] [times=3]`, or `clear`. Raises BadPlanError."""
