--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -52,20 +52,20 @@
         """Deliver the answers that are due."""
         due = [answer for answer in self.pending_answers if answer[0] <= self.now]
         self.pending_answers = [answer for answer in self.pending_answers if answer[0] > self.now]
-        for _, n, event in due:
-            self.handle_events(n, event)
+        for _, front_end, event in due:
+            self.handle_events(front_end, event)
 
-    def run(self, ms: float, gap: float, functions: int = 6, class_of: int = 3) -> None:
+    def run(self, ms: float, gap: float, functions: int = 6, classes: int = 3) -> None:
         """Send one call to each front end in turn every `gap` milliseconds, over a few functions."""
         until = self.now + ms
         while self.now < until:
             self.now += gap / len(self.routers)
             self.deliver()
             self.last_request += 1
-            self.class_of_request[self.last_request] = self.last_request // 7 % class_of
+            self.class_of_request[self.last_request] = self.last_request // 7 % classes
             name = f"f{self.class_of_request[self.last_request]}-{self.last_request * 7 % functions}"
-            kind, deadline = self.class_of_request[self.last_request], self.now + 2000
-            request = i.RequestArrived(self.last_request, kind, name, deadline, slots=4, load_time=500)
+            class_index, deadline = self.class_of_request[self.last_request], self.now + 2000
+            request = i.RequestArrived(self.last_request, class_index, name, deadline, slots=4, load_time=500)
             self.handle_events(self.last_request % len(self.routers), request)
 
 
@@ -154,10 +154,10 @@
     """A reset can lose answers while the copies stay loaded; else the fleet could seem without copies."""
     for outcome, copies_stay in ((O.RESET, True), (O.NO_CONNECTION, False)):
         fleet = Fleet(1, 2)
-        fleet.run(3000, gap=100, functions=1, class_of=1)
+        fleet.run(3000, gap=100, functions=1, classes=1)
         router, worker = fleet.routers[0], fleet.sends[-1][2]
         fleet.silent[worker, 0] = True
-        fleet.run(100, gap=100, functions=1, class_of=1)
+        fleet.run(100, gap=100, functions=1, classes=1)
         fleet.handle_events(0, i.AttemptEnded(fleet.last_request, worker, 0, outcome, 5.0, False))
         assert any(worker in f.copies for f in router.functions.values()) is copies_stay
         assert (router.warm_share(router.workers[worker]) == 1.0) is copies_stay
@@ -216,7 +216,7 @@
     fleet.handle_events(0, i.RequestArrived(-300, 0, "hot", fleet.now + 2000, slots=1))
     function = fleet.routers[0].functions["hot"]
     next_worker = next(
-        wid for wid in fleet.routers[0].ordered_workers(function) if wid not in function.copies
+        worker for worker in fleet.routers[0].ordered_workers(function) if worker not in function.copies
     )
     function.copy_width = 1.0 + len(function.copies)
     function.missed_until[next_worker] = fleet.now + 1000.0
@@ -237,7 +237,7 @@
     """
     for answered in (True, False):
         fleet = Fleet(1, 2)
-        fleet.run(3000, gap=100, functions=1, class_of=1)
+        fleet.run(3000, gap=100, functions=1, classes=1)
         router, worker = fleet.routers[0], fleet.sends[-1][2]
         other = 3 - worker
         fleet.silent[worker, 0] = True
@@ -320,9 +320,8 @@
         fleet.class_of_request[n] = 0
         fleet.handle_events(0, i.RequestArrived(n, 0, f"f{n}", fleet.now + 2000, slots=4))
         fleet.now += 60.0
-        fleet.pending_answers = [
-            o for o in fleet.pending_answers if o[2].worker % 2
-        ]  # the silent zone answers no probe either
+        # the silent zone answers no probe either
+        fleet.pending_answers = [answer for answer in fleet.pending_answers if answer[2].worker % 2]
         fleet.deliver()
     assert len(fleet.sends) == 20 and all(w % 2 for _, _, w in fleet.sends)
 
