--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -135,9 +135,11 @@
     assert any(w == worker for _, _, w in fleet.sends[before:])  # the other classes
 
 
-@pytest.mark.parametrize("told", [1, 500])
-def test_more_front_ends_than_workers_and_a_wrong_count_keep_every_request_answered(told: int) -> None:
-    settings = replace(SETTINGS, front_ends=told)
+@pytest.mark.parametrize("configured_count", [1, 500])
+def test_more_front_ends_than_workers_and_a_wrong_count_keep_every_request_answered(
+    configured_count: int,
+) -> None:
+    settings = replace(SETTINGS, front_ends=configured_count)
     for seed in range(5):
         router = Router(settings, seed)
         router.handle(0.0, [i.WorkersListed(i.ListScope.REMEMBERED, (i.WorkerEntry(1), i.WorkerEntry(2)))])
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -20,10 +20,10 @@
 
 
 def acts(
-    member: str, token: int, begin: float, end: float, duty: str = "d", life: int = 1
+    member: str, token: int, begin: float, end: float, duty: str = "d", incarnation: int = 1
 ) -> list[checks.Act]:
     """Return one act every 10 ms."""
-    return [checks.Act(member, life, duty, token, t, t + 0.1) for t in range(int(begin), int(end), 10)]
+    return [checks.Act(member, incarnation, duty, token, t, t + 0.1) for t in range(int(begin), int(end), 10)]
 
 
 def chained_entries(member: str, tokens: list[int], begin: int = 1, chain: str = "") -> list[checks.Applied]:
@@ -60,8 +60,11 @@
 
 @pytest.mark.parametrize("other", [("b", 1), ("a", 2)])
 def test_token_used_by_two_members_or_two_processes_is_reported(other: tuple[str, int]) -> None:
-    member, life = other
-    assert len(checks.two_holders(acts("a", 5, 0, 100) + acts(member, 5, 200, 300, life=life))) == 1
+    member, incarnation = other
+    assert (
+        len(checks.two_holders(acts("a", 5, 0, 100) + acts(member, 5, 200, 300, incarnation=incarnation)))
+        == 1
+    )
 
 
 def test_target_that_admits_an_older_token_is_reported() -> None:
