--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -202,7 +202,8 @@
 def test_messages_of_an_older_turn_change_nothing_at_the_collector() -> None:
     collector = EmulatedCollector(random.Random(3))
     entry = pb.Entry(instance="a", epoch=1, number=1, kind=pb.USE, period=7).SerializeToString()
-    assert not collector.make_sketch("a", pb.Reconcile(period=7, seed=1)).newer  # no token granted yet
+    # no turns have been granted yet
+    assert not collector.make_sketch("a", pb.Reconcile(period=7, seed=1)).newer
     assert not collector.make_sketch("a", pb.Reconcile(period=7, seed=1, token=9)).newer
     for token in (0, 4, 8):
         watcher = collector.make_sketch("a", pb.Reconcile(period=7, seed=1, token=token))
