--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -44,6 +44,9 @@
     wrapper = link.PeerMessageReceived
     return lambda self, message: isinstance(message, wrapper) and isinstance(message.message, type)
 
+def is_transferring(front):
+    return front.transfer_request
+
 def is_client_release(self, message):
     return isinstance(message, link.ClientReleased)
 
@@ -70,7 +73,7 @@
     "after it has sent everything": 'point(Link, "send_with_descriptor", "after", 1)',
     "before it handles the serving message": 'point(Upgrade, "receive", "before", 1, received(link.Serving))',
     "after it handled the serving message": 'point(Upgrade, "receive", "after", 1, received(link.Serving))',
-    "when it stops accepting": 'point(PlatformFront, "send_away", "before", 1, lambda front: front.yielded)',
+    "when it stops accepting": 'point(PlatformFront, "transfer_clients", "before", 1, is_transferring)',
     "before it releases the first client": 'point(Upgrade, "receive", "before", 1, is_client_release)',
     "after it has released the first client": 'point(Upgrade, "receive", "after", 1, is_client_release)',
     "before it is stopped": 'point(Upgrade, "stop", "before", 1)',
