--- a/harrieryoke/admin/server.py
+++ b/harrieryoke/admin/server.py
@@ -83,7 +83,7 @@
     def evict_idle(self) -> None:
         """Close the connection that has been idle for longest. Those that run a command end soon anyway."""
         if not any(c.idle for c in self.callers):
-            # Let the other greenlets run: some connections may have an unread line. Not for each new
+            # Some connections may have an unread line: let their greenlets run. This is not done for each new
             # connection: in a busy process one round of all greenlets takes 15 ms, and the last of eighty
             # new connections would wait a second.
             gevent.sleep(0)
--- a/harrieryoke/config.py
+++ b/harrieryoke/config.py
@@ -63,7 +63,7 @@
     operator: Operator | None
     upgrade_folder: Path | None  # holds what outlives the process in an upgrade
     file_values: dict[str, Any]  # the file without the known worker list
-    file_written_at: float  # in monotonic milliseconds; `known` is not newer
+    file_written_at: float  # in monotonic milliseconds; the list in `known` is not newer
 
 
 def read_ceilings(settings: Mapping[str, Any]) -> dict[str, Any]:
@@ -77,7 +77,7 @@
             value = ceilings.get(key) or getattr(defaults, field)
             read[field] = msgspec.convert(value, type(getattr(defaults, field)), strict=False)
             check_number(read[field], above_0=True)
-        except (ValueError, OverflowError) as error:  # msgspec's are among them
+        except (ValueError, OverflowError) as error:  # includes the errors of msgspec
             raise ConfigError(f"settings.ceilings.{key}: {error}") from None
     return read
 
--- a/harrieryoke/copy_width.py
+++ b/harrieryoke/copy_width.py
@@ -121,7 +121,7 @@
         """Orders a copy unless the order cap or this `share` of the order limit is reached.
 
         Arrivals are counted over a window shorter by a tick and orders over one longer by a tick, so that the
-        limit holds for a counter that is a tick off.
+        limit also holds for an observer whose window is off by a tick.
         """
         window_start = self.now - self.settings.order_limit_window
         arrivals = count_since(self.arrival_times, window_start + self.settings.tick)
@@ -153,7 +153,7 @@
         loaded_mb = sum(other.copies[worker_id].count * other.memory for other in loaded_here)
         needed_mb = function.memory + loaded_mb
         for other in loaded_here:
-            if needed_mb <= available_mb:  # a running total, as a recount for each function is quadratic
+            if needed_mb <= available_mb:  # a running total: recounting for each function would be quadratic
                 return
             unused_time = self.now - other.copies[worker_id].last_seen
             unused = unused_time > self.shortest_latency_target * self.settings.front_ends
--- a/harrieryoke/core/clock.py
+++ b/harrieryoke/core/clock.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Callable
 
-NOTICEABLE_STEP_MS = 50.0  # a smaller difference is the slewing of the wall clock
+NOTICEABLE_STEP_MS = 50.0  # a smaller difference is attributed to slewing of the wall clock
 SAME_MOMENT_MS = 10.0  # readings further apart are not comparable: the process was suspended between them
 
 
--- a/harrieryoke/core/module.py
+++ b/harrieryoke/core/module.py
@@ -194,8 +194,8 @@
 
     def next_wake_time(self) -> float:
         """Return when to wake: within a second, so that a step of the wall clock is logged soon."""
-        # The slack lets a round that a message causes serve due timers too. Most timers find their request
-        # answered, and a round for each alone would delay the next message by a tick.
+        # The slack delays timers a little, so that a round caused by a message can serve them. Most timers
+        # find their request answered, and a round for a timer alone would delay the next message by a tick.
         timer = (self.timers[0][0] if self.timers else float("inf")) + self.timer_slack
         first = timer if not self.pending_events else 0.0
         max_wait = self.limits.figures_ms if self.metrics.watched else 1000.0
--- a/harrieryoke/core/pauses.py
+++ b/harrieryoke/core/pauses.py
@@ -4,7 +4,7 @@
 
 from ..log import Log
 
-MAX_WAKE_DELAY_MS = 100.0  # a busy process wakes no later than this after its time
+MAX_WAKE_DELAY_MS = 100.0  # a busy process wakes at most this long after the scheduled time
 DRAIN_MS = 100.0  # after a pause, until all waiting data has been read
 
 
@@ -32,7 +32,7 @@
     def earliest_arrival(self, now: float) -> float:
         """Return the earliest time at which data read now may have arrived.
 
-        That is the begin of a pause that has just ended, or `now`.
+        That is the start of a pause that has just ended, or `now`.
         """
         self.record_wake(now)
         return self.paused_from if now < self.drained_at else now
--- a/harrieryoke/core/records.py
+++ b/harrieryoke/core/records.py
@@ -87,7 +87,7 @@
     sent: float
     is_open: bool = True
     write_started: bool = False
-    start_by: float = float("inf")  # the host may treat a later send as a new request
+    start_by: float = float("inf")  # later, the host may have forgotten the key or been drained
 
 
 @dataclass(slots=True, eq=False)
--- a/harrieryoke/interface.py
+++ b/harrieryoke/interface.py
@@ -118,7 +118,7 @@
     max_retry_after: float = 0.0
     list_on_request: bool = False
     list_ask_within: float = 0.0
-    discovery_delay: float = 7000.0  # longest time after which a change in discovery counts as known
+    discovery_delay: float = 7000.0  # within this time a change in discovery takes effect at every front end
     connect_timeout: float = 250.0
     answer_slack: float = 0.0
     cold_period: float = 0.0
@@ -327,7 +327,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Send the request to the worker; a request's attempts are numbered from 0 in this order.
+    """Send the request to the worker; a request's attempts are numbered from 0 in the order of these actions.
 
     If writing has not started by `start_by`, the request is not sent.
     """
--- a/harrieryoke/limits.py
+++ b/harrieryoke/limits.py
@@ -35,14 +35,15 @@
     client_ask_ms: float = 2000.0
     client_fresh_ms: float = 100.0
     sweep_ms: float = 250.0
-    start_ms: float = 20000.0  # at startup, for local errors such as a lack of sockets to pass
+    start_ms: float = 20000.0  # at startup, until local errors such as a lack of sockets are gone
     link_idle_ms: float = 30000.0
     timer_slack_ms: float = 5.0
     answer_margin_ms: float = 8.0
     bus_dial_ms: float = 500.0
     bus_quiet_ms: float = 2000.0  # between complete lines; heartbeats come every second
     bus_line_ms: float = 4000.0  # from the first byte of a line to its last; lists may be large
-    # By then the bus has sent its backlog: a sequence number that is still lower belongs to a new sequence.
+    # After this time the bus has sent its backlog: if the number it names is still lower than the last event
+    # received, it has restarted its numbering.
     bus_anew_ms: float = 7000.0
     bus_lag_ms: float = 2000.0  # a connection whose heartbeats may lag by more is replaced
     bus_backoff_ms: float = 50.0
@@ -59,7 +60,7 @@
     management_callers: int = 32
     management_line_bytes: int = 1024
     management_ms: float = 4500.0  # whole duration of a caller's connection
-    ban_ms: float = 700.0  # a management call waits this long for the worker list actor
+    ban_ms: float = 700.0  # a management call waits at most this long for the worker list actor
     ids_remembered: int = 8192  # model hosts whose last list entry is kept, including those that left
     figures_ms: float = 400.0  # maximum age of gauges that are computed on demand
     recount_ms: float = 100.0  # minimum time between two computations of them
--- a/harrieryoke/net/bus_follower.py
+++ b/harrieryoke/net/bus_follower.py
@@ -125,7 +125,7 @@
         self.stable_at = 0.0
         self.behind_since: float | None = None  # when the bus first named a number below `last_offset`
         self.snapshot: Snapshot | None = None  # events fetched so far from a bus that restarted its numbering
-        # the event after which a line could not be read, and the one after which a line was skipped
+        # numbers of the last event before an unreadable line, and of the last one before a skipped line
         self.unreadable_after = self.skipped_after = -1
 
     def change_address(self, address: tuple[str, int]) -> bool:
@@ -218,7 +218,7 @@
                 # it may have been corrupted in transit: the line is requested once more
                 self.unreadable_after = self.last_offset
                 raise
-            # requested again and again, the line would block all events after it
+            # if it were requested again and again, the line would block all events after it
             self.skipped_after, self.incomplete = self.last_offset, True
             return self.log(
                 "bad-event", f"after event {self.last_offset}, received twice: {error}: {line[:200]!r}"
@@ -252,7 +252,7 @@
                 raise ValueError(f"the bus is at event {offset}, but its events were not received")
             self.last_offset = offset
         if self.snapshot is not None and offset > 0:
-            # also if an event had a higher offset: the number that the bus names counts
+            # even if an event had a higher offset: the number in the heartbeat is authoritative
             self.last_offset = offset
             self.finish_snapshot(self.snapshot.to_update(offset))
             return self.confirm_list(as_of)
--- a/harrieryoke/net/client.py
+++ b/harrieryoke/net/client.py
@@ -123,11 +123,11 @@
         self.open: dict[int, Call] = {}
         self.ids: dict[Call, int] = {}
         self.close_requested = False
-        self.stalled_line_at: float | None = None  # when a line was started that is not waited for
+        self.stalled_line_at: float | None = None  # start of a stalled partial line: a close ignores it
         self.transfer_request: TransferWhenIdle | None = None
         self.partial = b""  # of a line that is not yet complete
         self.unposted: list[bytes] = []  # complete lines that are not in the mailbox yet, the newest first
-        self.received_at = 0.0  # when they were received, at the earliest
+        self.received_at = 0.0  # earliest time at which they may have been received
         # when the client was last active, or the first byte of a partial line was received
         self.last_active = now_ms()
         self.has_sent_line = False  # a complete line was received
@@ -166,7 +166,7 @@
         return None if is_busy else now - self.last_active
 
     def is_stale(self, now: float, resumed: float) -> bool:
-        """Return whether the connection's descriptor is wanted for others: the client is idle or has stalled.
+        """Return whether to close the connection to free its descriptor: the client is idle or has stalled.
 
         A pause of this process, the last of which ended at `resumed`, does not count as idle time.
         """
--- a/harrieryoke/net/host.py
+++ b/harrieryoke/net/host.py
@@ -326,7 +326,7 @@
             return
         del link.open[id]
         if not link.open and not self.is_silent(link):
-            link.waiting_since = None  # an answer that was cancelled early says nothing about the host
+            link.waiting_since = None  # the answer was not overdue yet: this says nothing about the host
         if isinstance(task, AttemptTask):
             self.enqueue_frame(
                 link, PendingFrame(frames.GIVE_UP, id, unwritten=frames.encode(frames.GIVE_UP, id))
@@ -370,7 +370,7 @@
         if len(self.links) >= self.limits.links_per_host:
             if is_probe:
                 return None
-            # a busy host must not be taken as dead, and its copies as lost
+            # the host is only busy: it must not be taken as dead, nor its copies as lost
             raise LinkUnavailableError("all links to the host are full")
         return self.dial()
 
@@ -388,7 +388,7 @@
         try:
             return self.connect_once()
         except OSError as error:
-            # a dead host refuses and does not reset: a live one must not be taken as dead
+            # a dead host refuses connections; after a reset the host may be alive, so it is dialled again
             if not isinstance(error, ConnectionResetError) and error.errno not in RETRYABLE_CONNECT_ERRORS:
                 raise
             return self.connect_once()
@@ -444,8 +444,8 @@
                     for frame in link.decoder.feed(data):
                         received.append(frame)
                 finally:
-                    # Valid answers before an invalid frame count. The start of a frame wakes the actor too,
-                    # so that it watches for the rest, which may take its time for a long frame.
+                    # Valid answers that precede an invalid frame are delivered. The start of a frame also
+                    # wakes the actor, which then watches for the rest; a long frame may take a while.
                     previous, partial = link.partial_since, bool(link.decoder.buffer)
                     link.partial_since = now_ms() if partial else None
                     if received or (previous is None and partial):
@@ -455,7 +455,7 @@
             self.log("bad-frame", f"{self.name}: {error}")
         except OSError as error:
             reason = f"read: {error}"
-        link.ended = True  # no new task may start here, also while the message waits in the mailbox
+        link.ended = True  # no new task may start here, even while the message waits in the mailbox
         self.blocking_send(LinkLost(link, reason))
 
     def close_link(self, link: Link, reason: str) -> None:
--- a/harrieryoke/net/hostlist.py
+++ b/harrieryoke/net/hostlist.py
@@ -36,7 +36,7 @@
     worker_number,
 )
 
-# the public names of discovery in one place
+# the public names of discovery, re-exported here in one place
 __all__ = [
     "STATUS_BY_STATE",
     "Ban",
@@ -219,7 +219,7 @@
         self.servers.pop(server.id, None)
         self.servers[server.id] = server
         if len(self.servers) > self.limits.ids_remembered:
-            # hosts may come under ever new ids and memory is bounded; bans are few, as operators set them
+            # bounds the memory where hosts always get new ids; bans are kept, as operators set only a few
             in_use = self.hosts.keys() | self.banned | {server.id}
             if (oldest := next((id for id in self.servers if id not in in_use), None)) is not None:
                 del self.servers[oldest]
--- a/harrieryoke/net/platform.py
+++ b/harrieryoke/net/platform.py
@@ -143,7 +143,7 @@
         """Leave new connections in the backlog while clients hold all permitted ones and an idle one can be
         closed.
 
-        If all are busy, a new connection is rejected at once, as it may try elsewhere.
+        If all are busy, a new connection is rejected at once, so that the client can try elsewhere.
         """
         while acceptor.fileno() >= 0 and self.is_full() and self.has_idle_client():
             self.client_closed.clear()
@@ -171,8 +171,8 @@
             self.pauses.record_wake(now)
             if now - swept >= self.limits.sweep_ms:
                 swept = now
-                # after a pause of this process all idle clients look stale at once, and would be closed with
-                # requests in transit
+                # Idle time counts from the last pause of this process at the earliest: otherwise all idle
+                # clients would look stale at once after it, and be closed with requests in transit.
                 for client in [c for c in self.clients if c.is_stale(now, self.pauses.resumed_at)]:
                     self.log("client-closed", f"{client.client}: idle for too long")
                     self.clients[client] = client.close_if_idle()
@@ -207,7 +207,8 @@
                 self.start_accepting()
             case AcceptorEnded(acceptor):
                 self.running_acceptors -= 1
-                # a front that no longer accepts, without having been asked to stop, ends; the service notices
+                # If the descriptor is still open, the acceptor ended by a fault: this actor ends too, and the
+                # service notices.
                 self.finished = acceptor.fileno() >= 0
             case StopListening():
                 self.stop_listening()
--- a/harrieryoke/operator_file.py
+++ b/harrieryoke/operator_file.py
@@ -35,7 +35,7 @@
 from .store.settings import StoreError, StoreSettings
 from .structured import FORMATS, LogSettings, StructuredLog
 
-BUSY_MAILBOX_MESSAGES = 64  # above so many waiting for the module, background work pauses
+BUSY_MAILBOX_MESSAGES = 64  # background work pauses while more than this many wait for the module
 
 
 class OperatorFile(msgspec.Struct, forbid_unknown_fields=True):
--- a/harrieryoke/parts.py
+++ b/harrieryoke/parts.py
@@ -84,7 +84,7 @@
         ...
 
     def propose(self, duty: str, token: int, body: bytes) -> str:
-        """Propose an entry of the agreed log. Return why not, or nothing.
+        """Propose an entry of the agreed log. Return the reason for a rejection, or an empty string.
 
         An accepted entry may still be lost; the caller has to repeat it.
         """
@@ -104,7 +104,7 @@
 class CouncilPart(Part, Council, Protocol):
     """The council as the service sees it.
 
-    `request_stop` starts to pass the duties on; `stop` must be called after the last part that needs one.
+    `request_stop` starts to pass the duties on; `stop` must be called after the last part that needs a duty.
     """
 
     def open(self) -> None:
--- a/harrieryoke/reload.py
+++ b/harrieryoke/reload.py
@@ -9,7 +9,7 @@
 from .interface import Settings
 
 OPTIONAL = ("known", "seed", "aim-stretch")  # may be absent from any file
-KEYED_ONLY = ("dedup-scope", "repeat-window")  # have no meaning in a class of another effect
+KEYED_ONLY = ("dedup-scope", "repeat-window")  # required only in a class whose effect is `keyed`
 EFFECT, KEYED = "repeat", "by_key"
 
 
--- a/harrieryoke/router.py
+++ b/harrieryoke/router.py
@@ -114,7 +114,7 @@
         elif event.outcome is Outcome.RESET and not worker.ejected:
             self.on_connection_reset(worker)
         elif event.outcome in (Outcome.NO_CONNECTION, Outcome.TIMEOUT, Outcome.RESET):
-            # ejects it again where a query was lost, which schedules the next query
+            # if this was a query to an ejected worker, ejecting it again schedules the next query
             self.eject(worker, unreachable=event.outcome is Outcome.NO_CONNECTION)
         else:
             self.reinstate(worker)
@@ -188,7 +188,7 @@
             self.latency_ratio > 0.75 * OVERLOADED_RATIO
             and self.now + function.mean_duration / 2 > request.target_time
         ):
-            return None  # a request that is late anyway must not delay others
+            return None  # a request that will miss its target anyway must not delay others
         costs: list[tuple[bool, float, int]] = []
         for worker_id, worker, copy in self.candidate_copies(function, request):
             slots, own = function.slots * copy.count, function.own_in_flight.get(worker_id, 0)
@@ -215,7 +215,7 @@
     def dispatch(self, function: Function) -> None:
         """Sends the waiting requests of the function that find room, by value and then by deadline."""
         function.waiting, still_waiting = [request for request in function.waiting if not request.done], []
-        blocked_tenants: list[int | None] = []  # a request of theirs found no room
+        blocked_tenants: list[int | None] = []  # tenants with a request that found no room
         for request in sorted(
             function.waiting,
             key=lambda request: (-self.value_per_work(request, function), request.event.deadline),
@@ -287,7 +287,7 @@
             or any(function.own_in_flight.values())
         )
         if remaining <= 0 and not in_use:
-            if len(self.functions) > 1:  # ejected workers are queried about a function
+            if len(self.functions) > 1:  # one must stay: a query to an ejected worker has to name a function
                 del self.functions[name]
         else:
             self.schedule(max(remaining, keep_alive), self.forget_unused, name)
--- a/harrieryoke/service.py
+++ b/harrieryoke/service.py
@@ -234,7 +234,8 @@
         """Answer all accepted calls and stop. New connections after SIGTERM are served for a while, too."""
         started_at = now_ms()
         settings = self.config.settings
-        # removed classes do not count: the process is killed by the deadlines of the present settings
+        # retired classes do not count: when the process is killed depends on the deadlines of the current
+        # settings
         longest = min(3000.0, max(settings.classes[n].deadline for n in settings.active_classes().values()))
         by = started_at + min(self.limits.stop_within_ms, longest + 500.0)
         self.log("stopping", f"all is answered within {by - started_at:.0f} ms")
--- a/harrieryoke/slow_start.py
+++ b/harrieryoke/slow_start.py
@@ -25,7 +25,8 @@
 
     The rate is half of the overload multiple of what a warm worker gets from this front end, which is
     `calls_per_worker` in a keep-alive period. This is safe for any worker in slow start, at the cost of speed
-    at one that warms up faster than configured. Many front ends each get a fraction of a request.
+    at one that warms up faster than configured. With many front ends, the rate of each may be only a fraction
+    of a request in a keep-alive period.
     """
     rate_per_ms = warm_share * settings.overload_multiple / 2 * calls_per_worker / settings.keep_alive
     return bucket.take_token(now, rate_per_ms, max(1.0, rate_per_ms * settings.overload_time / 2))
--- a/harrieryoke/state.py
+++ b/harrieryoke/state.py
@@ -165,7 +165,7 @@
         self.mean_in_progress = 0.0  # over load reports
         self.peak_active_workers = 1  # since the last removal of a worker
         self.all_warm_at = NEVER
-        self.recent_calls = 0.0  # own requests, about over the last keep-alive
+        self.recent_calls = 0.0  # decaying count of own requests, roughly those in the last keep-alive
         self.timer_at = NEVER
         self.ejected_count = self.orders_in_progress = self.task_serial = 0
         self.actions: list[Action] = []
--- a/harrieryoke/upgrade/link.py
+++ b/harrieryoke/upgrade/link.py
@@ -149,7 +149,7 @@
             return None, []
 
     def record_ban(self, id: str, on: bool) -> None:
-        """Write the ban to the file and send it to the other process, before the operator gets a yes."""
+        """Write the ban to the file and send it to the other process, before the operator gets the answer."""
         try:
             self.ban_file.write(self.hosts.bans())
         except OSError as error:
--- a/harrieryoke/upgrade/messages.py
+++ b/harrieryoke/upgrade/messages.py
@@ -1,6 +1,6 @@
 """Messages of an upgrade: the lines between the two processes, and those to the upgrade's own actor.
 
-The tags are the wire's and stay as they are: either process may be of an older version.
+The tags are part of the wire format and must not change: either process may be of an older version.
 """
 
 from __future__ import annotations
--- a/harrieryoke/wirehost.py
+++ b/harrieryoke/wirehost.py
@@ -162,7 +162,7 @@
 
 
 def read_accepted(parts: list[str], names: tuple[str, ...]) -> Event:
-    """Parses the fields of a ACCEPTED line after its tag and instance."""
+    """Parses the fields of an ACCEPTED line after its tag and instance."""
     request, worker, attempt, _ = parts
     return AnswerStarted(int(request), int(worker), int(attempt))
 
--- a/harrieryoke/work_lease.py
+++ b/harrieryoke/work_lease.py
@@ -19,7 +19,7 @@
 class WorkLease:
     """Lease of one worker, renewed by its own answers."""
 
-    proven_at: float = -inf  # it accepted new work at this time
+    proven_at: float = -inf  # latest time at which it is known to have accepted new work
     denials: int = 0  # probes since then that were denied or unanswered
     probe_at: float = -inf  # earliest next probe
     probe_pending: bool = False
@@ -38,7 +38,7 @@
 class ListAge:
     """Age of the worker list. Without any confirmation it counts as current: the simulator sends none."""
 
-    confirmed_at: float | None = None  # all earlier changes are in the list
+    confirmed_at: float | None = None  # the list contains all changes before this time
     # workers whose latest entry could not be read
     unreadable: frozenset[int] = field(default_factory=frozenset)
 
@@ -54,7 +54,7 @@
         return -inf if worker in self.unreadable else self.confirmed_at
 
     def known_until(self, worker: int, lease: WorkLease) -> float:
-        """Time until which the worker is known to have accepted new work."""
+        """Latest time at which the worker is known to have accepted new work, by the list or its answers."""
         return max(lease.proven_at, self.listed_until(worker))
 
     def expires_at(self, worker: int, lease: WorkLease, settings: Settings) -> float:
--- a/harrieryoke/worker_health.py
+++ b/harrieryoke/worker_health.py
@@ -140,7 +140,7 @@
         return max(worker.started, restart.latest) if is_published else worker.started
 
     def has_room(self, worker: Worker, request: Request) -> bool:
-        """Whether another attempt stays within the worker's limit, and it is neither held off nor full."""
+        """Whether the worker's limit allows another attempt, and the worker is neither held off nor full."""
         is_full = worker.full_until.get(request.event.tenant, NEVER) > self.now
         blocked = worker.hold_off.is_active(self.now) or is_full
         return len(worker.in_flight) < worker.load.attempt_limit and not blocked
@@ -195,7 +195,7 @@
         worker.backoff = min(max(2 * worker.backoff, self.settings.connect_timeout), self.settings.keep_alive)
         worker.ejected, worker.query_pending, worker.unreachable = True, False, unreachable
         min_limit = max(1.0, MIN_LIMIT / self.settings.front_ends)
-        # halved only: an unanswered attempt does not prove overload
+        # an unanswered attempt does not prove overload, so it only halves the limit
         halved_limit = max(min_limit, worker.load.attempt_limit / 2)
         worker.load.attempt_limit = min_limit if unreachable else halved_limit
         if unreachable:
@@ -251,7 +251,10 @@
         return class_served <= sent_at < max(worker.last_served.values(), default=NEVER)
 
     def is_on_trial(self, worker: Worker, function: Function) -> bool:
-        """Whether an unanswered class has an attempt in flight; it gets one at a time until an answer."""
+        """Whether the class is unanswered at the worker and has an attempt in flight there.
+
+        Until an answer such a class gets one attempt at a time.
+        """
         return function.class_index in worker.unanswered_classes and any(
             sent_at >= worker.started and self.attempts[key][1].class_index == function.class_index
             for key, sent_at in worker.in_flight.items()
@@ -274,14 +277,14 @@
 
     def reinstate(self, worker: Worker) -> None:
         """Notes an answer of the worker and ends its ejection."""
-        if self.now - self.all_silent_since > self.settings.keep_alive:  # all may have restarted
+        if self.now - self.all_silent_since > self.settings.keep_alive:  # all may have restarted meanwhile
             for other in self.workers.values():
                 self.start_cold(other, self.now)
         self.all_silent_since = inf
         worker.last_heard = self.last_heard = self.now
         worker.hold_off.end()
         self.ejections_by_zone[worker.entry.zone] = 0
-        if worker.ejected and worker.may_have_restarted:  # at any time until this answer
+        if worker.ejected and worker.may_have_restarted:  # the restart may have been at any time up to now
             self.start_cold(worker, self.now)
         if worker.ejected:
             worker.ejected, worker.unreachable = False, False
