--- a/harrieryoke/budgets/decide/commands.py
+++ b/harrieryoke/budgets/decide/commands.py
@@ -9,7 +9,7 @@
 MAX_TOKENS = 10**15  # at one node
 MAX_NAME_CHARS, MAX_REASON_CHARS = 200, 500
 MAX_ADMINS, MAX_LOANS = 16, 16  # per node
-OVERCOMMIT_UNIT = 1000  # thousandths: children may be given exactly what the node has
+OVERCOMMIT_UNIT = 1000  # in thousandths: with this value, children may be given exactly what the node has
 MAX_OVERCOMMIT = 10 * OVERCOMMIT_UNIT
 
 
@@ -175,7 +175,8 @@
 
 class GrantSlice(Struct, frozen=True, array_like=True, tag="give"):
     """Lends a slice of the node's tokens to one life of an invoker. The invoker may spend the first
-    `initial_limit` tokens at once, until `duration` on its own clock after its request `request_number`."""
+    `initial_limit` tokens at once. The slice expires `duration` after its request `request_number`, by the
+    invoker's own clock."""
 
     node: str
     invoker: str
--- a/harrieryoke/budgets/decide/messages.py
+++ b/harrieryoke/budgets/decide/messages.py
@@ -49,9 +49,9 @@
 
 
 class SliceUsage(Struct, frozen=True, array_like=True):
-    """Cumulative use of a slice. `spent` counts calls with a final answer. No tokens were taken beyond the
-    first `spend_limit`, nor will be before a higher limit is acknowledged. `final`: nothing is reserved and
-    nothing more will be taken."""
+    """Cumulative use of a slice. `spent` counts the tokens of calls with a final answer. No tokens beyond
+    the first `spend_limit` were taken, or will be before a higher limit is acknowledged. `final`: nothing is
+    reserved and nothing more will be taken."""
 
     slice_id: int
     spent: int
--- a/harrieryoke/budgets/decide/sizes.py
+++ b/harrieryoke/budgets/decide/sizes.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SliceSizing:
-    """`entry_cost`: the cost of two log entries, in tokens of work. Times are milliseconds."""
+    """`entry_cost`: the cost of two log entries, expressed in tokens. Times are milliseconds."""
 
     entry_cost: float = 20.0
     min_duration: int = 5_000  # several round trips, also across an election
--- a/harrieryoke/budgets/decide/slices.py
+++ b/harrieryoke/budgets/decide/slices.py
@@ -203,7 +203,7 @@
         self.timed_out.discard(slice_id)
 
     def expired_slices(self, now: float) -> set[int]:
-        """Returns slices that have expired by any clock and whose end is not committed yet."""
+        """Returns slices that have expired, allowing for clock drift, and whose end is not committed yet."""
         self.timed_out.update(self.timers.expired(now))
         return self.timed_out
 
@@ -252,7 +252,7 @@
     def handle_request(
         self, request: SliceRequest, now: float, refill_after: float = 0.0
     ) -> list[c.HolderEntry | HolderReply]:
-        """`refill_after`: time until the next period, 0 where there is none."""
+        """Returns the entry to propose, or the reply. `refill_after`: ms until the next period, 0 if none."""
         if not self.is_active():
             return []
         slice_id = self.budgets.slice_by_request.get((request.invoker, request.life, request.number))
--- a/harrieryoke/budgets/decide/spender.py
+++ b/harrieryoke/budgets/decide/spender.py
@@ -192,8 +192,8 @@
         return None if tokens else parts
 
     def refusal(self, project: Project, now: float) -> BudgetExhausted | BudgetPending:
-        """The back-off gets a random jitter of up to a tenth, so that clients do not all return right after a
-        refill."""
+        """Returns why no tokens can be reserved. The back-off gets a random jitter of up to a tenth, so that
+        clients do not all return right after a refill."""
         if project.denial is None or (project.denial.refill_after and now >= project.refill_at):
             return BudgetPending()
         backoff = max(0.0, project.refill_at - now) * (1 + 0.1 * self.rng.random())
--- a/harrieryoke/budgets/decide/tree.py
+++ b/harrieryoke/budgets/decide/tree.py
@@ -68,7 +68,7 @@
     children_minimums: int = 0
 
     def free(self) -> int:
-        """Negative for a soft node that exceeds its ceiling."""
+        """Returns the free tokens; negative for a soft node that exceeds its ceiling."""
         return self.ceiling - self.held - self.spent
 
     def reserved_at_parent(self) -> int:
--- a/harrieryoke/door/actor.py
+++ b/harrieryoke/door/actor.py
@@ -34,7 +34,7 @@
 
 NO_TENANT = "\0none"
 DEFAULT_TENANT_WEIGHT = 1.0  # of a tenant without an allowance
-STOP_MARGIN_MS = 300.0  # before the process ends: calls that still wait are refused then
+STOP_MARGIN_MS = 300.0  # calls that still wait are refused this long before the process ends
 MAX_SLEEP_MS = 1000.0
 INITIAL_COST_DIVISOR = 4  # of the latency target: a class's cost before any of its calls has ended
 COST_SMOOTHING = 0.02  # weight of the newest call in a class's mean duration
@@ -71,7 +71,7 @@
         seed: int,
         clock: Callable[[], float] = now_ms,
     ) -> None:
-        # The reserve is for the ends of calls in flight: a lost one would occupy the limit for good.
+        # The reserve is for reports of ended calls: if one is lost, its call counts as in flight for good.
         super().__init__("door", limits.module_mailbox + limits.open_calls, log, reserve=limits.open_calls)
         self.door_settings, self.settings = door_settings, settings
         self.core, self.limits, self.clock = core, limits, clock
@@ -168,7 +168,8 @@
         return call.label or call.client or call.topic
 
     def queue_deadline(self, call: Call) -> float:
-        """Return when a waiting call is refused: before half of its time, so that the client can retry."""
+        """Return when a waiting call is refused: before half of its time limit, so that the client can retry,
+        and before this process ends."""
         return min(
             call.received_at + self.door_settings.wait_share * (call.deadline - call.received_at),
             self.refuse_all_at,
@@ -183,7 +184,7 @@
         cost = self.costs.setdefault(call.class_index, settings.latency_target / INITIAL_COST_DIVISOR)
         entry = QueuedCall(call, tenant, client, cost, settings.worth / cost, call.deadline, reserved)
         arrival = WaitingCall(call, front, entry)
-        # A client that comes before its reserved time takes no place from those that wait.
+        # An early client must not displace waiting calls: it is refused unless a call can be handed on now.
         early = self.reservations.is_early((tenant, client), now)
         hopeless = early or now + self.estimated_wait(tenant) > self.queue_deadline(call)
         hopeless = hopeless and not reserved and not self.concurrency_limit.available()
--- a/harrieryoke/door/decide/calendar.py
+++ b/harrieryoke/door/decide/calendar.py
@@ -62,8 +62,8 @@
     """Reservations by client, and reserved work by tenant and interval.
 
     A client has one reservation for each of its refused calls, `max_per_client` at most; beyond them it gets
-    the time of its last one. At `max_clients` nothing more is reserved, and refusals carry the estimated wait
-    alone.
+    the time of its latest one. At `max_clients` no further client gets a reservation: it is told to wait for
+    the estimated wait plus half the time in which `max_clients` calls of that cost are served.
     """
 
     interval_ms: float = 25.0
@@ -92,7 +92,7 @@
             self.counts["full"] += 1
             return wait + self.max_clients * cost / max(work_per_ms, MIN_WORK_PER_MS) / 2
         number = int((now + wait) // self.interval_ms) + 1
-        if reservations:  # calls of one client keep their order: a later one never returns sooner
+        if reservations:  # calls of one client keep their order: a later one never gets an earlier time
             number = max(number, reservations[-1].interval[1])
         limit = number + MAX_INTERVALS_SEARCHED
         while number < limit and self.reserved_work.get((tenant, number), 0.0) + cost > max(capacity, cost):
@@ -104,7 +104,7 @@
         return return_at - now
 
     def redeem(self, client: Hashable, now: float) -> bool:
-        """Use up the client's earliest reservation if its time has come, and return whether it had. A client
+        """Use up the client's earliest reservation if its time has come; return whether it was used. A client
         that returns early keeps the reservation and gets no priority."""
         self.expire(client, now)
         reservations = self.by_client.get(client)
@@ -123,7 +123,7 @@
         return reservations is not None and now < reservations[0].return_at - self.early_tolerance_ms
 
     def release_earliest(self, client: Hashable, reservations: list[Reservation]) -> None:
-        """Remove the earliest reservation and returns its work to the interval."""
+        """Remove the client's earliest reservation and free its work in the interval."""
         reservation = reservations.pop(0)
         if not reservations:
             del self.by_client[client]
--- a/harrieryoke/lab/fleet_checks.py
+++ b/harrieryoke/lab/fleet_checks.py
@@ -105,9 +105,10 @@
 
 
 def two_holders(acts: Sequence[Act]) -> list[str]:
-    """Find acts under a token after another member has acted under a higher one, as tokens only grow.
+    """Find acts under a token that another process also used, and acts after one under a higher token.
 
-    Only acts that had ended before the other began are compared, so that there are no false positives.
+    Tokens only grow. An act counts as later only if the other had ended before it began, so that there are no
+    false positives.
     """
     violations: dict[tuple[str, int], str] = {}
     for duty, duty_acts in group_by_duty(acts).items():
--- a/harrieryoke/lab/fleet_faults.py
+++ b/harrieryoke/lab/fleet_faults.py
@@ -184,7 +184,7 @@
             proxy.heal(reset)
 
     def pick_link(self, member: Member, rng: random.Random) -> tuple[str, str]:
-        """Return one direction of the link to the leader, or of a random link if the member leads itself."""
+        """Return one direction of the link to the leader, or of a random link if the member is the leader."""
         leader = self.fleet.leader()
         others = [n for n in self.fleet.names if n != member.name]
         other = leader if leader in others else rng.choice(others)
--- a/harrieryoke/lab/fleet_watch.py
+++ b/harrieryoke/lab/fleet_watch.py
@@ -31,7 +31,8 @@
 
 
 class Observer:
-    """Receives reports and fenced writes on a Unix datagram socket: none is lost, senders block when full."""
+    """Receives reports and fenced writes on a Unix datagram socket: senders block when it is full, so none is
+    lost."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
--- a/harrieryoke/lab/structures.py
+++ b/harrieryoke/lab/structures.py
@@ -105,7 +105,7 @@
 
 
 def memory_by_quarter(pid: int) -> list[float]:
-    """Return the resident MB of this process after each quarter of a million ids with one call each."""
+    """Return the resident MB of process `pid` after each quarter of the `IDS` ids; each id makes one call."""
     queue, samples = FairQueue({t.name: t.share for t in TENANTS}, 1000, 7), list[float]()
     for n in range(IDS):
         queue.add(QueuedCall(n, TENANTS[n % 5].name, f"id-{n:x}", 1.0, 1.0, 1e9), n * 3.6)
--- a/harrieryoke/lab/world.py
+++ b/harrieryoke/lab/world.py
@@ -259,7 +259,7 @@
         self.bus.publish(self.hosts)
 
     def step_clock(self, pause: float) -> None:
-        """Step the wall clock of the invoker 5 s forward, back, backward and forward again."""
+        """Step the invoker's wall clock: 5 s ahead, back to the true time, 5 s behind, and back again."""
         for shift in (5.0, 0.0, -5.0, 0.0):
             gevent.sleep(pause)
             self.clock.step(shift)
--- a/harrieryoke/mqtt/front.py
+++ b/harrieryoke/mqtt/front.py
@@ -33,7 +33,7 @@
 MQTT_5 = "5"
 AT_LEAST_ONCE = 1  # QoS
 LOOP_TIMEOUT_S = 0.2
-MAX_BACKOFF_FACTOR = 5  # a broker is retried less often than the event bus: times its longest back-off
+MAX_BACKOFF_FACTOR = 5  # the longest back-off for a broker, as a multiple of that for the event bus
 FLUSH_POLL_S = 0.01
 
 
@@ -318,7 +318,7 @@
         self.calls[call] = trigger
         settings = self.reader.maker.settings.classes[call.class_index]
         if message.dup and self.session_predates_process and settings.effect is not i.Effect.SAFE:
-            # An earlier process may have called it, and the rack's deduplication window may have passed.
+            # An earlier process may have made this call, and the rack's deduplication window may have passed.
             return self.handle_answer(
                 call, FinalAnswer("failed", reason="delivered before this start: it may have run")
             )
@@ -329,8 +329,8 @@
         return f"{self.reader.maker.settings.classes[call.class_index].name} {call.key}"
 
     def answer_from_cache(self, trigger: ReceivedTrigger, call: Call) -> bool:
-        """Join the open call of the same key or send its answer, and return whether there was one. A key that
-        was refused may be called again, except by a redelivery."""
+        """Join the open call of the same key, or send the key's cached answer; return whether either
+        existed. A key that was refused may be called again, except by a redelivery."""
         record = self.key_cache.find(self.cache_key(call), now_ms())
         if record is None:
             return False
--- a/harrieryoke/mqtt/memory.py
+++ b/harrieryoke/mqtt/memory.py
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class KeyRecord(Generic[W]):
-    """A key that was called: who waits for its answer, or the answer."""
+    """A key that was called: its answer, or until then those who wait for it."""
 
     updated_at: float
     waiters: list[W] = field(default_factory=list)
@@ -62,7 +62,7 @@
         self.body_sizes[key] = len(answer.body)
         self.body_bytes += len(answer.body)
         while self.body_bytes > self.max_body_bytes:
-            # Drops the oldest body to bound the memory; its key stays and is not called again.
+            # Drop the oldest body to bound the memory. Its key stays known, so it is not called again.
             oldest, size = self.body_sizes.popitem(last=False)
             self.body_bytes -= size
             self.records[oldest].answer = FinalAnswer(
--- a/harrieryoke/mqtt/triggers.py
+++ b/harrieryoke/mqtt/triggers.py
@@ -157,7 +157,7 @@
         raise InvalidCallError("no trigger has this topic")
 
     def make_call(self, matcher: TriggerMatcher, values: dict[str, str], message: Message) -> Call:
-        """The deadline is that of the class, or the message's expiry if that is sooner."""
+        """Return the call. Its deadline is that of the class, or the message's expiry if that is sooner."""
         trigger = matcher.trigger
         matcher.validate_payload(message)
         settings = self.maker.settings.classes[self.maker.classes[trigger.class_]]
--- a/harrieryoke/paths/decide/endpoints.py
+++ b/harrieryoke/paths/decide/endpoints.py
@@ -113,8 +113,8 @@
         return set(removed)
 
     def dial_order(self, now: float) -> list[Endpoint]:
-        """Returns Unix sockets first, then the endpoint with the latest success, then alternating IPv6 and
-        IPv4 endpoints, each in list order; endpoints in back-off come last, the longest-failed first."""
+        """Returns the order of dials: Unix sockets, the endpoint with the latest success, then IPv6 and IPv4
+        endpoints alternating, each in list order. Endpoints in back-off come last, oldest failure first."""
         backed_off = [
             e for e, h in self.health.items() if h.in_backoff(now, self.initial_backoff, self.max_backoff)
         ]
--- a/harrieryoke/paths/decide/pool.py
+++ b/harrieryoke/paths/decide/pool.py
@@ -132,7 +132,7 @@
         those that can be closed at once."""
         removed = self.endpoints.replace(endpoints)
         if self.race is not None and removed.intersection(self.race.endpoints):
-            self.race = None  # its remaining dials end as losers, or go to a removed endpoint
+            self.race = None  # its dials in flight become spares, or drain if their endpoint was removed
         return [
             connection
             for connection in list(self.connections.values())
--- a/harrieryoke/paths/decide/race.py
+++ b/harrieryoke/paths/decide/race.py
@@ -62,7 +62,8 @@
         return True
 
     def expire(self, now: float) -> bool:
-        """Ends the race at its deadline, abandoning dials in flight, and returns whether it is finished."""
+        """Ends the race at its deadline, or if the clock stepped back to more than `delay` before its start;
+        abandons dials in flight. Returns whether it is finished."""
         if not self.finished and not self.started_at - self.delay <= now < self.deadline:
             self.finished = True
         return self.finished
--- a/harrieryoke/plugins/bench.py
+++ b/harrieryoke/plugins/bench.py
@@ -115,9 +115,9 @@
 
 
 def play(path: str, calls: int, seed: int, concurrency: int = 1) -> dict[str, Any]:
-    """The figures of `plugin run`. If the plug-in can't be loaded, its default applies to all calls.
+    """The figures of `plugin run`. If the plug-in can't be loaded, `on_failure` applies to all calls.
 
-    Raises PluginError if `path` is no plug-in.
+    Raises PluginError if `path` is not a plug-in.
     """
     limits, log, rng = Limits(), SilentLog(), random.Random(seed)
     core = AcceptingCore(limits, log)
--- a/harrieryoke/plugins/decide/abi.py
+++ b/harrieryoke/plugins/decide/abi.py
@@ -15,7 +15,7 @@
 ABI_VERSION = 1
 HOOKS = ("on_request", "on_outcome", "on_hosts", "on_timer", "carry")
 CAPABILITIES = ("advise", "function", "warm", "body", "hosts", "timer", "outcomes", "state")
-MAX_TARGETS = 32  # in prefer, and in avoid
+MAX_TARGETS = 32  # in each of prefer and avoid
 MAX_WARM_FUNCTIONS = 16
 MAX_TEXT_CHARS = 128  # of a target or a function
 FUNCTION_PATTERN = re.compile(r"[0-9a-f]{16}\Z")
--- a/harrieryoke/plugins/decide/breaker.py
+++ b/harrieryoke/plugins/decide/breaker.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BreakerLimits:
-    """Opens after `consecutive_faults`, or when `fault_share` of the last `window` calls are faults."""
+    """The breaker opens after `consecutive_faults`, or when `fault_share` of the last `window` calls fail."""
 
     consecutive_faults: int = 5
     window: int = 40
--- a/harrieryoke/plugins/decide/manifest.py
+++ b/harrieryoke/plugins/decide/manifest.py
@@ -45,7 +45,7 @@
     budgets: Budgets = Budgets()
     state_layout: int = 1  # when it changes, the `carry` hook migrates the stored state
     timer_ms: float = 1000.0
-    digest: str = ""  # "sha256:" and 64 hex digits, of the file
+    digest: str = ""  # of `file`: "sha256:" and 64 hex digits
     about: str = ""
 
     def check(self) -> None:
--- a/harrieryoke/plugins/decide/versions.py
+++ b/harrieryoke/plugins/decide/versions.py
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Promote:
-    """The candidate is to serve, once the state has been carried over to it."""
+    """Carry the state over to the candidate, then let it serve."""
 
     number: int
 
--- a/harrieryoke/plugins/decide/walk.py
+++ b/harrieryoke/plugins/decide/walk.py
@@ -58,7 +58,7 @@
 def hook_deadlines(
     now: float, received_at: float, deadline: float, call_ms: float, all_ms: float, max_share: float = 0.2
 ) -> tuple[float, float]:
-    """Until when one plug-in, and all of them together, may keep a call.
+    """The times until which the next plug-in, and all plug-ins together, may keep a call.
 
     Both are limited to a share of the client's time limit, however long the budgets are.
     """
--- a/harrieryoke/plugins/instance.py
+++ b/harrieryoke/plugins/instance.py
@@ -23,7 +23,7 @@
 # reasons for which a hook is not called; the reasons of a failed call are abi.FAULT_KINDS
 DECLINE_REASONS = ("late", "out", "share-spent", "restarting", "queue-full", "ended")
 HOOK_CAPABILITIES = {"on_outcome": "outcomes", "on_hosts": "hosts", "on_timer": "timer"}
-MIN_CALL_MS = 0.5  # a hook with less time left is not called
+MIN_CALL_MS = 0.5  # a hook is not called with less time than this before its deadline
 IDLE_WAKE_MS = 1000.0
 
 
@@ -253,7 +253,8 @@
     def enqueue(self, hook_call: HookCall) -> bool:
         """Queue a call of a hook; return False if the queue is full.
 
-        Watching hooks may fill only half of it; the rest is kept for calls that wait for an answer.
+        Watching hooks (all except `on_request`) may fill only half of it; the rest is kept for calls that
+        wait for an answer.
         """
         watching = hook_call.hook != "on_request"
         if len(self.mailbox) >= self.budgets.queue // (2 if watching else 1):
--- a/harrieryoke/plugins/starlark_engine.py
+++ b/harrieryoke/plugins/starlark_engine.py
@@ -30,7 +30,7 @@
             def run(*arguments: Any) -> Any:
                 try:
                     return function(*arguments)
-                except Fault as fault:  # Starlark would turn it into an error of its own, as text
+                except Fault as fault:  # Starlark replaces it with its own error, which has only the text
                     self.fault = fault
                     raise
 
