--- a/harrieryoke/background/decide/schedule.py
+++ b/harrieryoke/background/decide/schedule.py
@@ -142,7 +142,7 @@
         job.spent_bytes += size
         if result is SliceResult.MORE:
             job.failure_count = 0
-            # Between slices the age of the job restarts, but its deadline does not.
+            # Each slice restarts the job's age, unless it has a deadline, which keeps counting.
             if not job.deadline_ms:
                 job.ready_at = now
             return
--- a/harrieryoke/council/actor.py
+++ b/harrieryoke/council/actor.py
@@ -30,7 +30,7 @@
 from .settings import CouncilSettings
 
 MAX_MESSAGES_PER_TURN = 64
-WAKES_PER_LEASE = 10  # minimum for an idle member
+WAKES_PER_LEASE = 10  # an idle member wakes at least this often in the time of a lease
 LEAVE_POLL_MS = 50.0
 # shares of the time to leave after which the next step is taken
 HANDOVER_SHARE, SESSION_END_SHARE = 0.6, 0.8
@@ -42,8 +42,8 @@
 
 
 class RecordStore(Protocol):
-    """The member's disk. It calls `records_written` and `disk_failed`; after a failure, `records_written`
-    means that it accepts records again.
+    """The member's disk. It calls the actor's `records_written` and `disk_failed`. After a failure,
+    `records_written` means that the disk accepts records again.
     """
 
     replica: ReplicaId
@@ -163,7 +163,9 @@
             self.wake()
 
     def wake(self) -> None:
-        """Not limited by the mailbox's bound, which must not drop a wake-up: there is at most one."""
+        """Wakes the actor. Ignores the mailbox's bound, since a wake-up must not be dropped; at most one is
+        pending.
+        """
         if not self.wake_pending:
             self.wake_pending = True
             self.mailbox.append(None)
@@ -288,14 +290,14 @@
                 self.disk.save(ready.writes)
             for outgoing in ready.messages:
                 if outgoing.recipient is None:
-                    # to voters only: 200 members sending to 200 would be too many
+                    # to voters only: with 200 members that each send to all, there would be too many messages
                     self.links.send_to(self.settings.voters, outgoing.message)
                 else:
                     self.links.send(outgoing.recipient, outgoing.message)
             for item in ready.committed:
                 self.apply(item)
             applied = applied or bool(ready.committed)
-            # Read after applying and before proposing: both sides of a lease depend on this order.
+            # The clock is read after applying and before proposing: both sides of a lease depend on that.
             now = self.clock()
             if ready.committed or now - self.last_lease_tick >= self.settings.heartbeat_ms:
                 self.last_lease_tick = now
@@ -322,7 +324,9 @@
             self.state.apply(item.index, command)
 
     def should_renew(self) -> bool:
-        """A member that shall hold no duties and holds none does not renew its session."""
+        """A member of weight 0 stops renewing its session once that weight is in its session and it holds no
+        duties.
+        """
         if self.lease_holder.weight > 0 or self.lease_holder.has_left:
             return True
         session = self.duties.open_session(self.member, self.lease_holder.incarnation)
--- a/harrieryoke/council/decide/commands.py
+++ b/harrieryoke/council/decide/commands.py
@@ -3,7 +3,7 @@
 A `FencedCommand` is applied only under the duty's current token, which is checked when the entry is applied.
 An `UnfencedCommand` may come from any member and is subject to the state machine's own rules. Every member
 runs the same state machines, also a member that never holds the duty: a snapshot taken by a member that
-lacked one would lose its state.
+lacked a state machine would lose that machine's state.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 
 
 class StateMachine(Protocol):
-    """Deterministic, bounded and without a clock. It raises on no body: a body that it cannot decode, or that
-    no longer fits its state, changes nothing and returns False.
+    """Deterministic, bounded and without a clock. Applying a body never raises: one that cannot be
+    decoded, or that no longer fits the state, changes nothing, and the result is False.
     """
 
     def apply(self, index: int, token: int, body: bytes) -> bool:
@@ -54,8 +54,8 @@
     """The whole replicated state: the duty table and the duties' state machines. `apply` must be called in
     log order.
 
-    `rejected` counts the commands that changed nothing since the start, by reason: "size", "token", "machine"
-    (no state machine for the duty here), "body" (refused by the state machine).
+    `rejected` counts, since the start and by reason, the commands that changed nothing: "size", "token",
+    "machine" (no state machine for the duty here), "body" (refused by the state machine).
     """
 
     def __init__(self, duties: DutyTable) -> None:
--- a/harrieryoke/council/decide/duties.py
+++ b/harrieryoke/council/decide/duties.py
@@ -200,8 +200,8 @@
         return True
 
     def admit_token(self, name: str, token: int) -> bool:
-        """Returns whether an entry that is applied now under `token` is valid, and records the token: a token
-        older than that of an earlier entry is not valid. Call it exactly once per entry.
+        """Returns whether an entry under `token` may be applied now. If so, records the token: later entries
+        under a lower one are rejected. Call it exactly once per entry.
         """
         duty = self.duties.get(name)
         if duty is None or not duty.holder or token < duty.fence:
--- a/harrieryoke/council/decide/grants.py
+++ b/harrieryoke/council/decide/grants.py
@@ -30,7 +30,7 @@
 )
 
 MAX_PENDING_REQUESTS = 1024  # of one member, waiting until it may open another round
-MAX_BACKOFF_FACTOR = 16  # times `repeat_ms`: the longest interval between two attempts to send a request
+MAX_BACKOFF_FACTOR = 16  # times `repeat_ms`: the longest back-off of a request, before jitter of up to 2
 
 
 class TurnSettingsError(ValueError):
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class ObservedRound:
-    """An open round and since when it has had this turn or number of tries."""
+    """An open round as last observed. `since` is when a change of its turn or tries was first observed."""
 
     turn: int
     tries: int
@@ -84,7 +84,7 @@
         self.wake_at: float | None = None  # time of the next action if no entry is applied before
 
     def tick(self, now: float, token: int) -> list[bytes]:
-        """Returns the commands to propose under `token`; 0 if this member does not act on the duty."""
+        """Returns the commands to propose under `token`. It is 0 if this member does not act on the duty."""
         self.wake_at = None
         if not token:
             self.observed.clear()
@@ -172,7 +172,7 @@
     expires: float
     last_sent: float = float("-inf")
     counts: Counts | None = None
-    returned: bool = False  # it cannot be done now
+    returned: bool = False  # the turn cannot be used now and is given back
 
 
 class MemberTurns:
--- a/harrieryoke/council/decide/lease.py
+++ b/harrieryoke/council/decide/lease.py
@@ -7,7 +7,7 @@
 
 from .duties import MAX_REASON_CHARS, DutyTable, RenewSession
 
-# renewals whose send time is kept; one that is applied after 64 later ones does not extend the lease
+# send times that are kept; a renewal applied after 64 later ones were sent does not extend the lease
 MAX_PENDING_RENEWALS = 64
 
 
@@ -39,7 +39,7 @@
 
 class LeaseHolder:
     """`duties` is this member's copy of the duty table. Call `tick` after each applied entry and at least ten
-    times per lease; propose or send what it returns after the time that was passed in. Call `acting_token`
+    times per lease, with a time that was read before its result is proposed or sent. Call `acting_token`
     before each action, with the current time.
     """
 
@@ -74,7 +74,7 @@
         ):
             return 0
         if session.sequence <= self.unavailable_since.get(name, 0):
-            return 0  # an earlier renewal, which releases the duty, may not be in the log yet
+            return 0  # a renewal that releases the duty was sent, and none later has been applied
         token = 0
         if duty.holder == self.member:
             token = duty.token
@@ -121,8 +121,8 @@
         return actions
 
     def hand_over_duties(self) -> list[DutyHandover]:
-        """Avoids a gap in holding: the successor is notified directly, before it learns of the release from
-        the log.
+        """Hands duties over without a gap: the successor is notified directly, before it learns of the
+        release from the log.
         """
         handovers = []
         for name, duty in self.duties.duties.items():
--- a/harrieryoke/council/decide/log.py
+++ b/harrieryoke/council/decide/log.py
@@ -70,7 +70,7 @@
         return index
 
     def install_snapshot(self, snapshot: Snapshot) -> bool:
-        """Keeps the entries behind the snapshot if they are consistent with it and returns True; otherwise
+        """Keeps the entries after the snapshot if they are consistent with it and returns True; otherwise
         drops all entries.
         """
         matches = self.term_at(snapshot.index) == snapshot.term
@@ -115,7 +115,7 @@
 
 def bootstrap_snapshot(voters: Iterable[ReplicaId], base_index: int = 0) -> Snapshot:
     """The first record of a new council, on the disk of its first voter. `base_index` must be above every
-    index of a council that was lost, so that tokens only grow. (Tests bootstrap several voters with one
-    record.)
+    index of a lost council that this one replaces, so that tokens only grow. (Tests bootstrap several voters
+    with one record.)
     """
     return Snapshot(base_index, 0, Configuration(frozenset(voters)))
--- a/harrieryoke/council/decide/messages.py
+++ b/harrieryoke/council/decide/messages.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct
 
-ENTRY_OVERHEAD_BYTES = 64  # counted per entry and replica beside the data
+ENTRY_OVERHEAD_BYTES = 64  # added to the data's size, once per entry and once per replica in it
 
 
 class ReplicaId(NamedTuple):
--- a/harrieryoke/council/decide/raft.py
+++ b/harrieryoke/council/decide/raft.py
@@ -72,7 +72,7 @@
     max_uncommitted_entries: int = 1024  # beyond them a proposal is refused
     max_unwritten_bytes: int = 8 << 20  # beyond them a follower drops entries and a leader refuses proposals
     max_held_messages: int = 4096  # waiting for the disk; beyond them the oldest is dropped, as if lost
-    trailing_entries: int = 1024  # kept behind a snapshot for members that lack only a few entries
+    trailing_entries: int = 1024  # kept before a snapshot's index, for members that lack only a few entries
     snapshot_chunk_bytes: int = 256 << 10
     max_snapshot_bytes: int = 256 << 20  # a larger snapshot is not accepted from a leader
     max_join_requests: int = 16  # replicas remembered that ask to join
@@ -91,8 +91,8 @@
 
 
 class UnwrittenRecord(Struct, frozen=True):
-    """A record on its way to the disk. Once it is written the log is durable up to `log_index`; 0 for a
-    record without an entry.
+    """A record on its way to the disk. Once it is written the log is durable up to `log_index`, which is 0
+    for a record that does not extend the log or was replaced since.
     """
 
     sequence: int
@@ -109,7 +109,7 @@
 
 class Raft:
     """`replica` is this member's own ID; `persisted` is what its disk had. Any method may be called between
-    two calls of `take_ready`; only the order within each of its lists matters.
+    two calls of `take_ready`; only the order within each list of a `Ready` matters.
     """
 
     def __init__(
@@ -240,7 +240,7 @@
                 self.replicate(sender, progress)
 
     def propose(self, now: float, data: bytes) -> str:
-        """Appends to the log on the leader, and forwards to the leader elsewhere. Returns the reason for a
+        """On the leader, appends to the log; elsewhere, forwards to the leader. Returns the reason for a
         refusal, or "". An accepted proposal may still be lost: the caller repeats it, so proposals are
         idempotent.
         """
@@ -266,8 +266,8 @@
 
     def change_configuration(self, now: float, configuration: Configuration) -> str:
         """Proposes that configuration. Returns the reason for a refusal, or "". Changes one voter at a time
-        (dissertation, section 4.1), with the correction of 2015: not before an entry of the leader's own term
-        is committed.
+        (dissertation, section 4.1), with Ongaro's correction of 2015: not before an entry of the leader's own
+        term is committed.
         """
         self.now, current = now, self.configuration
         added = configuration.voters - current.voters
@@ -301,9 +301,9 @@
         )
 
     def has_responsive_quorum(self, configuration: Configuration) -> bool:
-        """Refuses to remove a live voter while another is dead: the remaining voters would have no quorum. A
-        replica that has not answered in this term does not count, since a new leader initially treats all
-        replicas as responsive.
+        """Whether a quorum of that configuration responds. Without this check a live voter could be removed
+        while another is dead, and the remaining voters would have no quorum. A replica that has not answered
+        in this term does not count, since a new leader initially treats all replicas as responsive.
         """
         responsive = [
             s
@@ -334,7 +334,9 @@
         return ""
 
     def compact(self, index: int, data: bytes) -> None:
-        """`data` is the state after the applied entry `index`. Raises ValueError for any other index."""
+        """Takes a snapshot: `data` is the state after entry `index`. Raises ValueError unless that entry is
+        applied and after the last snapshot, or if `data` is empty.
+        """
         if not self.snapshot.index < index <= self.last_applied or not data:
             raise ValueError(
                 f"cannot take a snapshot at {index}: the last one is at {self.snapshot.index}, "
@@ -403,7 +405,7 @@
             self.configurations.append((entry.index, entry.members))
 
     def send(self, recipient: ReplicaId | None, message: Message, after_sequence: int = 0) -> None:
-        """Sent only after the current term and the record `after_sequence` are written."""
+        """Sends the message once the current term and the record `after_sequence` are written."""
         self.send_after_write(
             max(after_sequence, self.hard_state_sequence), OutgoingMessage(recipient, message)
         )
@@ -422,7 +424,7 @@
         self.election_deadline = self.now + self.settings.election_ms * (1.0 + self.rng.random())
 
     def become_follower(self, term: int) -> None:
-        """Without a known leader for now."""
+        """Becomes a follower that knows no leader yet."""
         if term > self.term:
             self.term, self.voted_for = term, None
             self.write_hard_state()
@@ -536,7 +538,7 @@
     def tick_leader(self) -> None:
         responsive_voters = sum(self.is_responsive(replica) for replica in self.configuration.voters)
         if responsive_voters < self.configuration.quorum_size():
-            return self.become_follower(self.term)  # section 6.2: it could no longer answer for a majority
+            return self.become_follower(self.term)  # section 6.2: it steps down without a responsive majority
         if self.is_disk_stalled():
             return self.step_down()
         if self.pending_transfer is not None and self.now >= self.pending_transfer[1]:
@@ -610,7 +612,7 @@
             if self.role is not Role.LEADER:
                 return
             self.finish_transfer(replica, progress)
-        elif message.rejected_index > progress.match_index:  # otherwise the response predates a later one
+        elif message.rejected_index > progress.match_index:  # otherwise the response is outdated
             progress.next_index = (
                 max(progress.match_index, min(message.index, message.rejected_index - 1)) + 1
             )
--- a/harrieryoke/council/disk.py
+++ b/harrieryoke/council/disk.py
@@ -6,7 +6,7 @@
 cannot be distinguished.
 
 A council snapshot is a snapshot of the store: `MAGIC size:u32 header data`. The header has the replica ID,
-term and vote, and the entries behind the snapshot. The first snapshot, of the empty state, stores a new
+term and vote, and the entries after the snapshot. The first snapshot, of the empty state, stores a new
 disk's ID. A snapshot whose entries are all in the local log adds nothing: later records do not wait for it,
 and if writing it fails it is retried while the records are kept. A snapshot that goes beyond the local log
 must be on the disk before any later record.
@@ -51,7 +51,7 @@
 
 
 class SnapshotHeader(Struct, frozen=True, rename={"replica": "seat"}):
-    """Precedes the snapshot's data. `entries` are those behind the snapshot."""
+    """Precedes the snapshot's data. `entries` are those after the snapshot."""
 
     replica: ReplicaId
     term: int
@@ -123,7 +123,7 @@
     def __init__(self) -> None:
         self.replica: ReplicaId | None = None
         self.state = PersistentState()
-        self.durable_through = 0  # durable up to there, as stated by later records
+        self.durable_through = 0  # records up to this number were durable, as later records state
         self.unreadable = self.gap = ""
 
     def restore(self, data: bytes) -> None:
@@ -265,7 +265,7 @@
         self.recovered = found.state
         self.stored_state = copy_state(found.state)  # after the last record handed to the store
         self.queued: deque[PendingWrite] = deque()
-        self.unconfirmed: deque[tuple[int, int]] = deque()  # the store's number and the write's sequence
+        self.unconfirmed: deque[tuple[int, int]] = deque()  # sequence numbers in the store and of the write
         self.pending_snapshot: SnapshotRequest | None = None
         self.barrier_sequence = 0  # of a snapshot that all later records wait for
         self.snapshot_error = ""  # why the last snapshot failed, or ""
--- a/harrieryoke/council/handshake.py
+++ b/harrieryoke/council/handshake.py
@@ -60,7 +60,7 @@
 
 
 def read_first_frame(sock: Any) -> pb.Frame:
-    """Reads the first frame of the other side. Raises WireError, or OSError if the connection ends before."""
+    """Reads the first frame of the other side. Raises WireError, or OSError if the connection ends first."""
     decoder = Decoder(pb.Frame, MAX_HELLO_BYTES)
     while data := sock.recv(MAX_HELLO_BYTES):
         for frame in decoder.feed(data):
--- a/harrieryoke/council/link.py
+++ b/harrieryoke/council/link.py
@@ -91,7 +91,7 @@
     def connect(self) -> None:
         address = self.settings.members[self.name]
         with gevent.Timeout(self.settings.dial_ms / 1000, TimeoutError("connect timed out")):
-            # Binds the own listen address, which the other side compares with its members.
+            # Binds to this member's listen address: the other side checks that its `members` lists it.
             sock: Any = socket.create_connection(address, source_address=(self.settings.listen[0], 0))
         self.sock, self.close_reason = sock, ""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -249,7 +249,7 @@
             self.enqueue((recipient.name,), recipient, message)
 
     def send_to(self, names: Iterable[str], message: Message | DutyHandover) -> None:
-        """Sends by name, whatever the disk. This member's own name is skipped."""
+        """Sends to members by name, whatever their disk ID. This member's own name is skipped."""
         self.enqueue(names, None, message)
 
     def enqueue(
--- a/harrieryoke/council/listen.py
+++ b/harrieryoke/council/listen.py
@@ -20,7 +20,7 @@
 from .wire.codec import MAX_FRAME_BYTES, from_wire, pb, read_replica
 
 RECEIVE_BYTES = 64 << 10
-MAX_REMEMBERED_REFUSALS = 256  # by host and name; beyond them the oldest is forgotten and logged again
+MAX_REMEMBERED_REFUSALS = 256  # by host and name; beyond them the oldest is forgotten, to be logged anew
 
 
 @dataclass(slots=True, eq=False)
@@ -149,7 +149,7 @@
             self.log_refusal((connection.host, name[:64]), reason)
             connection.sock.sendall(encode(pb.Frame(refused=pb.Refused(why=reason))))
             connection.sock.shutdown(socket.SHUT_WR)
-            # Reads to the end before closing: a reset would discard the answer.
+            # Reads to the end before closing: unread data would cause a reset, which discards the answer.
             while connection.sock.recv(4096):
                 pass
             return None
--- a/harrieryoke/council/part.py
+++ b/harrieryoke/council/part.py
@@ -19,8 +19,8 @@
 
 
 class CouncilPart:
-    """`own_name` is the invoker's name, used if the table has none. Raises CouncilError. Nothing is touched
-    until `open`, so that a configuration can be checked while an invoker runs with it.
+    """`own_name` is the invoker's name, used if [council] has no `name`. Raises CouncilError. Nothing is
+    touched until `open`, so that a configuration can be checked while an invoker runs with it.
     """
 
     actor: CouncilActor
--- a/harrieryoke/council/settings.py
+++ b/harrieryoke/council/settings.py
@@ -114,7 +114,7 @@
                 )
 
     def member_name(self, own_name: str) -> str:
-        """Returns this member's name: the invoker's, if the table has none. Raises CouncilError."""
+        """Returns this member's name: the invoker's, if [council] has no `name`. Raises CouncilError."""
         name = self.name or own_name
         if name not in self.members:
             hint = "set council.name, or add it there"
--- a/harrieryoke/council/turns.py
+++ b/harrieryoke/council/turns.py
@@ -1,4 +1,4 @@
-"""Runs reconciliation in turns on a member: grants turns while this member holds the duty, and uses its own.
+"""Reconciliation turns on a member: grants turns while the member holds the duty, and uses its own turns.
 
 Implements the ledger's `Turns` protocol. Only its actor changes its state. `next`, `holds` and `some` are
 called from the ledger's greenlets: they never wait and only read, except for the turn that `next` takes.
@@ -59,8 +59,8 @@
 
 class TurnsActor(Actor):
     """Runs on each member of the council, also without a ledger: the duty's holder grants turns. Must be
-    created before the council starts. A message that does not fit into the mailbox is counted and logged; its
-    round is revoked after its time limit.
+    created before the council starts. A message that does not fit into the mailbox is counted and logged; a
+    turn whose end is lost in this way is revoked after its time limit.
     """
 
     def __init__(
--- a/harrieryoke/council/wire/__init__.py
+++ b/harrieryoke/council/wire/__init__.py
@@ -1,1 +1,1 @@
-"""The members' protocol: `council.proto` is its description, `council_pb2.py` is made of it."""
+"""The members' protocol: `council.proto` describes it, and `council_pb2.py` is generated from that."""
--- a/harrieryoke/ledger/actor.py
+++ b/harrieryoke/ledger/actor.py
@@ -167,7 +167,8 @@
             deliver()
 
     def call_ended(self, call: Call, how: str) -> None:
-        """Records the end of a call. If answers are held, only calls without an answer are new here."""
+        """Records the end of a call. If answers are held, only withdrawn calls are recorded here: the others
+        are recorded by `call_answered`."""
         if self.holds_answers and how != "withdrawn":
             return
         if not self.try_send(CallEnded(call, how)):
@@ -309,7 +310,7 @@
 
     def write_entry(self, entry: Entry, root: EntryId | None = None) -> int:
         """Writes an entry that the book has created. A correction is stored under the key of the root entry
-        that it corrects, and a record under its own key refers to that."""
+        that it corrects, and a second record, under the correction's own key, names the root."""
         seq = self.append_record(entry.kind, (root or entry.id).store_key(), entry.encode())
         if root is not None:
             self.append_record(CORRECTION_ROOT, entry.id.store_key(), ENCODE(root))
@@ -392,8 +393,8 @@
         return entries
 
     def read_period(self, period: int) -> dict[int, bytes]:
-        """Reads all entries of a period that are still stored, encoded for the collector, by id, in the
-        store's thread."""
+        """Reads, in the store's thread, all entries of a period that are still stored. Returns them by id,
+        encoded for the collector."""
         if self.store_writer is not None:
             return self.store_writer.run_in_thread(lambda store: read_period_entries(store, period))
         encoded_entries = (
@@ -402,7 +403,7 @@
         return {entry_wire_id(data): data for data in encoded_entries}
 
     def record_batch_end(self, batch_id: BatchId, reason: str = "") -> None:
-        """A batch was acknowledged, or set aside with a reason."""
+        """Records that a batch was acknowledged, or was set aside with a reason."""
         if reason:
             self.log("batch-aside", f"{batch_id.epoch:x}/{batch_id.number}: {reason}", batch=batch_id.number)
         if self.has_room():
--- a/harrieryoke/ledger/decide/book.py
+++ b/harrieryoke/ledger/decide/book.py
@@ -148,7 +148,7 @@
     def add_correction(
         self, old: Entry, earlier: Amounts, corrected: Amounts, reason: str, time_ms: int
     ) -> Entry:
-        """Adds an entry that changes the amounts of `old` and all its corrections from `earlier` to
+        """Adds an entry that changes the sum of `old` and all its corrections from `earlier` to
         `corrected`. A correction may itself be corrected. Raises BookError."""
         if not reason.strip():
             raise BookError("a correction needs a reason")
@@ -240,7 +240,8 @@
     # --- entries that were made before ---
 
     def apply(self, entry: Entry) -> None:
-        """Raises PeriodError for an entry of a sealed period, BookError for one that was applied before."""
+        """Raises PeriodError for an entry of a sealed period, BookError for one of this epoch that is out of
+        order."""
         if entry.id.epoch == self.epoch and entry.id.number != self.last_number + 1:
             raise BookError(f"{entry.id} does not follow number {self.last_number}")
         self.periods.add(entry, entry.kind == GAP)
@@ -286,7 +287,7 @@
         )
 
     def load(self, data: bytes) -> None:
-        """Restores the book of another epoch from a snapshot. Raises BookError if it is not a valid one."""
+        """Restores the book from a snapshot, usually of an earlier epoch. Raises BookError if invalid."""
         try:
             snapshot = msgspec.msgpack.decode(data)
             if snapshot["version"] != 1:
--- a/harrieryoke/ledger/decide/export.py
+++ b/harrieryoke/ledger/decide/export.py
@@ -127,9 +127,9 @@
         self.in_flight.clear()
 
     def resume(self, held: dict[int, int]) -> None:
-        """Resumes on a new connection. `held` is, by epoch, the batch up to which the collector has all.
-        Those are acknowledged; batches that were acknowledged before and that the collector no longer has are
-        sent again if they are still kept."""
+        """Resumes on a new connection. `held` is, by epoch, the number up to which the collector has all
+        batches. Those are acknowledged; batches that were acknowledged before and that the collector no
+        longer has are sent again if they are still kept."""
         for epoch, epoch_export in self.epochs.items():
             held_up_to = held.get(epoch, 0)
             for number in range(
@@ -161,7 +161,7 @@
             self.advance_done(epoch)
 
     def mark_acknowledged(self, batch: Batch) -> None:
-        """The collector has the batch, known by other means than an answer to it."""
+        """Acknowledges a batch that the collector is known to have by other means than an answer to it."""
         if batch.state is not BatchState.ACKNOWLEDGED:
             self.finish_batch(batch, BatchState.ACKNOWLEDGED)
 
--- a/harrieryoke/ledger/reconciler.py
+++ b/harrieryoke/ledger/reconciler.py
@@ -38,8 +38,8 @@
         ...
 
     def next(self) -> tuple[int, int] | None:
-        """Called when a period could be reconciled now: its number and its fencing token (0: none needed), or
-        None."""
+        """Takes the next period to reconcile: its number and its fencing token (0: none needed), or None.
+        Called only when a run could start."""
         ...
 
     def holds(self, period: int, token: int) -> bool:
@@ -48,7 +48,7 @@
 
     def done(self, period: int, token: int, entries: int, sent: int, foreign: int | None, size: int) -> None:
         """The run is complete. `foreign`: entries that only the collector has; None: unknown. `size`:
-        bytes."""
+        bytes transferred."""
         ...
 
     def lost(self) -> None:
--- a/harrieryoke/store/actor.py
+++ b/harrieryoke/store/actor.py
@@ -39,7 +39,7 @@
         """Opens the store and recovers it, synchronously. Raises StoreError."""
         self.settings, self.log = settings, log
         self.store = Store(directory or DiskDirectory(settings.folder), settings, now_ms(), visit, restore)
-        # The limit is enforced here, where it is answered at once; the store in the thread must never refuse.
+        # The limit is enforced here, so that a refusal is immediate; the store's thread must never refuse.
         self.store.commit.max_pending_bytes = 1 << 62
         self.max_pending_bytes = int(settings.queue_mb * 2**20)
         self.queue: deque[tuple[float, int, bytes, bytes]] = deque()
--- a/harrieryoke/store/decide/segment.py
+++ b/harrieryoke/store/decide/segment.py
@@ -84,8 +84,8 @@
     valid_end: int
     records: list[tuple[int, Record]] = field(default_factory=list)  # with their offsets
     damaged: list[DamagedRange] = field(default_factory=list)
-    torn_bytes: int = 0  # bytes after `valid_end` that are not a whole record
-    torn_is_record_sized: bool = False  # an interrupted write, or bit rot
+    torn_bytes: int = 0  # bytes after `valid_end` that hold no valid record
+    torn_is_record_sized: bool = False  # long enough for a whole record: it may be bit rot
     closed_cleanly: bool = False  # its last record is CLEAN_CLOSE
 
     def last_seq(self) -> int:
--- a/harrieryoke/store/store.py
+++ b/harrieryoke/store/store.py
@@ -97,8 +97,8 @@
         first_seqs = [
             (segment, header.first_seq) for segment, header in headers.items() if header is not None
         ]
-        # Records from the first one of the next segment on were rewritten there: the writer abandoned this
-        # segment.
+        # If the writer abandoned a segment after a failure, its records from the next segment's first
+        # sequence number on were rewritten there.
         self.seq_limits = {
             segment: next_first_seq for (segment, _), (_, next_first_seq) in pairwise(first_seqs)
         }
@@ -298,8 +298,8 @@
         return True
 
     def start_segment(self) -> None:
-        """Closes the active segment, already synced, and creates the next one, with its header and its name
-        on disk. The header contains the creation time as Unix time."""
+        """Closes the active segment, which is already synced, and creates the next one, whose header and name
+        are synced here. The header contains the creation time as Unix time."""
         self.close_segment()
         created_ms = int(wall_ms())
         self.active_segment += 1
@@ -390,8 +390,8 @@
         self.snapshots.append(seq)
 
     def compact(self, first_needed_seq: int) -> CompactionPlan:
-        """Removes segments and snapshots that are no longer needed. Raises OSError; what is left then goes
-        with the next call."""
+        """Removes segments and snapshots that are no longer needed. Raises OSError; the next call then
+        removes the rest."""
         sealed = [
             SealedSegment(
                 segment,
