--- a/harrieryoke/worker_health.py
+++ b/harrieryoke/worker_health.py
@@ -253,7 +253,7 @@
     def is_on_trial(self, worker: Worker, function: Function) -> bool:
         """Whether the class is unanswered at the worker and has an attempt in flight there.
 
-        Until an answer such a class gets one attempt at a time.
+        Until it gets an answer, such a class has no more than one attempt in flight.
         """
         return function.class_index in worker.unanswered_classes and any(
             sent_at >= worker.started and self.attempts[key][1].class_index == function.class_index
